--- a/crocuskeel/core/backends/grouping.py
+++ b/crocuskeel/core/backends/grouping.py
@@ -2,7 +2,7 @@
 
 Each cell has one dispatcher. The grouping depends only on the names of
 the service's servers and the cell size, so that all hosts that read the
-same list agree; a server that comes or goes moves few others.
+same list agree. Adding or removing a server moves few others.
 """
 
 import xxhash
@@ -10,14 +10,14 @@
 from crocuskeel import conf
 from crocuskeel.core import placement
 
-__all__ = ["build", "cell_engines", "cell_for", "cells", "size_of"]
+__all__ = ["build", "cell_engines", "cell_for", "cell_size", "cells"]
 
 DEFAULT_SIZE = 32
 _SEPARATOR = "/"
 
 
-def size_of(daemon):
-    """Return the settings' cell size, the default before settings."""
+def cell_size(daemon):
+    """Return the cell size of the settings, a default without settings."""
     tree = daemon.follower.tree
     return conf.cell_size(tree) if tree is not None else DEFAULT_SIZE
 
@@ -31,17 +31,17 @@
     out = {}
     for service, group in by_service.items():
         names = [backend.name for backend in group]
-        out.update(_split(service, names, size))
+        out.update(_split_service(service, names, size))
     return out
 
 
-def _split(service, names, size):
+def _split_service(service, names, size):
     count = -(-len(names) // size)
     keys = [f"{service}{_SEPARATOR}{index}" for index in range(count)]
     members = {key: [] for key in keys}
     for name in sorted(names):
-        open_keys = [k for k in keys if len(members[k]) < size]
-        members[placement.owner(name, open_keys)].append(name)
+        not_full = [k for k in keys if len(members[k]) < size]
+        members[placement.owner(name, not_full)].append(name)
     return {key: tuple(group) for key, group in members.items()}
 
 
@@ -61,7 +61,7 @@
     """Return the cell that work with this key goes to, "" if none.
 
     Equal keys (a prompt's prefix, a resent request's fingerprint) go to
-    the same cell, so that its dispatcher knows the earlier ones.
+    the same cell, so that its dispatcher knows of earlier requests.
     """
     names = cells(daemon, service)
     if not names:
--- a/crocuskeel/core/dispatch/choice.py
+++ b/crocuskeel/core/dispatch/choice.py
@@ -91,7 +91,7 @@
 
 def is_plain(daemon, cell):
     """Tell whether the cell's servers make no tokens."""
-    backend = backends.of_service(daemon, cell.service)
+    backend = backends.service_backends(daemon, cell.service)
     return bool(backend) and backend[0].kind == "plain"
 
 
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -40,42 +40,42 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """Rows: what is heard, in order, and whether e1 gets new work."""
+    """Rows: a description, whether e1 gets new work, and the events."""
 
     ROWS = (
-        ("the list says so", False,
+        ("the list shows it as leaving", False,
          (_list(1, _backend("e1")), _list(2, _backend("e1", True)))),
-        ("only a peer has seen it, the platform is down here", False,
+        ("only a peer reports it; the host list is unavailable", False,
          (_list(1, _backend("e1")), _news(2, "e1"),
           events.HostListFailed())),
         ("a lagging replica of the list contradicts it", False,
          (_list(2, _backend("e1", True)), _list(1, _backend("e1")))),
         ("another replica at the same position contradicts it", False,
          (_list(2, _backend("e1", True)), _list(2, _backend("e1")))),
-        ("old news of leaving after it came back", True,
+        ("a peer reports leaving late, after the server returned", True,
          (_list(2, _backend("e1", True)), _list(3, _backend("e1")),
           _news(2, "e1"))),
-        ("a later list takes it back", True,
+        ("a later list shows it as live again", True,
          (_list(2, _backend("e1", True)), _list(3, _backend("e1")))),
         ("it was removed from the list", False,
          (_list(1, _backend("e1")), _list(2))),
-        ("the list is down after it was read", True,
+        ("the list is unavailable after it was read", True,
          (_list(1, _backend("e1")), events.HostListFailed())),
     )
 
     def test_rows(self):
-        """New work must stop within seconds, whoever says so first.
+        """A leaving server gets no new work, whatever the source.
 
-        A user of a request sent to a leaving server would see it cut
-        off. The list lags, fails and contradicts itself; positions
-        order what it says.
+        A request sent to a leaving server would be cut off. The list may
+        be delayed, unavailable or contradictory; positions order its
+        versions.
         """
-        for story, wanted, heard in self.ROWS:
+        for description, is_usable, received in self.ROWS:
             daemon = _daemon()
-            for event in heard:
+            for event in received:
                 backends.handle(daemon, event, 0.0)
-            with self.subTest(story):
-                self.assertEqual(wanted, backends.usable(daemon, "e1"))
+            with self.subTest(description):
+                self.assertEqual(is_usable, backends.usable(daemon, "e1"))
 
     def test_leaving_is_told_to_all_once(self):
         daemon = _daemon()
@@ -83,15 +83,15 @@
         for at in (1, 2):
             out += backends.handle(
                 daemon, _list(at, _backend("e1", True)), 0.0)
-        told = [e for e in out if type(e) is effects.Broadcast]
+        broadcasts = [e for e in out if type(e) is effects.Broadcast]
         self.assertEqual([messages.HostListNews(1, ("e1",))],
-                         [e.message for e in told])
+                         [e.message for e in broadcasts])
 
     def test_a_host_started_in_an_outage_takes_a_peers_list(self):
-        """A replaced host starts while the host list is down.
+        """A host that starts in a host list outage uses a peer's list.
 
-        Without a list it would refuse every request for want of
-        backend servers until the outage ends.
+        Without a list it would refuse every request for lack of backend
+        servers until the outage ends.
         """
         daemon = _daemon()
         server = _backend("e1")
@@ -105,7 +105,7 @@
 
 
 class CellsTest(unittest.TestCase):
-    """Cells are bounded and computed alike by all hosts."""
+    """Cells are bounded in size and the same on all hosts."""
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(st.integers(1, 120), st.integers(1, 32))
