--- a/crocuskeel/core/dispatch/__init__.py
+++ b/crocuskeel/core/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""The dispatcher of a cell: queues, floors, grants, learned engines."""
+"""Dispatching of a cell: queues, floors, grants and engine statistics."""
 
 from crocuskeel.core.dispatch.floors import wait_bound
 from crocuskeel.core.dispatch.handling import handle
--- a/crocuskeel/core/dispatch/choice.py
+++ b/crocuskeel/core/dispatch/choice.py
@@ -1,172 +1,178 @@
-"""Which engine an attempt gets: the one that should finish it first."""
+"""Engine selection: an attempt gets the engine expected to finish it first."""
 
 from crocuskeel.core import backends
 from crocuskeel.core.dispatch import estimates
 from crocuskeel.core.dispatch import limits
 from crocuskeel.core import quarantine
 
-__all__ = ["duration", "empty_engine", "free_slots", "in_flight",
-           "is_hit", "is_plain", "most_slots", "pick",
-           "remaining_s", "slots", "usable"]
+__all__ = ["expected_duration", "free_slots", "has_prefix_cached",
+           "in_flight", "is_plain", "most_slots", "pick_empty_engine",
+           "pick_engine", "slots", "time_to_empty_s", "usable_engines"]
 
-# Penalties in seconds, far above any service time: they only order.
-SAME_DOMAIN_S = 1e4
-PROBE_S = 1e5
+# Penalties in seconds. They are far above any service time, so they only
+# affect the order of preference.
+SAME_DOMAIN_PENALTY_S = 1e4
+PROBE_PENALTY_S = 1e5
 
 
-def usable(daemon, cell):
+def usable_engines(daemon, cell):
     """Return the cell's engines that may get new work."""
     return [name for name in backends.cell_engines(daemon, cell.name)
             if backends.usable(daemon, name)]
 
 
 def in_flight(daemon, cell, view, now):
-    """Return the attempts on an engine, as far as they are known.
+    """Return the number of attempts on an engine, as far as known.
 
-    Until the cell has settled, what its old dispatcher granted may be
-    unknown: then the load report counts too, or the whole engine.
+    Until the cell has settled, some grants of its previous dispatcher may
+    be unknown. The engine's load report is then added or, without one,
+    the engine's whole limit.
     """
     known = len(cell.by_engine.get(view.name, ()))
-    if now >= cell.settle_until or not cell.unheard:
+    if now >= cell.settle_until or not cell.unreported_hosts:
         return known
-    return known + (view.reported if view.reported >= 0 else view.most)
+    return known + (view.reported_load if view.reported_load >= 0
+                    else view.max_limit)
 
 
 def free_slots(daemon, cell, name, now):
     """Return how many more attempts an engine may get."""
     if name in cell.reserved:
         return 0
-    view = limits.engine(daemon, name)
+    view = limits.engine_view(daemon, name)
     used = in_flight(daemon, cell, view, now)
     return max(0, limits.capacity(view, now) - used)
 
 
 def slots(daemon, cell, now):
     """Return the usable slots of a cell, free or not."""
-    total = sum(limits.capacity(limits.engine(daemon, name), now)
-                for name in usable(daemon, cell)
+    total = sum(limits.capacity(limits.engine_view(daemon, name), now)
+                for name in usable_engines(daemon, cell)
                 if name not in cell.reserved)
     return max(1, total)
 
 
 def most_slots(daemon, cell):
-    """Return the slots of a cell whatever its engines now take.
+    """Return the slots of a cell at its engines' maximum limits.
 
-    The seats of floors go by these: by a learned number, which moves
-    with every answer, a class could be over its seats from one moment
-    to the next.
+    The protected queue sizes of floors are computed from this number. The
+    learned limits change with every answer, so with them a class could
+    exceed its protected size from one moment to the next.
     """
-    return max(1, sum(limits.engine(daemon, name).most
-                      for name in usable(daemon, cell)))
+    return max(1, sum(limits.engine_view(daemon, name).max_limit
+                      for name in usable_engines(daemon, cell)))
 
 
-def is_hit(view, ask):
+def has_prefix_cached(view, request):
     """Tell whether the engine should have the prompt's prefix cached."""
-    return bool(ask.prefix) and ask.prefix in view.prefixes
+    return bool(request.prefix) and request.prefix in view.prefixes
 
 
-def pick(daemon, cell, waiting, names, now):
+def pick_engine(daemon, cell, waiting, names, now):
     """Return the best of the engines with a free slot, "" if none.
 
-    ``names`` are engines that :func:`free_slots` allows.
+    ``names`` are engines with at least one of :func:`free_slots`.
     """
     allowed = _allowed(daemon, cell, waiting.ask, names)
     if not allowed:
         return ""
-    tokens = _tokens(daemon, cell, waiting.ask)
+    tokens = _expected_tokens(daemon, cell, waiting.ask)
     return min(allowed, key=lambda name: (
         _finish_s(daemon, cell, waiting.ask, name, tokens), name))
 
 
-def _allowed(daemon, cell, ask, names):
-    allowed = [name for name in names if name not in ask.avoid]
-    if allowed or not ask.avoid:
+def _allowed(daemon, cell, request, names):
+    allowed = [name for name in names if name not in request.avoid]
+    if allowed or not request.avoid:
         return allowed
-    others = [name for name in usable(daemon, cell)
-              if name not in ask.avoid]
-    # A service with no other engine: better the same one again than no
-    # answer at all.
+    others = [name for name in usable_engines(daemon, cell)
+              if name not in request.avoid]
+    # If the service has no other engine, retrying on the same one is
+    # better than giving no answer.
     return [] if others else names
 
 
 def is_plain(daemon, cell):
-    """Tell whether the cell's servers make no tokens."""
+    """Tell whether the cell's servers produce no tokens."""
     backend = backends.service_backends(daemon, cell.service)
     return bool(backend) and backend[0].kind == "plain"
 
 
-def _tokens(daemon, cell, ask):
+def _expected_tokens(daemon, cell, request):
     if is_plain(daemon, cell):
         return 1.0
     return estimates.mean(
-        daemon.dispatch.lengths, cell.service, ask.class_name,
-        ask.workspace, ask.max_tokens)
+        daemon.dispatch.lengths, cell.service, request.class_name,
+        request.workspace, request.max_tokens)
 
 
-def _finish_s(daemon, cell, ask, name, tokens):
-    view = limits.engine(daemon, name)
+def _finish_s(daemon, cell, request, name, tokens):
+    view = limits.engine_view(daemon, name)
     running = len(cell.by_engine.get(name, ())) + 1
-    # The pace was seen with ``crowd`` attempts; half of it is taken to
-    # grow with them, as in an engine at the knee of its batch.
-    pace = view.pace or limits.pool_median(
-        daemon, cell, lambda other: other.pace)
-    crowding = (view.limit + running) / (view.limit + view.crowd)
-    total = max(1.0, tokens) * pace * crowding + 1e-6 * running
-    if is_hit(view, ask):
-        total -= _hit_gain_s(daemon)
-    if view.probing and ask.tier == 1:
-        total += PROBE_S
-    return total + _domain_s(daemon, ask, name)
-
-
-def _hit_gain_s(daemon):
+    # The latency was measured at ``mean_concurrency`` attempts. Half of
+    # it is assumed to grow with concurrency, as in an engine at the knee
+    # of its batch size curve.
+    latency = view.unit_latency or limits.pool_median(
+        daemon, cell, lambda other: other.unit_latency)
+    slowdown = (view.limit + running) / (view.limit + view.mean_concurrency)
+    total = max(1.0, tokens) * latency * slowdown + 1e-6 * running
+    if has_prefix_cached(view, request):
+        total -= _cache_hit_gain_s(daemon)
+    if view.probing and request.tier == 1:
+        total += PROBE_PENALTY_S
+    return total + _same_domain_penalty_s(daemon, request, name)
+
+
+def _cache_hit_gain_s(daemon):
     state = daemon.dispatch
     return max(0.0, state.miss_ttft - state.hit_ttft)
 
 
-def _domain_s(daemon, ask, name):
-    if not ask.avoid:
+def _same_domain_penalty_s(daemon, request, name):
+    if not request.avoid:
         return 0.0
     domain = getattr(backends.get(daemon, name), "domain", "")
-    lost = {getattr(backends.get(daemon, one), "domain", None)
-            for one in ask.avoid}
-    return SAME_DOMAIN_S if domain in lost else 0.0
+    avoided = {getattr(backends.get(daemon, other), "domain", None)
+               for other in request.avoid}
+    return SAME_DOMAIN_PENALTY_S if domain in avoided else 0.0
 
 
-def remaining_s(daemon, cell, name):
-    """Return the expected seconds until an engine has run empty."""
-    pace = limits.pool_median(daemon, cell, lambda view: view.pace)
+def time_to_empty_s(daemon, cell, name):
+    """Return the expected seconds until all attempts on an engine end."""
+    latency = limits.pool_median(
+        daemon, cell, lambda view: view.unit_latency)
     if is_plain(daemon, cell):
-        return pace
+        return latency
     slots = [cell.running[key] for key in cell.by_engine.get(name, ())]
     tokens = [estimates.remaining(
         daemon.dispatch.lengths, cell.service, slot.class_name,
         slot.workspace, slot.tokens) for slot in slots]
-    return max(tokens, default=0.0) * pace
+    return max(tokens, default=0.0) * latency
 
 
-def duration(daemon, cell, ask):
+def expected_duration(daemon, cell, request):
     """Return the expected seconds that an attempt holds its slot."""
-    pace = limits.pool_median(daemon, cell, lambda view: view.pace)
+    latency = limits.pool_median(
+        daemon, cell, lambda view: view.unit_latency)
     if is_plain(daemon, cell):
-        return pace
+        return latency
     ttft = limits.pool_median(daemon, cell, lambda view: view.ttft)
-    return ttft + _tokens(daemon, cell, ask) * pace
+    return ttft + _expected_tokens(daemon, cell, request) * latency
 
 
-def empty_engine(daemon, cell, ask, now):
-    """Return an engine that a suspect can have to itself, "" if none.
+def pick_empty_engine(daemon, cell, request, now):
+    """Return an engine for a suspect's exclusive use, "" if none.
 
-    A server with an unjudged loss is left out: its next load report
-    would be taken for a crash by the suspect.
+    An engine with an undecided loss is left out: if its next load report
+    showed a crash, the suspect would be blamed for it.
     """
-    names = [name for name in usable(daemon, cell)
+    names = [name for name in usable_engines(daemon, cell)
              if cell.reserved.get(name) is None
-             and not quarantine.is_open(daemon, name)
+             and not quarantine.has_undecided_loss(daemon, name)
              and not cell.by_engine.get(name)
-             and now >= limits.engine(daemon, name).off_until
-             and in_flight(daemon, cell, limits.engine(daemon, name),
+             and now >= limits.engine_view(daemon, name).off_until
+             and in_flight(daemon, cell, limits.engine_view(daemon, name),
                            now) == 0]
-    allowed = _allowed(daemon, cell, ask, names)
+    allowed = _allowed(daemon, cell, request, names)
     return min(allowed, key=lambda name: (name not in cell.reserved, name),
                default="")
--- a/crocuskeel/core/dispatch/estimates.py
+++ b/crocuskeel/core/dispatch/estimates.py
@@ -1,9 +1,9 @@
 """Online estimates of output lengths.
 
-The last lengths of a class and workspace are kept sorted; with too few
-of them those of the class, then of the service, are used. What remains
-of a running answer is estimated from the lengths beyond what it has
-produced.
+The most recent lengths of each class and workspace are kept sorted. If
+there are too few of them, those of the class are used, then those of the
+service. What remains of a running answer is estimated from the lengths
+that exceed what it has produced.
 """
 
 import collections
@@ -13,10 +13,10 @@
 
 __all__ = ["Estimates", "learn", "mean", "new_estimates", "remaining"]
 
-KEPT = 96
-ENOUGH = 12
+MAX_SAMPLE_SIZE = 96
+MIN_SAMPLE_SIZE = 12
 MAX_KEYS = 4096
-UNKNOWN_TOKENS = 128.0
+DEFAULT_TOKENS = 128.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Estimates:
-    """Kept lengths by key, least recently used first."""
+    """Recent lengths by key, least recently used first."""
 
     samples: collections.OrderedDict = dataclasses.field(
         default_factory=collections.OrderedDict)
@@ -60,7 +60,7 @@
     sample.recent.append(tokens)
     sample.ordered.add(tokens)
     sample.total += tokens
-    if len(sample.recent) > KEPT:
+    if len(sample.recent) > MAX_SAMPLE_SIZE:
         oldest = sample.recent.popleft()
         sample.ordered.remove(oldest)
         sample.total -= oldest
@@ -70,7 +70,7 @@
     found = None
     for key in _keys(service, class_name, workspace):
         found = estimates.samples.get(key, found)
-        if found is not None and len(found.recent) >= ENOUGH:
+        if found is not None and len(found.recent) >= MIN_SAMPLE_SIZE:
             return found
     return found
 
@@ -79,7 +79,7 @@
     """Return the expected length in tokens, at most ``max_tokens``."""
     sample = _find(estimates, service, class_name, workspace)
     if sample is None:
-        value = UNKNOWN_TOKENS if max_tokens else 0.0
+        value = DEFAULT_TOKENS if max_tokens else 0.0
     else:
         value = sample.total / len(sample.recent)
     return min(value, max_tokens) if max_tokens else value
@@ -89,10 +89,10 @@
     """Return the expected tokens still to come after ``produced``."""
     sample = _find(estimates, service, class_name, workspace)
     if sample is None:
-        return UNKNOWN_TOKENS
-    beyond = sample.ordered[sample.ordered.bisect_right(produced):]
-    if not beyond:
-        # Longer than all that were seen: heavy tails go on for about as
-        # long again as they already have.
+        return DEFAULT_TOKENS
+    longer = sample.ordered[sample.ordered.bisect_right(produced):]
+    if not longer:
+        # Longer than any length in the sample. In a heavy-tailed
+        # distribution the expected remainder is about the length so far.
         return max(1.0, float(produced))
-    return sum(beyond) / len(beyond) - produced
+    return sum(longer) / len(longer) - produced
--- a/crocuskeel/core/dispatch/fairness.py
+++ b/crocuskeel/core/dispatch/fairness.py
@@ -1,25 +1,28 @@
-"""Order within a tier: fair among classes and workspaces, then slack.
-
-Classes and workspaces carry a virtual time that grows by the work they
-were granted over their weight (start-time fair queueing). Among those
-that are not ahead of the others by more than an allowance, the attempt
-with the least slack against its target goes first. What has missed its
-target goes after all that can still meet it.
+"""Order within a tier: fair queueing among classes and workspaces, then slack.
+
+Each class and workspace has a virtual time that grows by the cost of the
+work granted to it, divided by its weight (start-time fair queueing). Among
+those whose virtual time exceeds the smallest one by no more than an
+allowed lead, the attempt with the least slack against its target goes
+first. Attempts that missed their target follow after all that can still
+meet it.
 """
 
 from crocuskeel.core.dispatch import floors
 
 __all__ = ["charge", "floor_key", "next_key"]
 
-# How far a class or workspace may run ahead of its fair share before
-# slack no longer counts: this many ordinary requests at weight 1.
-ALLOWANCE = 4.0
+# How far a class or workspace may run ahead of its fair share before it
+# is excluded from the comparison by slack: this many ordinary requests at
+# weight 1.
+MAX_LEAD = 4.0
 
 
 def next_key(cell, tier, blocked):
     """Return the key to grant next in a tier, None if there is none.
 
-    ``blocked`` are classes and flows whose head fits no free engine.
+    ``blocked`` are the pairs of class and workspace whose first waiting
+    attempt fits no free engine.
     """
     for late in (False, True):
         found = _best_class(cell, tier, late, blocked)
@@ -28,61 +31,64 @@
     return None
 
 
-def floor_key(group, blocked):
+def floor_key(class_queue, blocked):
     """Return the key that a floor's grant goes to, None if blocked."""
-    flows = [flow for flow in group.flows.values()
-             if (flow.fresh or flow.late)
-             and (group.name, flow.workspace) not in blocked]
+    flows = [flow for flow in class_queue.flows.values()
+             if (flow.on_time or flow.late)
+             and (class_queue.name, flow.workspace) not in blocked]
     if not flows:
         return None
-    flow = min(flows, key=lambda f: (f.virtual, f.workspace))
-    return (flow.late or flow.fresh)[0][2]
+    flow = min(flows, key=lambda f: (f.virtual_time, f.workspace))
+    return (flow.late or flow.on_time)[0][2]
 
 
 def _best_class(cell, tier, late, blocked):
     heads = []
-    for group in cell.classes.values():
-        if group.tier == tier and group.waiting:
-            head = _head(group, late, blocked)
+    for class_queue in cell.classes.values():
+        if class_queue.tier == tier and class_queue.waiting:
+            head = _head(class_queue, late, blocked)
             if head is not None:
-                heads.append((group.virtual, head))
-    return _least_slack(heads, ALLOWANCE)
+                heads.append((class_queue.virtual_time, head))
+    return _least_slack(heads, MAX_LEAD)
 
 
-def _head(group, late, blocked):
+def _head(class_queue, late, blocked):
     heads = []
-    for flow in group.flows.values():
-        line = flow.late if late else flow.fresh
-        if line and (group.name, flow.workspace) not in blocked:
-            heads.append((flow.virtual, line[0]))
+    for flow in class_queue.flows.values():
+        entries = flow.late if late else flow.on_time
+        if entries and (class_queue.name, flow.workspace) not in blocked:
+            heads.append((flow.virtual_time, entries[0]))
     if not heads:
         return None
-    least = min(virtual for virtual, _ in heads)
-    return min(place for virtual, place in heads
-               if virtual <= least + ALLOWANCE)
+    least = min(virtual_time for virtual_time, _ in heads)
+    return min(entry for virtual_time, entry in heads
+               if virtual_time <= least + MAX_LEAD)
 
 
-def _least_slack(heads, allowance):
+def _least_slack(heads, max_lead):
     if not heads:
         return None
-    least = min(virtual for virtual, _ in heads)
-    place = min(place for virtual, place in heads
-                if virtual <= least + allowance)
-    return place[2]
+    least = min(virtual_time for virtual_time, _ in heads)
+    entry = min(entry for virtual_time, entry in heads
+                if virtual_time <= least + max_lead)
+    return entry[2]
 
 
 def charge(cell, waiting):
-    """Count the work of a grant against its class and workspace."""
-    group = cell.classes[waiting.ask.class_name]
-    flow = group.flows[waiting.ask.workspace]
-    cell.clocks[group.tier] = max(
-        cell.clocks.get(group.tier, 0.0), group.virtual)
-    group.clock = max(group.clock, flow.virtual)
-    flow.virtual += waiting.cost / flow.weight
-    share = max(group.floor, floors.MIN_FLOOR)
-    group.virtual += waiting.cost * _least_share(cell, group.tier) / share
+    """Add a grant's cost to the virtual time of its class and workspace."""
+    class_queue = cell.classes[waiting.ask.class_name]
+    flow = class_queue.flows[waiting.ask.workspace]
+    cell.virtual_clocks[class_queue.tier] = max(
+        cell.virtual_clocks.get(class_queue.tier, 0.0),
+        class_queue.virtual_time)
+    class_queue.virtual_clock = max(
+        class_queue.virtual_clock, flow.virtual_time)
+    flow.virtual_time += waiting.cost / flow.weight
+    share = max(class_queue.floor, floors.MIN_FLOOR)
+    class_queue.virtual_time += (
+        waiting.cost * _least_share(cell, class_queue.tier) / share)
 
 
 def _least_share(cell, tier):
-    return min(max(g.floor, floors.MIN_FLOOR)
-               for g in cell.classes.values() if g.tier == tier)
+    return min(max(q.floor, floors.MIN_FLOOR)
+               for q in cell.classes.values() if q.tier == tier)
--- a/crocuskeel/core/dispatch/granting.py
+++ b/crocuskeel/core/dispatch/granting.py
@@ -1,4 +1,4 @@
-"""Grants: who gets which engine, and giving slots back."""
+"""Granting engine slots to waiting attempts, and counting slots in use."""
 
 from crocuskeel.core import backends
 from crocuskeel.core.dispatch import choice
@@ -15,18 +15,21 @@
 from crocuskeel.core import problems
 from crocuskeel.core import quarantine
 
-__all__ = ["add_slot", "drop_slot", "pump"]
+__all__ = ["add_slot", "drop_slot", "process_queue"]
 
-MAX_SUSPECT_ENGINES = 1 / 3
+MAX_SUSPECT_ENGINE_SHARE = 1 / 3
 # Copies of one request that may run before one has finished.
-MAX_UNPROVEN = 2
+MAX_UNVERIFIED_COPIES = 2
 
 
-def pump(daemon, cell, now):
-    """Refuse what is hopeless and grant what can be; return effects."""
-    out = shedding.expire(daemon, cell, now)
-    for waiting in list(queue.make_late(cell, now)):
-        if shedding.is_hopeless(daemon, cell, waiting, now):
+def process_queue(daemon, cell, now):
+    """Refuse attempts that can't start in time, then grant free slots.
+
+    Returns effects.
+    """
+    out = shedding.refuse_expired(daemon, cell, now)
+    for waiting in list(queue.mark_late(cell, now)):
+        if shedding.will_miss_deadline(daemon, cell, waiting, now):
             out += shedding.refuse(
                 daemon, cell, waiting.key, problems.Reason.DEADLINE, now)
     if cell.lost_at is not None:
@@ -41,35 +44,37 @@
     out = []
     blocked = set()
     while cell.waiting:
-        free = _free(daemon, cell, now)
+        free = _free_by_engine(daemon, cell, now)
         if not free:
             break
-        key, reason = _next(daemon, cell, free, blocked, now)
+        key, reason = _next_key(daemon, cell, free, blocked, now)
         if key is None:
             break
-        out += _try(daemon, cell, key, reason, list(free), blocked, now)
+        out += _try_grant(
+            daemon, cell, key, reason, list(free), blocked, now)
     return out
 
 
-def _free(daemon, cell, now):
+def _free_by_engine(daemon, cell, now):
     free = {}
-    for name in choice.usable(daemon, cell):
+    for name in choice.usable_engines(daemon, cell):
         count = choice.free_slots(daemon, cell, name, now)
         if count:
             free[name] = count
     return free
 
 
-def _next(daemon, cell, free, blocked, now):
-    key = _next_floor(cell, blocked)
+def _next_key(daemon, cell, free, blocked, now):
+    key = _next_floor_key(cell, blocked)
     if key is not None:
         return key, "floor"
     total = sum(free.values())
-    tiers = sorted({group.tier for group in cell.classes.values()
-                    if group.waiting})
+    tiers = sorted({class_queue.tier
+                    for class_queue in cell.classes.values()
+                    if class_queue.waiting})
     for tier in tiers:
         if tier > headroom.TOP_TIER and (
-                total <= headroom.kept(daemon, cell, now)):
+                total <= headroom.reserved_slots(daemon, cell, now)):
             break
         key = fairness.next_key(cell, tier, blocked)
         if key is not None:
@@ -77,82 +82,87 @@
     return None, ""
 
 
-def _next_floor(cell, blocked):
-    groups = list(cell.classes.values())
-    while groups:
-        group = floors.next_class(groups)
-        if group is None:
+def _next_floor_key(cell, blocked):
+    class_queues = list(cell.classes.values())
+    while class_queues:
+        class_queue = floors.next_class(class_queues)
+        if class_queue is None:
             return None
-        key = fairness.floor_key(group, blocked)
+        key = fairness.floor_key(class_queue, blocked)
         if key is not None:
             return key
-        groups.remove(group)
+        class_queues.remove(class_queue)
     return None
 
 
-def _try(daemon, cell, key, reason, names, blocked, now):
+def _try_grant(daemon, cell, key, reason, names, blocked, now):
     waiting = cell.waiting[key]
     engine = ""
-    if not _is_unproven(daemon, cell, waiting.ask):
-        engine = choice.pick(daemon, cell, waiting, names, now)
+    if not _exceeds_copy_limit(daemon, cell, waiting.ask):
+        engine = choice.pick_engine(daemon, cell, waiting, names, now)
     if not engine:
         blocked.add((waiting.ask.class_name, waiting.ask.workspace))
         return []
     return _grant(daemon, cell, waiting, engine, reason, now)
 
 
-def _is_unproven(daemon, cell, ask):
-    # Many copies of a request that crashes engines would take as many
-    # engines down before the first loss is heard of.
-    if not ask.fingerprint:
+def _exceeds_copy_limit(daemon, cell, request):
+    # Many copies of a request that crashes engines could crash as many
+    # engines before the first loss is reported.
+    if not request.fingerprint:
         return False
-    known = daemon.dispatch.proven
-    copies = cell.in_flight[ask.fingerprint]
-    return copies >= MAX_UNPROVEN and ask.fingerprint not in known
+    known = daemon.dispatch.known_good
+    copies = cell.running_by_fingerprint[request.fingerprint]
+    return (copies >= MAX_UNVERIFIED_COPIES
+            and request.fingerprint not in known)
 
 
-def _grant(daemon, cell, waiting, engine, reason, now, alone=False):
-    ask = waiting.ask
-    if not alone:
+def _grant(daemon, cell, waiting, engine, reason, now, exclusive=False):
+    request = waiting.ask
+    if not exclusive:
         _count_grant(cell, waiting, now)
     queue.remove(cell, waiting.key)
-    slot = _new_slot(daemon, cell, waiting, engine, alone, now)
+    slot = _new_slot(daemon, cell, waiting, engine, exclusive, now)
     add_slot(cell, waiting.key, slot)
-    waited = round(now - waiting.since, 4)
-    headroom.granted(cell, ask, waited)
-    record = effects.Record("granted", ask.rid, (
-        ("cell", cell.name), ("attempt", ask.attempt),
-        ("engine", engine), ("reason", reason), ("tier", ask.tier),
-        ("class", ask.class_name), ("workspace", ask.workspace),
-        ("waited_s", waited), ("batch", slot.batch)))
-    grant = messages.Grant(ask.rid, ask.attempt, cell.name, engine, alone)
-    return [record, effects.Send(waiting.door, grant),
+    waited = round(now - waiting.enqueued_at, 4)
+    headroom.observe_grant(cell, request, waited)
+    record = effects.Record("granted", request.rid, (
+        ("cell", cell.name), ("attempt", request.attempt),
+        ("engine", engine), ("reason", reason), ("tier", request.tier),
+        ("class", request.class_name), ("workspace", request.workspace),
+        ("waited_s", waited), ("batch", slot.batch_size)))
+    grant = messages.Grant(
+        request.rid, request.attempt, cell.name, engine, exclusive)
+    return [record, effects.Send(waiting.entry_host, grant),
             effects.Measure(
-                f"dispatch.wait.tier{ask.tier}", waited * 1e3, "ms")]
+                f"dispatch.wait.tier{request.tier}", waited * 1e3, "ms")]
 
 
 def _count_grant(cell, waiting, now):
-    group = cell.classes[waiting.ask.class_name]
+    class_queue = cell.classes[waiting.ask.class_name]
     fairness.charge(cell, waiting)
-    floors.earn(cell.classes.values())
-    floors.spend(group)
-    meter = cell.granted.setdefault(group.tier, meters.new_meter())
-    meters.bump(meter, now)
+    floors.add_credit(cell.classes.values())
+    floors.spend_credit(class_queue)
+    meter = cell.grants_by_tier.setdefault(
+        class_queue.tier, meters.new_meter())
+    meters.count_events(meter, now)
 
 
-def _new_slot(daemon, cell, waiting, engine, alone, now):
-    ask = waiting.ask
-    view = limits.engine(daemon, engine)
+def _new_slot(daemon, cell, waiting, engine, exclusive, now):
+    request = waiting.ask
+    view = limits.engine_view(daemon, engine)
     return state.Slot(
-        waiting.door, engine, ask.class_name, ask.workspace, ask.tier,
-        ask.fingerprint, now, now, cost=waiting.cost, alone=alone,
-        hit=choice.is_hit(view, ask), prefix=ask.prefix,
-        first_by_s=waiting.since + ask.target_ttft_s - now,
-        batch=len(cell.by_engine.get(engine, ())) + 1,
+        waiting.entry_host, engine, request.class_name, request.workspace,
+        request.tier, request.fingerprint, now, now, cost=waiting.cost,
+        exclusive=exclusive,
+        cache_hit=choice.has_prefix_cached(view, request),
+        prefix=request.prefix,
+        ttft_budget_s=waiting.enqueued_at + request.target_ttft_s - now,
+        batch_size=len(cell.by_engine.get(engine, ())) + 1,
         boot_id=view.boot_id)
 
 
-# Suspects: one to an engine that is otherwise empty.
+# Suspects: each runs alone on an engine.
 
 def _grant_suspects(daemon, cell, now):
     ready = [waiting for waiting in cell.suspects.values()
@@ -163,11 +173,11 @@
     for waiting in ready:
         if _must_wait(daemon, cell, waiting.ask):
             continue
-        engine = choice.empty_engine(daemon, cell, waiting.ask, now)
+        engine = choice.pick_empty_engine(daemon, cell, waiting.ask, now)
         if not engine:
-            _reserve(daemon, cell, now)
+            _reserve_engine(daemon, cell, now)
             break
-        if len(cell.reserved) >= _most_reserved(daemon, cell) and (
+        if len(cell.reserved) >= _max_reserved(daemon, cell) and (
                 engine not in cell.reserved):
             break
         cell.reserved[engine] = waiting.key
@@ -175,33 +185,33 @@
     return out
 
 
-def _must_wait(daemon, cell, ask):
-    return (quarantine.is_pending(daemon, ask.fingerprint)
-            or cell.in_flight[ask.fingerprint] > 0)
+def _must_wait(daemon, cell, request):
+    return (quarantine.must_wait(daemon, request.fingerprint)
+            or cell.running_by_fingerprint[request.fingerprint] > 0)
 
 
-def _most_reserved(daemon, cell):
-    count = len(choice.usable(daemon, cell))
-    return max(1, int(count * MAX_SUSPECT_ENGINES))
+def _max_reserved(daemon, cell):
+    count = len(choice.usable_engines(daemon, cell))
+    return max(1, int(count * MAX_SUSPECT_ENGINE_SHARE))
 
 
 def _trim_reserved(daemon, cell, ready):
     for name, key in list(cell.reserved.items()):
-        idle = key is None and not ready
-        if idle or not backends.usable(daemon, name):
+        unneeded = key is None and not ready
+        if unneeded or not backends.usable(daemon, name):
             del cell.reserved[name]
 
 
-def _reserve(daemon, cell, now):
-    """Let the engine that empties first do so for the next suspect."""
-    if len(cell.reserved) >= _most_reserved(daemon, cell):
+def _reserve_engine(daemon, cell, now):
+    """Reserve the engine that should empty first for the next suspect."""
+    if len(cell.reserved) >= _max_reserved(daemon, cell):
         return
-    names = [name for name in choice.usable(daemon, cell)
+    names = [name for name in choice.usable_engines(daemon, cell)
              if name not in cell.reserved
-             and now >= limits.engine(daemon, name).off_until]
+             and now >= limits.engine_view(daemon, name).off_until]
     if names:
         first = min(names, key=lambda name: (
-            choice.remaining_s(daemon, cell, name), name))
+            choice.time_to_empty_s(daemon, cell, name), name))
         cell.reserved[first] = None
 
 
@@ -210,26 +220,26 @@
 def add_slot(cell, key, slot):
     """Count a granted attempt."""
     cell.running[key] = slot
-    cell.top_held += slot.tier == headroom.TOP_TIER
+    cell.top_tier_running += slot.tier == headroom.TOP_TIER
     cell.by_engine.setdefault(slot.engine, set()).add(key)
     if slot.fingerprint:
-        cell.in_flight[slot.fingerprint] += 1
+        cell.running_by_fingerprint[slot.fingerprint] += 1
 
 
 def drop_slot(cell, key):
-    """Free a slot; returns it, None if it was not counted."""
+    """Free a slot and return it; None if it was not counted."""
     slot = cell.running.pop(key, None)
     if slot is None:
         return None
-    cell.top_held -= slot.tier == headroom.TOP_TIER
-    held = cell.by_engine[slot.engine]
-    held.discard(key)
-    if not held:
+    cell.top_tier_running -= slot.tier == headroom.TOP_TIER
+    on_engine = cell.by_engine[slot.engine]
+    on_engine.discard(key)
+    if not on_engine:
         del cell.by_engine[slot.engine]
     if slot.fingerprint:
-        cell.in_flight[slot.fingerprint] -= 1
-        if not cell.in_flight[slot.fingerprint]:
-            del cell.in_flight[slot.fingerprint]
+        cell.running_by_fingerprint[slot.fingerprint] -= 1
+        if not cell.running_by_fingerprint[slot.fingerprint]:
+            del cell.running_by_fingerprint[slot.fingerprint]
     if cell.reserved.get(slot.engine) == key:
         cell.reserved[slot.engine] = None
     return slot
--- a/crocuskeel/core/dispatch/handling.py
+++ b/crocuskeel/core/dispatch/handling.py
@@ -1,4 +1,4 @@
-"""Routes events to the dispatcher's parts."""
+"""Event handler of the dispatcher."""
 
 from crocuskeel.core import backends
 from crocuskeel.core.dispatch import choice
@@ -19,24 +19,25 @@
 __all__ = ["TICK_S", "handle"]
 
 TICK_S = 0.25
-MIN_MARGIN_S = 0.02
+MIN_START_MARGIN_S = 0.02
 MIN_TARGET_SHARE = 0.3
 _TICK = ("dispatch", "tick")
 
 
 def handle(daemon, event, now):
-    """Reduce one event; return effects."""
+    """Handle one event; return effects."""
     match event:
         case events.Started():
             return [effects.SetTimer(_TICK, TICK_S)]
         case events.TimerFired(key=key) if key == _TICK:
             return [effects.SetTimer(_TICK, TICK_S), *_tick(daemon, now)]
         case events.HostListSeen():
-            return ownership.refresh(daemon, now) + _pump_all(daemon, now)
+            return (ownership.refresh(daemon, now)
+                    + _process_queues(daemon, now))
         case events.EngineLoadSeen():
-            return _load_seen(daemon, event, now)
+            return _load_reported(daemon, event, now)
         case events.EngineCacheSeen():
-            _cache_seen(daemon, event)
+            _cache_reported(daemon, event)
         case events.Received():
             return _received(daemon, event, now)
     return []
@@ -44,12 +45,12 @@
 
 def _received(daemon, event, now):
     match event.message:
-        case messages.Enqueue() as ask:
-            return _enqueue(daemon, event.sender, ask, now)
-        case messages.Withdraw() as gone:
-            return _withdraw(daemon, gone, now)
-        case messages.Reregister() as held:
-            return _reregister(daemon, event.sender, held, now)
+        case messages.Enqueue() as request:
+            return _enqueue(daemon, event.sender, request, now)
+        case messages.Withdraw() as withdrawal:
+            return _withdraw(daemon, withdrawal, now)
+        case messages.Reregister() as registration:
+            return _reregister(daemon, event.sender, registration, now)
         case messages.Released() as released:
             return _released(daemon, released, now)
         case messages.Progressed() as progress:
@@ -64,8 +65,8 @@
 
 def _tick(daemon, now):
     out = ownership.refresh(daemon, now)
-    _bound_engines(daemon)
-    out += quarantine.overdue(daemon, now)
+    _apply_max_limits(daemon)
+    out += quarantine.judge_overdue(daemon, now)
     for cell in daemon.dispatch.cells.values():
         queue.purge(cell)
         out += ownership.reclaim_dead(daemon, cell, now)
@@ -73,13 +74,13 @@
     return out + _gauges(daemon)
 
 
-def _bound_engines(daemon):
+def _apply_max_limits(daemon):
     generation = follower.generation(daemon)
     if generation == daemon.dispatch.generation:
         return
     daemon.dispatch.generation = generation
     for view in daemon.dispatch.engines.values():
-        limits.bound(daemon, view)
+        limits.apply_max_limit(daemon, view)
 
 
 def _gauges(daemon):
@@ -93,26 +94,26 @@
     return out
 
 
-def _pump_all(daemon, now):
+def _process_queues(daemon, now):
     out = []
     for cell in daemon.dispatch.cells.values():
-        out += granting.pump(daemon, cell, now)
+        out += granting.process_queue(daemon, cell, now)
     return out
 
 
 def _verdicts_changed(daemon, now):
-    """Sort waiting work anew by what is known of it; then grant."""
+    """Requeue waiting attempts by their current verdicts, then grant."""
     out = []
     for cell in daemon.dispatch.cells.values():
         for key, waiting in [*cell.waiting.items(),
                              *cell.suspects.items()]:
             fingerprint = waiting.ask.fingerprint
             if fingerprint:
-                out += _resort(daemon, cell, key, fingerprint, now)
-    return out + _pump_all(daemon, now)
+                out += _apply_verdict(daemon, cell, key, fingerprint, now)
+    return out + _process_queues(daemon, now)
 
 
-def _resort(daemon, cell, key, fingerprint, now):
+def _apply_verdict(daemon, cell, key, fingerprint, now):
     verdict = quarantine.verdict(daemon, fingerprint)
     if verdict == "quarantined":
         return shedding.refuse(
@@ -123,96 +124,104 @@
     return []
 
 
-# Doors.
+# Messages of entry hosts.
 
-def _enqueue(daemon, door, ask, now):
-    cell, out = ownership.serve(daemon, ask.cell, now)
+def _enqueue(daemon, entry_host, request, now):
+    cell, out = ownership.acquire_cell(daemon, request.cell, now)
     if cell is None:
         return [effects.Send(
-            door, messages.NotDispatcher(ask.cell, ask.rid))]
-    out += _admit(daemon, cell, door, ask, now)
-    return out + granting.pump(daemon, cell, now)
+            entry_host, messages.NotDispatcher(request.cell, request.rid))]
+    out += _admit(daemon, cell, entry_host, request, now)
+    return out + granting.process_queue(daemon, cell, now)
 
 
-def _admit(daemon, cell, door, ask, now):
-    key = (ask.rid, ask.attempt)
+def _admit(daemon, cell, entry_host, request, now):
+    key = (request.rid, request.attempt)
     if queue.is_waiting(cell, key) or key in cell.running:
         return []
-    verdict = quarantine.verdict(daemon, ask.fingerprint)
+    verdict = quarantine.verdict(daemon, request.fingerprint)
     if verdict == "quarantined":
-        return shedding.turn_away(
-            daemon, cell, door, ask, problems.Reason.QUARANTINED, now)
+        return shedding.refuse_arrival(
+            daemon, cell, entry_host, request,
+            problems.Reason.QUARANTINED, now)
     if not any(backends.usable(daemon, name) for name
                in backends.cell_engines(daemon, cell.name)):
-        return shedding.turn_away(
-            daemon, cell, door, ask, problems.Reason.NO_BACKEND, now)
-    if shedding.is_shut(daemon, cell, ask, now):
-        out = shedding.cut_below(daemon, cell, ask.tier, now)
-        return [*out, *shedding.turn_away(
-            daemon, cell, door, ask, problems.Reason.OVERLOAD, now)]
-    waiting = _new_waiting(daemon, cell, door, ask, now)
+        return shedding.refuse_arrival(
+            daemon, cell, entry_host, request,
+            problems.Reason.NO_BACKEND, now)
+    if shedding.must_refuse(daemon, cell, request, now):
+        out = shedding.shed_lower_tiers(daemon, cell, request.tier, now)
+        return [*out, *shedding.refuse_arrival(
+            daemon, cell, entry_host, request,
+            problems.Reason.OVERLOAD, now)]
+    waiting = _new_waiting(daemon, cell, entry_host, request, now)
     queue.add(cell, waiting, verdict == "suspect")
-    return shedding.make_room(
+    return shedding.apply_queue_limits(
         daemon, cell, waiting, daemon.limits.max_queue_per_cell, now)
 
 
-def _new_waiting(daemon, cell, door, ask, now):
+def _new_waiting(daemon, cell, entry_host, request, now):
     cell.seq += 1
-    since = now - ask.waited_s
-    first = limits.first_token(daemon, cell)
-    due = since + max(ask.target_ttft_s - first,
-                      MIN_TARGET_SHARE * ask.target_ttft_s)
-    # What is worthless after its deadline must start a good while
-    # before; and here, not at the door, it is given up tier by tier.
-    margin = MIN_MARGIN_S
-    if ask.late_drop:
-        margin = max(margin, choice.duration(daemon, cell, ask))
-    return state.Waiting(
-        ask, door, since, due, now + ask.deadline_in_s - margin,
-        releasing.cost_of(daemon, cell, ask), cell.seq, due < now)
-
-
-def _withdraw(daemon, gone, now):
-    cell = daemon.dispatch.cells.get(gone.cell)
+    enqueued_at = now - request.waited_s
+    ttft = limits.ttft_upper_estimate(daemon, cell)
+    due = enqueued_at + max(request.target_ttft_s - ttft,
+                            MIN_TARGET_SHARE * request.target_ttft_s)
+    # An answer that is worthless after the deadline must start well
+    # before it. If it can't, it is refused here rather than at the entry
+    # host, because here refusals follow the order of tiers.
+    margin = MIN_START_MARGIN_S
+    if request.late_drop:
+        margin = max(margin,
+                     choice.expected_duration(daemon, cell, request))
+    return state.WaitingAttempt(
+        request, entry_host, enqueued_at, due,
+        now + request.deadline_in_s - margin,
+        releasing.expected_cost(daemon, cell, request), cell.seq, due < now)
+
+
+def _withdraw(daemon, withdrawal, now):
+    cell = daemon.dispatch.cells.get(withdrawal.cell)
     if cell is None:
         return []
-    key = (gone.rid, gone.attempt)
+    key = (withdrawal.rid, withdrawal.attempt)
     queue.remove(cell, key)
-    # The grant may be under way; the door answers an unwanted one with
-    # a release, which then finds nothing left to free.
+    # A grant may already have been sent. The entry host answers one it no
+    # longer wants with a release, which then finds no slot to free.
     granting.drop_slot(cell, key)
-    return granting.pump(daemon, cell, now)
+    return granting.process_queue(daemon, cell, now)
 
 
-def _reregister(daemon, door, held, now):
-    cell, out = ownership.serve(daemon, held.cell, now)
+def _reregister(daemon, entry_host, registration, now):
+    cell, out = ownership.acquire_cell(daemon, registration.cell, now)
     if cell is None:
-        return [effects.Send(door, messages.NotDispatcher(held.cell))]
-    _forget_door(cell, door)
-    for running in held.running:
+        return [effects.Send(
+            entry_host, messages.NotDispatcher(registration.cell))]
+    _forget_host(cell, entry_host)
+    for running in registration.running:
         granting.add_slot(
-            cell, (running.rid, running.attempt), _slot(door, running, now))
-    cell.unheard.discard(door)
-    cell.asked_at.pop(door, None)
-    for ask in held.waiting:
-        out += _admit(daemon, cell, door, ask, now)
-    return out + granting.pump(daemon, cell, now)
+            cell, (running.rid, running.attempt),
+            _slot(entry_host, running, now))
+    cell.unreported_hosts.discard(entry_host)
+    cell.state_requested_at.pop(entry_host, None)
+    for request in registration.waiting:
+        out += _admit(daemon, cell, entry_host, request, now)
+    return out + granting.process_queue(daemon, cell, now)
 
 
-def _forget_door(cell, door):
+def _forget_host(cell, entry_host):
     for key in [key for key, slot in cell.running.items()
-                if slot.door == door]:
+                if slot.entry_host == entry_host]:
         granting.drop_slot(cell, key)
     for key in [*cell.waiting, *cell.suspects]:
-        if queue.entry(cell, key).door == door:
+        if queue.entry(cell, key).entry_host == entry_host:
             queue.remove(cell, key)
 
 
-def _slot(door, running, now):
+def _slot(entry_host, running, now):
     return state.Slot(
-        door, running.engine, running.class_name, running.workspace,
+        entry_host, running.engine, running.class_name, running.workspace,
         running.tier, running.fingerprint, now - running.age_s, now,
-        tokens=running.tokens, alone=running.alone)
+        tokens=running.tokens, exclusive=running.alone)
 
 
 def _released(daemon, released, now):
@@ -222,23 +231,24 @@
     out = releasing.release(daemon, cell, released, now)
     if released.end in releasing.LOST:
         return out + _verdicts_changed(daemon, now)
-    return out + granting.pump(daemon, cell, now)
+    return out + granting.process_queue(daemon, cell, now)
 
 
-# Engines.
+# Reports of engines.
 
-def _load_seen(daemon, seen, now):
-    view = limits.engine(daemon, seen.engine)
-    if not seen.ok:
+def _load_reported(daemon, report, now):
+    view = limits.engine_view(daemon, report.engine)
+    if not report.ok:
         return limits.report_missed(daemon, view, now)
-    limits.load_seen(daemon, view, seen)
-    out = quarantine.engine_seen(daemon, seen.engine, seen.boot_id, now)
+    limits.report_received(daemon, view, report)
+    out = quarantine.load_reported(
+        daemon, report.engine, report.boot_id, now)
     return out + (_verdicts_changed(daemon, now) if out else [])
 
 
-def _cache_seen(daemon, seen):
-    view = limits.engine(daemon, seen.engine)
-    for prefix in seen.stored:
-        state.keep_prefix(view, prefix)
-    for prefix in seen.removed:
+def _cache_reported(daemon, report):
+    view = limits.engine_view(daemon, report.engine)
+    for prefix in report.stored:
+        state.add_prefix(view, prefix)
+    for prefix in report.removed:
         view.prefixes.pop(prefix, None)
--- a/crocuskeel/core/dispatch/meters.py
+++ b/crocuskeel/core/dispatch/meters.py
@@ -3,9 +3,9 @@
 import dataclasses
 import math
 
-__all__ = ["Meter", "bump", "new_meter", "rate"]
+__all__ = ["Meter", "count_events", "new_meter", "rate"]
 
-SPAN_S = 5.0
+TIME_CONSTANT_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -13,8 +13,8 @@
     """Exponentially decaying count of events; see :func:`rate`."""
 
     value: float = 0.0
-    at: float = 0.0
-    born: float | None = None
+    updated_at: float = 0.0
+    started_at: float | None = None
 
 
 def new_meter():
@@ -22,23 +22,26 @@
     return Meter()
 
 
-def bump(meter, now, count=1):
+def count_events(meter, now, count=1):
     """Count events at ``now``."""
-    if meter.born is None:
-        meter.born = meter.at = now
+    if meter.started_at is None:
+        meter.started_at = meter.updated_at = now
     meter.value = _decayed(meter, now) + count
-    meter.at = now
+    meter.updated_at = now
 
 
 def rate(meter, now):
-    """Return events a second over about the last ``SPAN_S``."""
-    if meter.born is None:
+    """Return events per second over about ``TIME_CONSTANT_S``."""
+    if meter.started_at is None:
         return 0.0
-    # A young meter has seen less than its span; without this the rate
-    # would start near 0 and the first estimates of waits would be huge.
-    seen = 1.0 - math.exp(-max(now - meter.born, 0.5) / SPAN_S)
-    return _decayed(meter, now) / SPAN_S / seen
+    # Corrects for a meter that has run for less than its time constant.
+    # Otherwise the rate would start near 0 and the first estimates of
+    # waits would be far too long.
+    covered = 1.0 - math.exp(
+        -max(now - meter.started_at, 0.5) / TIME_CONSTANT_S)
+    return _decayed(meter, now) / TIME_CONSTANT_S / covered
 
 
 def _decayed(meter, now):
-    return meter.value * math.exp(-(now - meter.at) / SPAN_S)
+    return meter.value * math.exp(
+        -(now - meter.updated_at) / TIME_CONSTANT_S)
--- a/crocuskeel/core/dispatch/queue.py
+++ b/crocuskeel/core/dispatch/queue.py
@@ -1,9 +1,9 @@
-"""Waiting work of a cell: by class, by workspace, by due time."""
+"""Waiting attempts of a cell: by class, by workspace, by due time."""
 
 from crocuskeel.core.dispatch import state
 
-__all__ = ["add", "entry", "is_waiting", "make_late", "newest", "oldest",
-           "purge", "remove", "size"]
+__all__ = ["add", "entry", "is_waiting", "mark_late", "newest_key",
+           "oldest_key", "purge", "remove", "size"]
 
 
 def size(cell):
@@ -22,25 +22,25 @@
 
 
 def add(cell, waiting, suspect=False):
-    """Let an attempt wait; a suspect waits apart for an empty engine."""
+    """Queue an attempt; a suspect is queued apart for an empty engine."""
     key = waiting.key
     cell.deadlines.add((waiting.deadline, waiting.seq, key))
     if suspect:
         cell.suspects[key] = waiting
         return
     cell.waiting[key] = waiting
-    group = _class_of(cell, waiting.ask)
-    flow = _flow_of(group, waiting.ask)
-    group.waiting += 1
-    group.work += waiting.cost
-    flow.work += waiting.cost
-    _line(flow, waiting).add(_place(waiting))
+    class_queue = _class_queue(cell, waiting.ask)
+    flow = _flow(class_queue, waiting.ask)
+    class_queue.waiting += 1
+    class_queue.queued_cost += waiting.cost
+    flow.queued_cost += waiting.cost
+    _entries(flow, waiting).add(_sort_entry(waiting))
     if not waiting.late:
-        cell.dues.add(_place(waiting))
+        cell.due_times.add(_sort_entry(waiting))
 
 
 def remove(cell, key):
-    """Take an attempt out; returns it, None if it does not wait."""
+    """Remove an attempt and return it; None if it does not wait."""
     waiting = cell.suspects.pop(key, None)
     if waiting is not None:
         cell.deadlines.remove((waiting.deadline, waiting.seq, key))
@@ -49,81 +49,84 @@
     if waiting is None:
         return None
     cell.deadlines.remove((waiting.deadline, waiting.seq, key))
-    group = cell.classes[waiting.ask.class_name]
-    flow = group.flows[waiting.ask.workspace]
-    group.waiting -= 1
-    group.work -= waiting.cost
-    flow.work -= waiting.cost
-    _line(flow, waiting).remove(_place(waiting))
+    class_queue = cell.classes[waiting.ask.class_name]
+    flow = class_queue.flows[waiting.ask.workspace]
+    class_queue.waiting -= 1
+    class_queue.queued_cost -= waiting.cost
+    flow.queued_cost -= waiting.cost
+    _entries(flow, waiting).remove(_sort_entry(waiting))
     if not waiting.late:
-        cell.dues.remove(_place(waiting))
+        cell.due_times.remove(_sort_entry(waiting))
     return waiting
 
 
-def make_late(cell, now):
-    """Move what missed its target to the late lines; yield each."""
-    while cell.dues and cell.dues[0][0] < now:
-        key = cell.dues.pop(0)[2]
+def mark_late(cell, now):
+    """Mark attempts that missed their target as late; yield each."""
+    while cell.due_times and cell.due_times[0][0] < now:
+        key = cell.due_times.pop(0)[2]
         waiting = cell.waiting[key]
-        group = cell.classes[waiting.ask.class_name]
-        flow = group.flows[waiting.ask.workspace]
-        flow.fresh.remove(_place(waiting))
+        class_queue = cell.classes[waiting.ask.class_name]
+        flow = class_queue.flows[waiting.ask.workspace]
+        flow.on_time.remove(_sort_entry(waiting))
         waiting.late = True
-        flow.late.add(_place(waiting))
+        flow.late.add(_sort_entry(waiting))
         yield waiting
 
 
-def oldest(flow):
-    """Return the key of the flow's longest-waiting attempt."""
-    line = flow.late or flow.fresh
-    return line[0][2]
+def oldest_key(flow):
+    """Return the key of the flow's attempt with the earliest due time."""
+    entries = flow.late or flow.on_time
+    return entries[0][2]
 
 
-def newest(flow):
-    """Return the key of the flow's latest attempt."""
-    line = flow.fresh or flow.late
-    return line[-1][2]
+def newest_key(flow):
+    """Return the key of the flow's attempt with the latest due time."""
+    entries = flow.on_time or flow.late
+    return entries[-1][2]
 
 
 def purge(cell):
-    """Forget idle flows that are not ahead of their share."""
-    for group in cell.classes.values():
-        idle = [name for name, flow in group.flows.items()
-                if not flow.fresh and not flow.late
-                and flow.virtual <= group.clock]
+    """Delete idle flows that are not ahead of their share."""
+    for class_queue in cell.classes.values():
+        idle = [name for name, flow in class_queue.flows.items()
+                if not flow.on_time and not flow.late
+                and flow.virtual_time <= class_queue.virtual_clock]
         for name in idle:
-            del group.flows[name]
+            del class_queue.flows[name]
 
 
-def _place(waiting):
+def _sort_entry(waiting):
     return waiting.due, waiting.seq, waiting.key
 
 
-def _line(flow, waiting):
-    return flow.late if waiting.late else flow.fresh
+def _entries(flow, waiting):
+    return flow.late if waiting.late else flow.on_time
 
 
-def _class_of(cell, ask):
-    group = cell.classes.get(ask.class_name)
-    if group is None:
-        group = state.ClassQueue(ask.class_name, ask.tier, ask.floor)
-        cell.classes[ask.class_name] = group
-    if not group.waiting:
-        # An idle class earns no claim on the past: it starts level with
-        # the others, else it would crowd them out when it comes back.
-        clock = cell.clocks.get(ask.tier, 0.0)
-        group.virtual = max(group.virtual, clock)
-        group.tier = ask.tier
-    group.floor = ask.floor
-    return group
+def _class_queue(cell, request):
+    class_queue = cell.classes.get(request.class_name)
+    if class_queue is None:
+        class_queue = state.ClassQueue(
+            request.class_name, request.tier, request.floor)
+        cell.classes[request.class_name] = class_queue
+    if not class_queue.waiting:
+        # An idle class accumulates no claim to past grants: it restarts
+        # level with the others, otherwise it would crowd them out on its
+        # return.
+        clock = cell.virtual_clocks.get(request.tier, 0.0)
+        class_queue.virtual_time = max(class_queue.virtual_time, clock)
+        class_queue.tier = request.tier
+    class_queue.floor = request.floor
+    return class_queue
 
 
-def _flow_of(group, ask):
-    flow = group.flows.get(ask.workspace)
+def _flow(class_queue, request):
+    flow = class_queue.flows.get(request.workspace)
     if flow is None:
-        flow = state.Flow(ask.workspace, ask.weight)
-        group.flows[ask.workspace] = flow
-    if not flow.fresh and not flow.late:
-        flow.virtual = max(flow.virtual, group.clock)
-    flow.weight = max(ask.weight, 1e-6)
+        flow = state.Flow(request.workspace, request.weight)
+        class_queue.flows[request.workspace] = flow
+    if not flow.on_time and not flow.late:
+        flow.virtual_time = max(
+            flow.virtual_time, class_queue.virtual_clock)
+    flow.weight = max(request.weight, 1e-6)
     return flow
--- a/crocuskeel/core/dispatch/shedding.py
+++ b/crocuskeel/core/dispatch/shedding.py
@@ -1,9 +1,9 @@
-"""Giving waiting work up: who, when, and when to come back.
+"""Load shedding: which attempts are refused, when, and when to retry.
 
 One rule protects the tiers. Before an attempt of a tier is refused, all
-lower tiers in the cell are cut down to their floors' seats: what is
-beyond them would start only after the attempt that is given up, so it
-has no hope either. A refusal is final and goes out at once.
+lower tiers in the cell are cut down to the protected queue sizes of their
+floors: what exceeds these would start only after the refused attempt, so
+it could not start in time either. A refusal is final and sent at once.
 """
 
 from crocuskeel.core.dispatch import choice
@@ -15,187 +15,202 @@
 from crocuskeel.core import problems
 from crocuskeel.core import quarantine
 
-__all__ = ["cut_below", "expire", "is_hopeless", "is_shut", "make_room",
-           "refuse", "retry_after", "turn_away"]
+__all__ = ["apply_queue_limits", "must_refuse", "refuse", "refuse_arrival",
+           "refuse_expired", "retry_after", "shed_lower_tiers",
+           "will_miss_deadline"]
 
 MIN_RETRY_S = 0.5
 MAX_RETRY_S = 120.0
-# After a refusal, lower tiers stay cut down to their seats this long.
-SHUT_S = 1.0
+# After a refusal, lower tiers are held to their protected queue sizes for
+# this long.
+RESTRICTED_S = 1.0
 
 
 def retry_after(daemon, cell, tier, now):
-    """Return the seconds until a newcomer of the tier should start.
+    """Return the seconds until a new attempt of the tier should start.
 
-    The work that goes before it over the measured rate of grants, with
-    jitter, so that those refused together don't all come back together.
+    This is the number of attempts that go before it, divided by the
+    measured completion rate, with jitter, so that callers refused together
+    don't all retry together.
     """
-    ahead = 1 + sum(group.waiting for group in cell.classes.values()
-                    if group.tier <= tier)
-    rate = meters.rate(cell.drain, now)
+    ahead = 1 + sum(class_queue.waiting
+                    for class_queue in cell.classes.values()
+                    if class_queue.tier <= tier)
+    rate = meters.rate(cell.completions, now)
     span = ahead / rate if rate > 0.0 else MAX_RETRY_S
     span *= daemon.rng.uniform(1.0, 1.25)
     return min(max(span, MIN_RETRY_S), MAX_RETRY_S)
 
 
 def refuse(daemon, cell, key, reason, now):
-    """Give a waiting attempt up; return effects, lower tiers' first."""
+    """Refuse a waiting attempt; return effects, lower tiers' first."""
     waiting = queue.entry(cell, key)
     if waiting is None:
         return []
     is_suspect = key in cell.suspects
     tier = waiting.ask.tier
-    out = [] if is_suspect else cut_below(daemon, cell, tier, now)
+    out = [] if is_suspect else shed_lower_tiers(daemon, cell, tier, now)
     if not is_suspect:
         cell.refused_at[tier] = now
-    return out + _give_up(daemon, cell, key, reason, now)
+    return out + _remove_and_refuse(daemon, cell, key, reason, now)
 
 
-def _give_up(daemon, cell, key, reason, now):
+def _remove_and_refuse(daemon, cell, key, reason, now):
     waiting = queue.remove(cell, key)
-    return turn_away(daemon, cell, waiting.door, waiting.ask, reason, now,
-                     now - waiting.since)
+    return refuse_arrival(
+        daemon, cell, waiting.entry_host, waiting.ask, reason, now,
+        now - waiting.enqueued_at)
 
 
-def turn_away(daemon, cell, door, ask, reason, now, waited_s=0.0):
-    """Refuse an attempt that does not wait (any more); return effects."""
+def refuse_arrival(daemon, cell, entry_host, request, reason, now,
+                   waited_s=0.0):
+    """Refuse an attempt that is not in a queue; return effects."""
     span = 0.0
     if reason != problems.Reason.QUARANTINED:
-        span = retry_after(daemon, cell, ask.tier, now)
+        span = retry_after(daemon, cell, request.tier, now)
     refusal = messages.Refusal(
-        ask.rid, ask.attempt, cell.name, str(reason), span)
-    record = effects.Record("shed", ask.rid, (
+        request.rid, request.attempt, cell.name, str(reason), span)
+    record = effects.Record("shed", request.rid, (
         ("cell", cell.name), ("reason", str(reason)),
-        ("tier", ask.tier), ("class", ask.class_name),
-        ("workspace", ask.workspace), ("waited_s", round(waited_s, 4)),
-        ("suspect", bool(quarantine.verdict(daemon, ask.fingerprint))),
+        ("tier", request.tier), ("class", request.class_name),
+        ("workspace", request.workspace), ("waited_s", round(waited_s, 4)),
+        ("suspect",
+         bool(quarantine.verdict(daemon, request.fingerprint))),
         ("retry_after_s", round(span, 3))))
-    return [record, effects.Send(door, refusal),
-            effects.Measure(f"dispatch.shed.tier{ask.tier}", 1)]
+    return [record, effects.Send(entry_host, refusal),
+            effects.Measure(f"dispatch.shed.tier{request.tier}", 1)]
 
 
-def cut_below(daemon, cell, tier, now):
-    """Cut every lower tier down to its floors' seats."""
+def shed_lower_tiers(daemon, cell, tier, now):
+    """Cut every lower tier down to its protected queue sizes."""
     out = []
     slots = choice.most_slots(daemon, cell)
     for key in [key for key, waiting in cell.suspects.items()
                 if waiting.ask.tier > tier]:
-        out += _give_up(daemon, cell, key, problems.Reason.OVERLOAD, now)
-    for group in _lower(cell, tier):
-        while group.waiting > floors.seats(group, slots):
-            key = _worst_of(group)
-            out += _give_up(
+        out += _remove_and_refuse(
+            daemon, cell, key, problems.Reason.OVERLOAD, now)
+    for class_queue in _lower_tiers(cell, tier):
+        while class_queue.waiting > floors.seats(class_queue, slots):
+            key = _newest_of_largest_flow(class_queue)
+            out += _remove_and_refuse(
                 daemon, cell, key, problems.Reason.OVERLOAD, now)
     return out
 
 
-def _lower(cell, tier):
-    groups = [group for group in cell.classes.values()
-              if group.tier > tier and group.waiting]
-    return sorted(groups, key=lambda g: (-g.tier, g.name))
+def _lower_tiers(cell, tier):
+    class_queues = [class_queue for class_queue in cell.classes.values()
+                    if class_queue.tier > tier and class_queue.waiting]
+    return sorted(class_queues, key=lambda q: (-q.tier, q.name))
 
 
-def _worst_of(group):
+def _newest_of_largest_flow(class_queue):
     flow = max(
-        (flow for flow in group.flows.values() if flow.fresh or flow.late),
-        key=lambda f: (f.work / f.weight, f.workspace))
-    return queue.newest(flow)
+        (flow for flow in class_queue.flows.values()
+         if flow.on_time or flow.late),
+        key=lambda f: (f.queued_cost / f.weight, f.workspace))
+    return queue.newest_key(flow)
 
 
-def make_room(daemon, cell, newcomer, most, now):
-    """Refuse what is over the queue's bounds after an arrival."""
+def apply_queue_limits(daemon, cell, newcomer, max_size, now):
+    """Refuse what exceeds the queue limits after an arrival."""
     out = []
-    while queue.size(cell) > most:
+    while queue.size(cell) > max_size:
         out += _shed_one(daemon, cell, newcomer, now)
-    group = cell.classes.get(newcomer.ask.class_name)
-    flow = group.flows.get(newcomer.ask.workspace) if group else None
+    class_queue = cell.classes.get(newcomer.ask.class_name)
+    flow = (class_queue.flows.get(newcomer.ask.workspace) if class_queue
+            else None)
     if flow is None:
         return out
-    if len(flow.fresh) + len(flow.late) > newcomer.ask.queue_limit:
-        # A workspace over its own limit may not push out more than the
-        # one place it takes: one is shed, of a lower tier if there is.
-        key = _victim(daemon, cell, newcomer.ask.tier)
-        key = key or queue.newest(flow)
+    if len(flow.on_time) + len(flow.late) > newcomer.ask.queue_limit:
+        # A workspace over its own limit may displace no more than the
+        # one entry it adds: one attempt is shed, of a lower tier if
+        # there is one.
+        key = _select_victim(daemon, cell, newcomer.ask.tier)
+        key = key or queue.newest_key(flow)
         out += refuse(
             daemon, cell, key, problems.Reason.QUEUE_FULL, now)
     return out
 
 
 def _shed_one(daemon, cell, newcomer, now):
-    key = _victim(daemon, cell, 0) or newcomer.key
+    key = _select_victim(daemon, cell, 0) or newcomer.key
     return refuse(daemon, cell, key, problems.Reason.QUEUE_FULL, now)
 
 
-def _victim(daemon, cell, tier):
+def _select_victim(daemon, cell, tier):
     """Return the key to shed of the lowest tier below ``tier``.
 
-    Only work beyond the floors' seats counts, of the class that is most
-    over its fair share; "" if there is none.
+    Only attempts beyond the protected queue sizes are considered, of the
+    class that most exceeds its fair share; None if there are none.
     """
     slots = choice.most_slots(daemon, cell)
-    groups = [group for group in _lower(cell, tier)
-              if group.waiting > floors.seats(group, slots)]
-    if not groups:
+    class_queues = [
+        class_queue for class_queue in _lower_tiers(cell, tier)
+        if class_queue.waiting > floors.seats(class_queue, slots)]
+    if not class_queues:
         return None
-    lowest = max(group.tier for group in groups)
+    lowest = max(class_queue.tier for class_queue in class_queues)
     worst = max(
-        (group for group in groups if group.tier == lowest),
-        key=lambda g: (g.work / max(g.floor, floors.MIN_FLOOR), g.name))
-    return _worst_of(worst)
+        (class_queue for class_queue in class_queues
+         if class_queue.tier == lowest),
+        key=lambda q: (
+            q.queued_cost / max(q.floor, floors.MIN_FLOOR), q.name))
+    return _newest_of_largest_flow(worst)
 
 
-def expire(daemon, cell, now):
-    """Refuse all whose deadline has come, lowest tier first."""
-    due = []
+def refuse_expired(daemon, cell, now):
+    """Refuse all whose deadline has passed, lowest tier first."""
+    expired = []
     for deadline, _seq, key in cell.deadlines:
         if deadline > now:
             break
-        due.append(key)
-    due.sort(key=lambda key: -queue.entry(cell, key).ask.tier)
+        expired.append(key)
+    expired.sort(key=lambda key: -queue.entry(cell, key).ask.tier)
     out = []
-    for key in due:
+    for key in expired:
         out += refuse(daemon, cell, key, problems.Reason.DEADLINE, now)
     return out
 
 
-def is_hopeless(daemon, cell, waiting, now):
+def will_miss_deadline(daemon, cell, waiting, now):
     """Tell whether an attempt past its target can't start in time.
 
-    Judged by how many of its class are past theirs, against the rate
-    at which these could be granted if nothing more came in its tier.
+    Compares the number of late attempts of its class with the rate at
+    which these could be granted if nothing more arrived in its tier.
     """
-    group = cell.classes[waiting.ask.class_name]
-    rate = _late_rate(cell, group, now)
+    class_queue = cell.classes[waiting.ask.class_name]
+    rate = _late_grant_rate(cell, class_queue, now)
     if rate <= 0.0:
         return False
-    late = sum(len(flow.late) for flow in group.flows.values())
+    late = sum(len(flow.late) for flow in class_queue.flows.values())
     return now + late / rate > waiting.deadline
 
 
-def _late_rate(cell, group, now):
-    ends = meters.rate(cell.drain, now)
-    above = sum(meters.rate(meter, now)
-                for tier, meter in cell.granted.items()
-                if tier < group.tier)
-    share = max(group.floor, floors.MIN_FLOOR)
-    rivals = sum(max(other.floor, floors.MIN_FLOOR)
-                 for other in cell.classes.values()
-                 if other.tier == group.tier and other.waiting)
-    spare = (ends - above) * share / max(rivals, share)
-    return max(spare, share * ends)
+def _late_grant_rate(cell, class_queue, now):
+    completion_rate = meters.rate(cell.completions, now)
+    higher_tiers_rate = sum(meters.rate(meter, now)
+                            for tier, meter in cell.grants_by_tier.items()
+                            if tier < class_queue.tier)
+    share = max(class_queue.floor, floors.MIN_FLOOR)
+    competing = sum(max(other.floor, floors.MIN_FLOOR)
+                    for other in cell.classes.values()
+                    if other.tier == class_queue.tier and other.waiting)
+    available = ((completion_rate - higher_tiers_rate) * share
+                 / max(competing, share))
+    return max(available, share * completion_rate)
 
 
-def is_shut(daemon, cell, ask, now):
-    """Tell whether a newcomer would start only after work just refused.
+def must_refuse(daemon, cell, request, now):
+    """Tell whether an arrival would start only after work just refused.
 
-    True while a higher tier was refused a moment ago and the class's
-    floor seats are taken.
+    True if a higher tier was refused a moment ago and the class's
+    protected queue is full.
     """
-    recent = any(tier < ask.tier and now - at < SHUT_S
-                 for tier, at in cell.refused_at.items())
+    recent = any(tier < request.tier and now - refused_at < RESTRICTED_S
+                 for tier, refused_at in cell.refused_at.items())
     if not recent:
         return False
-    group = cell.classes.get(ask.class_name)
+    class_queue = cell.classes.get(request.class_name)
     slots = choice.most_slots(daemon, cell)
-    return group is not None and (
-        group.waiting >= floors.seats(group, slots))
+    return class_queue is not None and (
+        class_queue.waiting >= floors.seats(class_queue, slots))
--- a/crocuskeel/core/dispatch/state.py
+++ b/crocuskeel/core/dispatch/state.py
@@ -1,4 +1,4 @@
-"""State of the dispatcher: cells, queues, slots and learned engines."""
+"""State of the dispatcher: cells, queues, slots and engine statistics."""
 
 import collections
 import dataclasses
@@ -11,28 +11,29 @@
 from crocuskeel.core import messages
 
 __all__ = ["Cell", "ClassQueue", "DispatchState", "EngineView", "Flow",
-           "Key", "Slot", "Waiting", "keep_prefix", "new_cell", "new_state"]
+           "Key", "Slot", "WaitingAttempt", "add_prefix", "new_cell",
+           "new_state"]
 
 Key = tuple[str, int]
 MAX_PREFIXES = 4096
 
 
-def _dict():
+def _dict_field():
     return dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(slots=True)
-class Waiting:
+class WaitingAttempt:
     """One waiting attempt.
 
-    ``due`` is the latest start that meets the target, ``deadline`` the
-    latest start at all; both on this host's clock. ``cost`` is its
-    expected work.
+    ``entry_host`` is the host that enqueued it. ``due`` is the latest
+    start that meets the target, ``deadline`` the latest start at all; both
+    are on this host's clock. ``cost`` is its expected cost.
     """
 
     ask: messages.Enqueue
-    door: str
-    since: float
+    entry_host: str
+    enqueued_at: float
     due: float
     deadline: float
     cost: float
@@ -47,92 +48,96 @@
 
 @dataclasses.dataclass(slots=True)
 class Slot:
-    """One granted attempt; ``heard_at`` is the last news of it.
+    """One granted attempt; ``updated_at`` is when it was last reported.
 
-    ``first_by_s`` is the time left for the first token at the grant,
-    ``boot_id`` the engine's boot id as known then.
+    ``ttft_budget_s`` is the time that was left for the first token at the
+    grant, ``batch_size`` the number of attempts on the engine then, this
+    one included, and ``boot_id`` the engine's boot id as known then.
     """
 
-    door: str
+    entry_host: str
     engine: str
     class_name: str
     workspace: str
     tier: int
     fingerprint: str
     granted_at: float
-    heard_at: float
+    updated_at: float
     tokens: int = 0
     cost: float = 0.0
-    alone: bool = False
-    hit: bool = False
+    exclusive: bool = False
+    cache_hit: bool = False
     prefix: int = 0
-    first_by_s: float = 0.0
-    batch: int = 1
+    ttft_budget_s: float = 0.0
+    batch_size: int = 1
     boot_id: str = ""
 
 
 @dataclasses.dataclass(slots=True)
 class Flow:
-    """Waiting work of one workspace in one class.
+    """Waiting attempts of one workspace in one class.
 
-    ``fresh`` can still meet the target; ``late`` has missed it. Both
-    hold ``(due, seq, key)``. ``work`` is the expected cost waiting.
+    Those in ``on_time`` can still meet the target, those in ``late`` have
+    missed it. Both hold ``(due, seq, key)``. ``queued_cost`` is the
+    expected cost of all of them.
     """
 
     workspace: str
     weight: float
-    virtual: float = 0.0
-    work: float = 0.0
-    fresh: SortedList = dataclasses.field(default_factory=SortedList)
+    virtual_time: float = 0.0
+    queued_cost: float = 0.0
+    on_time: SortedList = dataclasses.field(default_factory=SortedList)
     late: SortedList = dataclasses.field(default_factory=SortedList)
 
 
 @dataclasses.dataclass(slots=True)
 class ClassQueue:
-    """Waiting work of one class in a cell.
+    """Waiting attempts of one class in a cell.
 
-    ``credit`` is the floor's deficit counter in grants.
+    ``credit`` is the floor's deficit counter in grants. ``waiting`` is the
+    number of attempts.
     """
 
     name: str
     tier: int
     floor: float
-    virtual: float = 0.0
+    virtual_time: float = 0.0
     credit: float = 0.0
     waiting: int = 0
-    work: float = 0.0
-    clock: float = 0.0
-    flows: dict[str, Flow] = _dict()
+    queued_cost: float = 0.0
+    virtual_clock: float = 0.0
+    flows: dict[str, Flow] = _dict_field()
 
 
 @dataclasses.dataclass(slots=True)
 class EngineView:
     """What is learned of one backend server.
 
-    ``pace`` is the mean time between tokens, or of a whole call where
-    there are no tokens, ``spread`` its mean deviation; ``crowd`` the
-    mean number of attempts at the time; ``ttft`` the time to the first
-    token; 0 while unknown. ``limit`` is the learned concurrency limit,
-    ``most`` its upper bound, ``told`` the slots the engine reports.
+    ``unit_latency`` is the mean time between tokens, or of a whole call
+    where there are no tokens, and ``unit_latency_dev`` its mean deviation.
+    ``mean_concurrency`` is the mean number of attempts at the time,
+    ``ttft`` the time to the first token. These are 0 while unknown.
+    ``limit`` is the learned concurrency limit, ``max_limit`` its upper
+    bound, ``reported_slots`` the slots that the engine reports.
     """
 
     name: str
     limit: float
-    most: int
-    pace: float = 0.0
-    spread: float = 0.0
-    crowd: float = 0.0
+    max_limit: int
+    unit_latency: float = 0.0
+    unit_latency_dev: float = 0.0
+    mean_concurrency: float = 0.0
     ttft: float = 0.0
-    ttft_spread: float = 0.0
+    ttft_dev: float = 0.0
     samples: int = 0
-    cut_at: float = 0.0
+    reduced_at: float = 0.0
     failures: int = 0
     off_until: float = 0.0
-    eased: int = 0
+    slow_backoffs: int = 0
     probing: bool = False
     boot_id: str = ""
-    reported: int = -1
-    told: int = 0
+    reported_load: int = -1
+    reported_slots: int = 0
     missed_reports: int = 0
     prefixes: collections.OrderedDict = dataclasses.field(
         default_factory=collections.OrderedDict)
@@ -142,63 +147,65 @@
 class Cell:
     """One cell that this host dispatches.
 
-    ``unheard`` are hosts whose running work is not yet known; until
-    ``settle_until`` only what is surely free is granted. ``lost_at`` is
-    when another host became its dispatcher, None while it is ours.
-    ``top_held`` counts the top tier's slots, ``headroom`` the learned
-    slots kept free for it, as a multiple of the root of ``top_held``.
+    ``unreported_hosts`` are hosts whose running attempts are not yet
+    known; until ``settle_until`` only slots that are certainly free are
+    granted. ``lost_at`` is when another host became the cell's dispatcher,
+    None while it is this host. ``top_tier_running`` counts the top tier's
+    slots; ``headroom_factor`` times its square root is the number of slots
+    kept free for that tier.
     """
 
     name: str
     service: str
     settle_until: float
-    unheard: set[str]
+    unreported_hosts: set[str]
     lost_at: float | None = None
-    waiting: dict[Key, Waiting] = _dict()
-    suspects: dict[Key, Waiting] = _dict()
-    running: dict[Key, Slot] = _dict()
-    by_engine: dict[str, set[Key]] = _dict()
-    in_flight: collections.Counter = dataclasses.field(
+    waiting: dict[Key, WaitingAttempt] = _dict_field()
+    suspects: dict[Key, WaitingAttempt] = _dict_field()
+    running: dict[Key, Slot] = _dict_field()
+    by_engine: dict[str, set[Key]] = _dict_field()
+    running_by_fingerprint: collections.Counter = dataclasses.field(
         default_factory=collections.Counter)
-    classes: dict[str, ClassQueue] = _dict()
-    dues: SortedList = dataclasses.field(default_factory=SortedList)
+    classes: dict[str, ClassQueue] = _dict_field()
+    due_times: SortedList = dataclasses.field(default_factory=SortedList)
     deadlines: SortedList = dataclasses.field(default_factory=SortedList)
-    clocks: dict[int, float] = _dict()
-    refused_at: dict[int, float] = _dict()
-    reserved: dict[str, Key | None] = _dict()
-    drain: meters.Meter = dataclasses.field(
+    virtual_clocks: dict[int, float] = _dict_field()
+    refused_at: dict[int, float] = _dict_field()
+    reserved: dict[str, Key | None] = _dict_field()
+    completions: meters.Meter = dataclasses.field(
         default_factory=meters.new_meter)
-    granted: dict[int, meters.Meter] = _dict()
-    asked_at: dict[str, float] = _dict()
-    targets: dict[str, float] = _dict()
+    grants_by_tier: dict[int, meters.Meter] = _dict_field()
+    state_requested_at: dict[str, float] = _dict_field()
+    targets: dict[str, float] = _dict_field()
     seq: int = 0
-    top_held: int = 0
-    headroom: float = 2.0
+    top_tier_running: int = 0
+    headroom_factor: float = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class DispatchState:
     """All cells of this host and what is learned of the engines.
 
-    ``view`` is the membership and grouping that ``cells`` was last
-    checked against, ``generation`` the settings that bound the engines'
-    slots. ``proven`` are fingerprints that lately finished.
+    ``topology`` holds the members and cells that ``cells`` was last
+    checked against, ``generation`` the settings generation that bounds the
+    engines' slots. ``known_good`` are fingerprints of requests that
+    finished recently.
     """
 
-    cells: dict[str, Cell] = _dict()
-    engines: dict[str, EngineView] = _dict()
+    cells: dict[str, Cell] = _dict_field()
+    engines: dict[str, EngineView] = _dict_field()
     lengths: estimates.Estimates = dataclasses.field(
         default_factory=estimates.new_estimates)
-    proven: collections.OrderedDict = dataclasses.field(
+    known_good: collections.OrderedDict = dataclasses.field(
         default_factory=collections.OrderedDict)
     hit_ttft: float = 0.0
     miss_ttft: float = 0.0
-    view: typing.Any = None
+    topology: typing.Any = None
     generation: int = 0
 
 
-def keep_prefix(view, prefix):
-    """Note that an engine should have a prompt's prefix cached."""
+def add_prefix(view, prefix):
+    """Record that an engine should have a prompt's prefix cached."""
     view.prefixes[prefix] = True
     view.prefixes.move_to_end(prefix)
     if len(view.prefixes) > MAX_PREFIXES:
@@ -210,6 +217,6 @@
     return DispatchState()
 
 
-def new_cell(name, service, settle_until, unheard):
+def new_cell(name, service, settle_until, unreported_hosts):
     """Return an empty cell; see :class:`Cell` for the arguments."""
-    return Cell(name, service, settle_until, set(unheard))
+    return Cell(name, service, settle_until, set(unreported_hosts))
--- a/crocuskeel/core/quarantine/incidents.py
+++ b/crocuskeel/core/quarantine/incidents.py
@@ -1,31 +1,36 @@
-"""Judging losses of attempts: crash or broken connection, and by whom.
-
-All that ran on a server when an attempt on it was lost are suspects at
-once. A load report with another boot id, or none at all for a while,
-shows a crash; one with the same boot id shows that only a connection
-broke. A suspect that crashes a server it had to itself, or the only one
-that was on two crashed servers, is quarantined.
+"""Deciding whether lost attempts mean a crash, and which request caused it.
+
+All requests that ran on a server when an attempt on it was lost become
+suspects at once. A load report with a new boot id, or no report for a
+while, shows a crash. A report with the same boot id shows that only a
+connection broke. A suspect is quarantined if it crashes a server that it
+had to itself, or if it is the only request that ran on two crashed
+servers.
 """
 
 from crocuskeel.core.quarantine import state
 
-__all__ = ["engine_seen", "finished", "is_open", "lost", "overdue"]
+__all__ = ["attempt_done", "attempt_lost", "has_undecided_loss",
+           "judge_overdue", "load_reported"]
 
-JOIN_S = 3.0
-# A load report lags: one this long after the loss was made after it.
+JOIN_WINDOW_S = 3.0
+# Load reports are delayed. One that arrives at least this long after the
+# loss was made after the loss.
 REPORT_LAG_S = 2.0
-SILENCE_S = 4.0
+REPORT_TIMEOUT_S = 4.0
 
 
-def lost(daemon, engine, boot_id, fingerprints, alone, now):
-    """Take note of an attempt lost on a server; return effects.
+def attempt_lost(daemon, engine, boot_id, fingerprints, exclusive, now):
+    """Record an attempt lost on a server; return effects.
 
-    ``fingerprints`` are all that ran there with it, its own too;
-    ``alone`` is its own if it had the server to itself, else "".
+    ``fingerprints`` are those of all attempts that ran there, the lost
+    one included. ``exclusive`` is the lost attempt's fingerprint if it had
+    the server to itself, else "".
     """
     incident = _open_incident(daemon, engine, boot_id, now)
-    incident.fingerprints.update(one for one in fingerprints if one)
-    incident.alone = alone or incident.alone
+    incident.fingerprints.update(
+        fingerprint for fingerprint in fingerprints if fingerprint)
+    incident.exclusive = exclusive or incident.exclusive
     return state.announce(
         daemon, engine, state.Verdict.SUSPECT, fingerprints, now)
 
@@ -42,20 +47,20 @@
 def _joins(incident, boot_id, now):
     """Tell whether a loss belongs to a known incident of its server.
 
-    A server's boot crashes once, so a late loss of the same boot is of
-    the same crash; one of a later boot is another crash, however soon
-    after, and must count as such.
+    A server crashes at most once per boot, so a late loss of the same
+    boot belongs to the same crash. A loss of a later boot is another
+    crash, however soon after, and must be counted as such.
     """
     if boot_id and incident.boot_id and boot_id != incident.boot_id:
         return False
     if incident.crashed:
         return bool(boot_id)
-    return (incident.crashed is None and not incident.alone
-            and now - incident.at <= JOIN_S)
+    return (incident.crashed is None and not incident.exclusive
+            and now - incident.opened_at <= JOIN_WINDOW_S)
 
 
-def finished(daemon, engine, fingerprint, now):
-    """Take note of a whole answer; a suspect is cleared by it."""
+def attempt_done(daemon, engine, fingerprint, now):
+    """Clear a suspect whose answer was complete; return effects."""
     if not state.verdict(daemon, fingerprint):
         return []
     for incident in daemon.quarantine.incidents:
@@ -64,30 +69,30 @@
         daemon, engine, state.Verdict.CLEARED, (fingerprint,), now)
 
 
-def engine_seen(daemon, engine, boot_id, now):
-    """Judge open incidents by a load report of the server."""
+def load_reported(daemon, engine, boot_id, now):
+    """Decide open incidents by a load report of the server."""
     out = []
     for incident in _undecided(daemon):
         if incident.engine != engine:
             continue
         if boot_id != incident.boot_id and incident.boot_id:
             out += _crashed(daemon, incident, now)
-        elif now - incident.at >= REPORT_LAG_S:
+        elif now - incident.opened_at >= REPORT_LAG_S:
             out += _not_crashed(daemon, incident, now)
     return out
 
 
-def overdue(daemon, now):
-    """Judge incidents whose server has sent no report since."""
+def judge_overdue(daemon, now):
+    """Treat a server that sent no report since its loss as crashed."""
     out = []
     for incident in _undecided(daemon):
-        if now - incident.at >= SILENCE_S:
+        if now - incident.opened_at >= REPORT_TIMEOUT_S:
             out += _crashed(daemon, incident, now)
     return out
 
 
-def is_open(daemon, engine):
-    """Tell whether a loss on the server is not judged yet."""
+def has_undecided_loss(daemon, engine):
+    """Tell whether the server has an incident that is not decided yet."""
     return any(incident.engine == engine
                for incident in _undecided(daemon))
 
@@ -99,28 +104,30 @@
 
 def _crashed(daemon, incident, now):
     incident.crashed = True
-    guilty = _guilty(daemon, incident)
-    if not guilty:
+    cause = _cause(daemon, incident)
+    if not cause:
         return []
     out = state.announce(
-        daemon, incident.engine, state.Verdict.QUARANTINED, (guilty,), now)
+        daemon, incident.engine, state.Verdict.QUARANTINED, (cause,), now)
     for known in daemon.quarantine.incidents:
-        if guilty in known.fingerprints:
-            others = known.fingerprints - {guilty}
-            known.fingerprints = {guilty}
+        if cause in known.fingerprints:
+            others = known.fingerprints - {cause}
+            known.fingerprints = {cause}
             out += _clear(daemon, known.engine, others, now)
     return out
 
 
-def _guilty(daemon, incident):
-    if incident.alone:
-        return incident.alone
-    # Copies of one request can be running on two servers before the
-    # first loss is heard of; then no third server is risked.
+def _cause(daemon, incident):
+    if incident.exclusive:
+        return incident.exclusive
+    # Copies of one request may be running on two servers before the first
+    # loss is reported. Then the common fingerprint is taken as the cause
+    # without risking a third server.
     crashes = [known for known in daemon.quarantine.incidents
                if known.crashed and known is not incident]
-    common = [one for one in incident.fingerprints
-              if any(one in known.fingerprints for known in crashes)]
+    common = [fingerprint for fingerprint in incident.fingerprints
+              if any(fingerprint in known.fingerprints
+                     for known in crashes)]
     return common[0] if len(common) == 1 else ""
 
 
@@ -135,6 +142,6 @@
     implicated = set()
     for incident in daemon.quarantine.incidents:
         implicated |= incident.fingerprints
-    innocent = fingerprints - implicated
+    unimplicated = fingerprints - implicated
     return state.announce(
-        daemon, engine, state.Verdict.CLEARED, innocent, now)
+        daemon, engine, state.Verdict.CLEARED, unimplicated, now)
--- a/crocuskeel/core/quarantine/state.py
+++ b/crocuskeel/core/quarantine/state.py
@@ -1,8 +1,8 @@
-"""What this host knows of requests that may crash backend servers.
+"""What this host knows about requests that may crash backend servers.
 
-A verdict is kept by the request's fingerprint for a span on this host's
-own clock, and told to all hosts: a caller sends its request again to
-any of them.
+A verdict on a request's fingerprint is kept for a time span on this
+host's own clock and broadcast to all hosts, since a caller may send its
+request again to any of them.
 """
 
 import collections
@@ -14,14 +14,14 @@
 from crocuskeel.core import messages
 
 __all__ = ["Incident", "QuarantineState", "Verdict", "announce", "handle",
-           "is_pending", "new_state", "note", "verdict"]
+           "must_wait", "new_state", "record_verdict", "verdict"]
 
-KEPT_S = 600.0
+VERDICT_TTL_S = 600.0
 MAX_VERDICTS = 4096
 
 
 class Verdict(enum.StrEnum):
-    """Words of :class:`messages.CrashSeen`; NONE is never sent."""
+    """Verdicts in :class:`messages.CrashSeen`; NONE is never sent."""
 
     NONE = ""
     SUSPECT = "suspect"
@@ -33,23 +33,23 @@
 class Incident:
     """Attempts lost at about the same time on one backend server.
 
-    ``boot_id`` is the server's before the loss; ``alone`` is the
-    fingerprint that had the server to itself, "" for none. ``crashed``
-    is None until a load report or time decides.
+    ``boot_id`` is the server's before the loss; ``exclusive`` is the
+    fingerprint that had the server to itself, "" for none. ``crashed`` is
+    None until a load report or a timeout decides it.
     """
 
     engine: str
-    at: float
+    opened_at: float
     boot_id: str
     fingerprints: set[str]
-    alone: str = ""
+    exclusive: str = ""
     crashed: bool | None = None
-    heard_ok: bool = False
+    reported_ok: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class QuarantineState:
-    """``verdicts`` maps a fingerprint to its verdict and its end."""
+    """``verdicts`` maps a fingerprint to its verdict and expiry time."""
 
     verdicts: collections.OrderedDict = dataclasses.field(
         default_factory=collections.OrderedDict)
@@ -68,22 +68,25 @@
     return str(found[0]) if found else ""
 
 
-def is_pending(daemon, fingerprint):
-    """Tell whether it must not run until a loss is judged.
+def must_wait(daemon, fingerprint):
+    """Tell whether a request must not run until a loss is decided.
 
-    After a loss alone, or with two losses against it, one more run
-    could be a third crash.
+    After a loss on a server that it had to itself, or after two losses
+    that implicate it, another run could cause a third crash.
     """
     known = [incident for incident in daemon.quarantine.incidents
              if fingerprint in incident.fingerprints
              and incident.crashed is not False]
-    undecided = [one for one in known if one.crashed is None]
-    alone = any(one.alone == fingerprint for one in undecided)
-    return alone or (len(known) > 1 and bool(undecided))
+    undecided = [incident for incident in known
+                 if incident.crashed is None]
+    exclusive = any(incident.exclusive == fingerprint
+                    for incident in undecided)
+    return exclusive or (len(known) > 1 and bool(undecided))
 
 
-def note(daemon, fingerprint, value, now, span_s=KEPT_S):
-    """Keep a verdict; return whether it changed anything."""
+def record_verdict(daemon, fingerprint, value, now,
+                   span_s=VERDICT_TTL_S):
+    """Record a verdict; return whether it changed anything."""
     verdicts = daemon.quarantine.verdicts
     known = verdicts.get(fingerprint, (Verdict.NONE, 0.0))[0]
     if value == Verdict.CLEARED:
@@ -92,16 +95,16 @@
         del verdicts[fingerprint]
         return True
     if known == Verdict.QUARANTINED and value == Verdict.SUSPECT:
-        # A late "suspect" of another host must not undo the verdict:
-        # the request would run, and crash a server, once more.
+        # A late "suspect" of another host must not replace the verdict:
+        # the request would run again and crash another server.
         return False
     verdicts[fingerprint] = (value, now + span_s)
     verdicts.move_to_end(fingerprint)
-    _bound(verdicts)
+    _limit_size(verdicts)
     return known != value
 
 
-def _bound(verdicts):
+def _limit_size(verdicts):
     while len(verdicts) > MAX_VERDICTS:
         suspects = (key for key, (value, _) in verdicts.items()
                     if value == Verdict.SUSPECT)
@@ -110,41 +113,44 @@
 
 
 def announce(daemon, engine, value, fingerprints, now):
-    """Keep a verdict on fingerprints and tell all hosts."""
+    """Record a verdict on fingerprints and broadcast what changed."""
     changed = tuple(sorted(
-        one for one in fingerprints if one and note(daemon, one, value, now)))
+        fingerprint for fingerprint in fingerprints
+        if fingerprint and record_verdict(daemon, fingerprint, value, now)))
     if not changed:
         return []
     out = [effects.Record(
-        str(value), "", (("engine", engine), ("fingerprint", one)))
-        for one in changed]
-    seen = messages.CrashSeen(engine, str(value), changed, KEPT_S)
-    return [*out, effects.Broadcast(seen),
+        str(value), "", (("engine", engine), ("fingerprint", fingerprint)))
+        for fingerprint in changed]
+    message = messages.CrashSeen(
+        engine, str(value), changed, VERDICT_TTL_S)
+    return [*out, effects.Broadcast(message),
             effects.Measure(f"quarantine.{value}", len(changed))]
 
 
 def handle(daemon, event, now):
-    """Reduce one event; return effects."""
+    """Handle one event; return effects."""
     match event:
-        case events.Received(message=messages.CrashSeen() as seen):
-            _heard(daemon, seen, now)
+        case events.Received(message=messages.CrashSeen() as message):
+            _verdict_received(daemon, message, now)
         case events.TimerFired():
             _expire(daemon.quarantine.verdicts, now)
     return []
 
 
-def _heard(daemon, seen, now):
-    if seen.verdict not in set(Verdict):
+def _verdict_received(daemon, message, now):
+    if message.verdict not in set(Verdict):
         return
-    value = Verdict(seen.verdict)
-    for fingerprint in seen.fingerprints:
-        note(daemon, fingerprint, value, now, min(seen.span_s, KEPT_S))
+    value = Verdict(message.verdict)
+    for fingerprint in message.fingerprints:
+        record_verdict(daemon, fingerprint, value, now,
+                       min(message.span_s, VERDICT_TTL_S))
 
 
 def _expire(verdicts, now):
-    # Ordered by the time of the last verdict, so the first are due.
+    # Ordered by the time of the last verdict, so the first expire first.
     while verdicts:
-        fingerprint, (_value, until) = next(iter(verdicts.items()))
-        if until > now:
+        fingerprint, (_value, expires_at) = next(iter(verdicts.items()))
+        if expires_at > now:
             return
         del verdicts[fingerprint]
--- a/tests/dispatch/support.py
+++ b/tests/dispatch/support.py
@@ -1,4 +1,4 @@
-"""A dispatcher with stand-in doors and engines on a clock of its own."""
+"""A dispatcher with simulated entry hosts, engines and clock."""
 
 import collections
 import dataclasses
@@ -12,36 +12,37 @@
 from crocuskeel.core import quarantine
 from crocuskeel.core import state
 
-__all__ = ["CELL", "Bench", "advance", "ask", "cell_of", "crash", "finish",
-           "new_bench", "receive", "report"]
+__all__ = ["CELL", "Harness", "advance", "cell_of", "crash_engine",
+           "end_attempt", "enqueue", "new_harness", "receive",
+           "report_loads"]
 
 SERVICE = "guide-llm"
 CELL = "guide-llm/0"
-ME = "entry-0"
+LOCAL_HOST = "entry-0"
 TICK = events.TimerFired(("dispatch", "tick"))
 
 
 @dataclasses.dataclass
-class Bench:
-    """A dispatcher and what its doors know.
+class Harness:
+    """A dispatcher and the state of its entry hosts.
 
-    By (rid, attempt): ``asked`` holds what was enqueued, ``running`` the
-    grants in use, ``refused`` the refusals. ``boots`` counts engines'
-    crashes.
+    By (rid, attempt), ``enqueued`` holds the enqueued attempts, ``running``
+    the grants in use and ``refused`` the refusals. ``crash_counts`` counts
+    the crashes of each engine.
     """
 
     daemon: state.Daemon
     engines: tuple
     now: float = 0.0
-    asked: dict = dataclasses.field(default_factory=dict)
+    enqueued: dict = dataclasses.field(default_factory=dict)
     running: dict = dataclasses.field(default_factory=dict)
     refused: dict = dataclasses.field(default_factory=dict)
-    boots: collections.Counter = dataclasses.field(
+    crash_counts: collections.Counter = dataclasses.field(
         default_factory=collections.Counter)
 
 
 def host_list(engines, at=1, leaving=()):
-    """Return the event of a host list with these engines."""
+    """Return a host list event with these engines."""
     listed = tuple(
         messages.Backend(name, SERVICE, f"http://{name}", f"domain-{index}",
                          leaving=name in leaving)
@@ -49,87 +50,87 @@
     return events.HostListSeen(at, (), listed)
 
 
-def new_bench(count=2, settled=True, limits=None):
+def new_harness(count=2, is_settled=True, limits=None):
     """Return a dispatcher of one cell with ``count`` engines."""
     identity = state.Identity(
-        "test", ME, "domain-0", "region", "127.0.0.1", 7000, 8000, 1)
+        "test", LOCAL_HOST, "domain-0", "region", "127.0.0.1", 7000, 8000, 1)
     daemon = factory.new_daemon(identity, limits)
     engines = tuple(f"engine-{index}" for index in range(count))
-    bench = Bench(daemon, engines)
-    deliver(bench, host_list(engines))
-    if settled:
-        receive(bench, messages.Reregister(CELL))
-        advance(bench, 1.0)
-    return bench
+    harness = Harness(daemon, engines)
+    deliver(harness, host_list(engines))
+    if is_settled:
+        receive(harness, messages.Reregister(CELL))
+        advance(harness, 1.0)
+    return harness
 
 
-def cell_of(bench):
+def cell_of(harness):
     """Return the dispatcher's cell."""
-    return bench.daemon.dispatch.cells[CELL]
+    return harness.daemon.dispatch.cells[CELL]
 
 
-def deliver(bench, event):
-    """Reduce an event; grants start, refusals end; return effects."""
+def deliver(harness, event):
+    """Handle an event, record grants and refusals; return effects."""
     out = []
-    for concern in (backends, quarantine, dispatch):
-        out += concern.handle(bench.daemon, event, bench.now)
+    for component in (backends, quarantine, dispatch):
+        out += component.handle(harness.daemon, event, harness.now)
     for effect in out:
         if type(effect) is effects.Send:
-            _take(bench, effect.message)
+            _record_reply(harness, effect.message)
     return out
 
 
-def _take(bench, message):
+def _record_reply(harness, message):
     key = (getattr(message, "rid", ""), getattr(message, "attempt", 0))
     if type(message) is messages.Grant:
-        bench.running[key] = message
+        harness.running[key] = message
     elif type(message) is messages.Refusal:
-        bench.refused[key] = message
+        harness.refused[key] = message
 
 
-def receive(bench, message, door=ME):
-    """Deliver a message of a door; return effects."""
-    return deliver(bench, events.Received(door, 1, message))
+def receive(harness, message, sender=LOCAL_HOST):
+    """Deliver a message of an entry host; return effects."""
+    return deliver(harness, events.Received(sender, 1, message))
 
 
-def advance(bench, span):
-    """Let time pass; the dispatcher ticks at the end of it."""
-    bench.now += span
-    return deliver(bench, TICK)
+def advance(harness, span):
+    """Advance the clock, then tick the dispatcher; return effects."""
+    harness.now += span
+    return deliver(harness, TICK)
 
 
-def ask(bench, rid, attempt=1, **fields):
+def enqueue(harness, rid, attempt=1, **fields):
     """Enqueue an attempt; return effects."""
     defaults = dict(service=SERVICE, class_name="guide", workspace="swan",
                     tier=1, max_tokens=100, deadline_in_s=1000.0)
-    entry = messages.Enqueue(rid, attempt, CELL, **{**defaults, **fields})
-    bench.asked[(rid, attempt)] = entry
-    return receive(bench, entry)
+    message = messages.Enqueue(rid, attempt, CELL, **{**defaults, **fields})
+    harness.enqueued[(rid, attempt)] = message
+    return receive(harness, message)
 
 
-def finish(bench, key, end="done", tokens=50):
+def end_attempt(harness, key, end="done", tokens=50):
     """End a granted attempt; return effects."""
-    grant = bench.running.pop(key)
-    done = messages.Released(
+    grant = harness.running.pop(key)
+    released = messages.Released(
         *key, CELL, grant.engine, end, tokens, 0.1, 0.02,
-        bench.asked[key].fingerprint)
-    return receive(bench, done)
+        harness.enqueued[key].fingerprint)
+    return receive(harness, released)
 
 
-def report(bench):
-    """All engines report their load."""
-    for name in bench.engines:
+def report_loads(harness):
+    """Deliver a load report of every engine."""
+    for name in harness.engines:
         running = sum(grant.engine == name
-                      for grant in bench.running.values())
-        deliver(bench, events.EngineLoadSeen(
-            name, True, f"boot-{bench.boots[name]}", running))
+                      for grant in harness.running.values())
+        deliver(harness, events.EngineLoadSeen(
+            name, True, f"boot-{harness.crash_counts[name]}", running))
 
 
-def crash(bench, engine):
-    """All attempts on the engine are lost; return their keys."""
-    bench.boots[engine] += 1
-    lost = [key for key, grant in bench.running.items()
+def crash_engine(harness, engine):
+    """Lose all attempts on an engine; return their keys."""
+    harness.crash_counts[engine] += 1
+    lost = [key for key, grant in harness.running.items()
             if grant.engine == engine]
     for key in lost:
-        finish(bench, key, "broken")
+        end_attempt(harness, key, "broken")
     return lost
--- a/tests/dispatch/test_faults.py
+++ b/tests/dispatch/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults around the dispatcher: leaving engines, takeover, dead doors."""
+"""Faults around the dispatcher: leaving engines, takeover, dead hosts."""
 
 import collections
 import unittest
@@ -9,8 +9,8 @@
 from crocuskeel.core import messages
 from tests.dispatch import support
 
-OTHER = "entry-1"
-MOST = 8
+OTHER_HOST = "entry-1"
+SLOTS_PER_ENGINE = 8
 
 
 def _running(number, engine):
@@ -18,9 +18,9 @@
         f"old{number}", 1, support.CELL, engine, "guide", "swan", 1)
 
 
-def _on_engines(bench, held):
-    count = collections.Counter(run.engine for run in held)
-    count.update(grant.engine for grant in bench.running.values())
+def _count_by_engine(harness, running):
+    count = collections.Counter(run.engine for run in running)
+    count.update(grant.engine for grant in harness.running.values())
     return count
 
 
@@ -28,125 +28,136 @@
     """A leaving backend server gets no new work."""
 
     def test_leaving_engine_gets_no_grant(self):
-        """A booking is sent to a server that is being taken down.
+        """No work is granted on a server that the host list says is leaving.
 
-        The host list says that the server leaves; an older copy of the
-        list still calls it live. Work granted after that is cut off.
+        An older version of the list still shows the server as live. Work
+        granted on its basis would be cut off.
         """
-        bench = support.new_bench(count=2)
-        support.deliver(bench, support.host_list(
-            bench.engines, at=3, leaving=("engine-0",)))
-        support.deliver(bench, support.host_list(bench.engines, at=2))
+        harness = support.new_harness(count=2)
+        support.deliver(harness, support.host_list(
+            harness.engines, at=3, leaving=("engine-0",)))
+        support.deliver(harness, support.host_list(harness.engines, at=2))
         for number in range(20):
-            support.ask(bench, f"r{number}")
-        engines = {grant.engine for grant in bench.running.values()}
+            support.enqueue(harness, f"r{number}")
+        engines = {grant.engine for grant in harness.running.values()}
         self.assertEqual({"engine-1"}, engines)
 
-    def test_news_of_a_peer_suffices(self):
-        """The platform's host list is down for this host.
+    def test_leaving_is_learned_from_a_peer(self):
+        """A peer's message that a server is leaving is applied.
 
-        A peer has seen that the server leaves and says so; without
-        heeding it the server would get new work for the whole outage.
+        The host list is unavailable to this host, so otherwise the server
+        would get new work during the whole outage.
         """
-        bench = support.new_bench(count=2)
-        support.receive(bench, messages.HostListNews(2, ("engine-0",)))
-        support.ask(bench, "r")
-        self.assertEqual("engine-1", bench.running[("r", 1)].engine)
+        harness = support.new_harness(count=2)
+        support.receive(harness, messages.HostListNews(2, ("engine-0",)))
+        support.enqueue(harness, "r")
+        self.assertEqual("engine-1", harness.running[("r", 1)].engine)
 
 
 class TakeoverTest(unittest.TestCase):
-    """A new dispatcher learns what runs before it grants."""
+    """A new dispatcher learns what is running before it grants."""
 
-    def _taken(self, reported):
-        bench = support.new_bench(count=1, settled=False)
-        self._join(bench.daemon)
-        bench.daemon.dispatch.cells.clear()
-        bench.daemon.dispatch.view = None
+    def _new_dispatcher(self, reported):
+        harness = support.new_harness(count=1, is_settled=False)
+        self._add_member(harness.daemon)
+        harness.daemon.dispatch.cells.clear()
+        harness.daemon.dispatch.topology = None
         if reported:
-            support.deliver(bench, events.EngineLoadSeen(
+            support.deliver(harness, events.EngineLoadSeen(
                 "engine-0", True, "boot", running=6))
-        support.ask(bench, "r0")
+        support.enqueue(harness, "r0")
         for number in range(1, 12):
-            support.ask(bench, f"r{number}")
-        return bench
+            support.enqueue(harness, f"r{number}")
+        return harness
 
-    def _join(self, daemon):
-        update = messages.MemberUpdate(OTHER, 1, "alive", "127.0.0.2", 7000)
+    def _add_member(self, daemon):
+        update = messages.MemberUpdate(
+            OTHER_HOST, 1, "alive", "127.0.0.2", 7000)
         probe = messages.Probe(1, (update,))
-        membership.handle(daemon, events.Received(OTHER, 1, probe), 0.0)
-        self.assertEqual((support.ME, OTHER), membership.live(daemon))
+        membership.handle(daemon, events.Received(OTHER_HOST, 1, probe), 0.0)
+        self.assertEqual((support.LOCAL_HOST, OTHER_HOST),
+                         membership.live(daemon))
 
-    def _die(self, bench):
-        # Nobody answers the membership's probes of the other host.
+    def _fail_member(self, harness):
+        # The membership's probes of the other host get no answer.
         pending = membership.handle(
-            bench.daemon, events.Started(), bench.now)
+            harness.daemon, events.Started(), harness.now)
         for _ in range(200):
             timers = [e for e in pending if type(e) is effects.SetTimer]
             pending = []
-            bench.now += 0.1
+            harness.now += 0.1
             for timer in timers:
                 pending += membership.handle(
-                    bench.daemon, events.TimerFired(timer.key), bench.now)
-        self.assertEqual((support.ME,), membership.live(bench.daemon))
+                    harness.daemon, events.TimerFired(timer.key), harness.now)
+        self.assertEqual((support.LOCAL_HOST,),
+                         membership.live(harness.daemon))
 
     def test_grants_wait_for_the_doors(self):
-        """Engines are not filled twice when a dispatcher dies.
+        """A new dispatcher does not overfill engines.
 
-        Answers slow down for all right after an entry host dies: its
-        successor fills engines that are full already. It asks the doors
-        first, and until they answer grants only what is surely free.
+        Engines that are already full would be filled again after their
+        dispatcher died, and all answers would slow down. The successor
+        asks the entry hosts for their running attempts first, and until
+        they answer grants only slots that are certainly free.
         """
-        bench = self._taken(reported=False)
-        self.assertEqual({}, bench.running)
-        held = tuple(_running(n, "engine-0") for n in range(5))
-        support.receive(bench, messages.Reregister(support.CELL, (), held),
-                        OTHER)
-        mine = tuple(bench.asked.values())
-        support.receive(bench, messages.Reregister(support.CELL, mine))
-        self.assertEqual(MOST, _on_engines(bench, held)["engine-0"])
+        harness = self._new_dispatcher(reported=False)
+        self.assertEqual({}, harness.running)
+        running = tuple(_running(n, "engine-0") for n in range(5))
+        support.receive(
+            harness, messages.Reregister(support.CELL, (), running),
+            OTHER_HOST)
+        local = tuple(harness.enqueued.values())
+        support.receive(harness, messages.Reregister(support.CELL, local))
+        self.assertEqual(SLOTS_PER_ENGINE,
+                         _count_by_engine(harness, running)["engine-0"])
 
     def test_a_load_report_shows_what_is_free(self):
-        """Work goes on right after a dispatcher died.
+        """A new dispatcher grants the slots that a load report shows free.
 
-        The engine reports 6 of its 8 slots busy, and the doors have not
-        answered yet. Two more attempts are safe; more would crowd it.
+        The engine reports 6 of its 8 slots busy, and the entry hosts have
+        not answered yet. Two more attempts are safe; more would overload
+        it.
         """
-        bench = self._taken(reported=True)
-        self.assertEqual(2, len(bench.running))
+        harness = self._new_dispatcher(reported=True)
+        self.assertEqual(2, len(harness.running))
 
-    def test_a_silent_door_costs_at_most_twice_the_slots(self):
-        """A door answers the new dispatcher too late.
+    def test_a_silent_entry_host_costs_at_most_twice_the_slots(self):
+        """An entry host that answers late causes only bounded overload.
 
-        Its running work is unknown when the settling time is over, so
-        the engine is filled again: up to the stated bound. Once the door
-        has answered, nothing is granted until that work is done.
+        Its running attempts are unknown when the settling time is over,
+        so the engine is filled once more. After its answer nothing is
+        granted until these attempts have ended.
         """
-        bench = self._taken(reported=False)
-        held = tuple(_running(n, "engine-0") for n in range(MOST))
-        support.advance(bench, 1.0)
-        count = _on_engines(bench, held)["engine-0"]
-        self.assertEqual(2 * MOST, count)
-        support.receive(bench, messages.Reregister(support.CELL, (), held),
-                        OTHER)
-        for key in sorted(bench.running):
-            support.finish(bench, key)
-        self.assertEqual({}, bench.running)
+        harness = self._new_dispatcher(reported=False)
+        running = tuple(_running(n, "engine-0")
+                        for n in range(SLOTS_PER_ENGINE))
+        support.advance(harness, 1.0)
+        count = _count_by_engine(harness, running)["engine-0"]
+        self.assertEqual(2 * SLOTS_PER_ENGINE, count)
+        support.receive(
+            harness, messages.Reregister(support.CELL, (), running),
+            OTHER_HOST)
+        for key in sorted(harness.running):
+            support.end_attempt(harness, key)
+        self.assertEqual({}, harness.running)
 
     def test_slots_of_a_dead_door_are_reclaimed(self):
-        """An entry host dies and its slots are used again.
+        """The slots of a dead entry host are granted again.
 
-        The engines stand idle with callers waiting, because the slots of
-        a host that will never release them are still counted.
+        The host will never release them. While they are counted, engines
+        are idle although callers wait.
         """
-        bench = self._taken(reported=False)
-        held = tuple(_running(n, "engine-0") for n in range(MOST))
-        support.receive(bench, messages.Reregister(support.CELL, (), held),
-                        OTHER)
-        support.advance(bench, 1.0)
-        self.assertEqual({}, bench.running)
-        self._die(bench)
-        support.advance(bench, 1.0)
-        self.assertEqual(MOST, len(bench.running))
+        harness = self._new_dispatcher(reported=False)
+        running = tuple(_running(n, "engine-0")
+                        for n in range(SLOTS_PER_ENGINE))
+        support.receive(
+            harness, messages.Reregister(support.CELL, (), running),
+            OTHER_HOST)
+        support.advance(harness, 1.0)
+        self.assertEqual({}, harness.running)
+        self._fail_member(harness)
+        support.advance(harness, 1.0)
+        self.assertEqual(SLOTS_PER_ENGINE, len(harness.running))
 
 
 if __name__ == "__main__":
--- a/tests/dispatch/test_learning.py
+++ b/tests/dispatch/test_learning.py
@@ -1,4 +1,4 @@
-"""What the dispatcher must not learn from answers that tell nothing."""
+"""The dispatcher must not learn from answers without information."""
 
 import unittest
 
@@ -17,95 +17,98 @@
 }
 
 
-def _released(bench, key, end, ttft_s, itl_s, tokens):
-    grant = bench.running.pop(key)
-    support.receive(bench, messages.Released(
+def _released(harness, key, end, ttft_s, itl_s, tokens):
+    grant = harness.running.pop(key)
+    support.receive(harness, messages.Released(
         *key, support.CELL, grant.engine, end, tokens, ttft_s, itl_s))
 
 
 class LearningTest(unittest.TestCase):
-    """Rules on what an engine's answers say of it."""
+    """What an engine's answers show about it."""
 
-    def test_answers_without_a_stream_say_nothing_of_the_pace(self):
-        """An idle fleet refuses every briefing for its deadline.
+    def test_unstreamed_answers_do_not_change_the_latency(self):
+        """An answer that is not streamed is not taken for one token.
 
-        Some callers had asked for whole answers in one piece. Their 3 s
-        were taken as the time of one token, and no deadline can be met
-        at that pace; nothing runs any more that could correct it.
+        The 3 s of such answers were taken as the time of one token. Idle
+        engines then refused every request because no deadline seemed
+        possible to meet, and nothing ran that could correct the estimate.
         """
-        bench = support.new_bench(count=1)
+        harness = support.new_harness(count=1)
         for number in range(8):
             key = (f"whole{number}", 1)
-            support.ask(bench, key[0])
-            bench.now += 3.0
-            _released(bench, key, "done", 3.0, 0.0, 0)
-        view = limits.engine(bench.daemon, ENGINE)
-        self.assertEqual(0.0, view.pace)
-        support.ask(bench, "stream", deadline_in_s=15.0)
-        self.assertIn(("stream", 1), bench.running)
-
-    def test_an_engine_without_the_model_is_not_full(self):
-        """One caller's requests take every engine down to one slot.
-
-        The engine answers 503: it did not run the request, for want of
-        a model. Taken as "full" it would lower the limit for all.
+            support.enqueue(harness, key[0])
+            harness.now += 3.0
+            _released(harness, key, "done", 3.0, 0.0, 0)
+        view = limits.engine_view(harness.daemon, ENGINE)
+        self.assertEqual(0.0, view.unit_latency)
+        support.enqueue(harness, "stream", deadline_in_s=15.0)
+        self.assertIn(("stream", 1), harness.running)
+
+    def test_unready_does_not_lower_the_limit(self):
+        """An engine that lacks the model is not treated as full.
+
+        The engine answers 503 because it lacks the model. If that were
+        taken for "full", one caller's requests would reduce the limit of
+        every engine to one slot.
         """
-        bench = support.new_bench(count=1)
-        before = limits.engine(bench.daemon, ENGINE).limit
-        support.ask(bench, "r")
-        _released(bench, ("r", 1), "unready", 0.0, 0.0, 0)
-        after = limits.engine(bench.daemon, ENGINE)
+        harness = support.new_harness(count=1)
+        before = limits.engine_view(harness.daemon, ENGINE).limit
+        support.enqueue(harness, "r")
+        _released(harness, ("r", 1), "unready", 0.0, 0.0, 0)
+        after = limits.engine_view(harness.daemon, ENGINE)
         self.assertEqual(before, after.limit)
-        self.assertGreater(after.off_until, bench.now)
+        self.assertGreater(after.off_until, harness.now)
 
-    def test_the_settings_bound_the_slots(self):
-        """An operator lowers max_slots_per_engine and nothing happens.
+    def test_settings_bound_the_slots(self):
+        """A change of max_slots_per_engine takes effect.
 
-        The bound was read once, before there were settings, and then
-        taken from the engine's own report.
+        The bound was read only once, before there were settings, and
+        later taken from the engine's own report.
         """
-        bench = support.new_bench(count=1)
-        support.report(bench)
-        self.assertEqual(8, limits.engine(bench.daemon, ENGINE).most)
-        bench.daemon.follower.tree = conf_tree.from_document(DOCUMENT, 2)
-        support.advance(bench, 0.25)
-        support.report(bench)
+        harness = support.new_harness(count=1)
+        support.report_loads(harness)
+        self.assertEqual(
+            8, limits.engine_view(harness.daemon, ENGINE).max_limit)
+        harness.daemon.follower.tree = conf_tree.from_document(DOCUMENT, 2)
+        support.advance(harness, 0.25)
+        support.report_loads(harness)
         for number in range(6):
-            support.ask(bench, f"r{number}")
-        self.assertEqual(4, len(bench.running))
+            support.enqueue(harness, f"r{number}")
+        self.assertEqual(4, len(harness.running))
 
 
 class LossTest(unittest.TestCase):
-    """What a lost answer says of the server that should have given it."""
+    """What a lost answer shows about its server."""
 
-    def test_one_dropped_answer_does_not_stop_a_server(self):
-        """Bookings are refused while every server of the desk is up.
+    def test_one_lost_answer_does_not_pause_a_server(self):
+        """A single lost answer does not take a server out of use.
 
-        Each server dropped one answer. All were rested for it, and a
-        tier 1 booking with 20 s to go found nobody to run it.
+        Each server lost one answer and all were paused for it, so a tier 1
+        request with 20 s to its deadline was refused although every server
+        was up.
         """
-        bench = support.new_bench(count=2)
+        harness = support.new_harness(count=2)
         for number in range(2):
-            support.ask(bench, f"r{number}")
-        lost = {grant.engine for grant in bench.running.values()}
+            support.enqueue(harness, f"r{number}")
+        lost = {grant.engine for grant in harness.running.values()}
         self.assertEqual(2, len(lost))
-        for key in list(bench.running):
-            support.finish(bench, key, "broken")
-        support.report(bench)
-        support.ask(bench, "booking")
-        self.assertIn(("booking", 1), bench.running)
+        for key in list(harness.running):
+            support.end_attempt(harness, key, "broken")
+        support.report_loads(harness)
+        support.enqueue(harness, "booking")
+        self.assertIn(("booking", 1), harness.running)
 
-    def test_losses_of_one_time_count_once(self):
-        """A server rests for 15 s after a hiccup of a moment.
+    def test_failures_of_earlier_grants_count_once(self):
+        """Attempts granted before a pause don't extend it when they fail.
 
-        Attempts granted before it was first rested end one by one
-        later; each doubled the span, though nothing new had failed.
+        They end one by one later. Each one doubled the pause, so a server
+        was paused for 15 s after a momentary fault.
         """
-        bench = support.new_bench(count=1)
+        harness = support.new_harness(count=1)
         for number in range(4):
-            support.ask(bench, f"r{number}")
-        view = limits.engine(bench.daemon, ENGINE)
+            support.enqueue(harness, f"r{number}")
+        view = limits.engine_view(harness.daemon, ENGINE)
         for number in range(4):
-            support.finish(bench, (f"r{number}", 1), "silent")
-            bench.now += 3.0
+            support.end_attempt(harness, (f"r{number}", 1), "silent")
+            harness.now += 3.0
         self.assertEqual(1, view.failures)
--- a/tests/dispatch/test_properties.py
+++ b/tests/dispatch/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties over random traffic: tiers and slots."""
+"""Properties under random traffic: tiers and slots."""
 
 import unittest
 
@@ -27,120 +27,124 @@
     return strategies.lists(step, min_size=20, max_size=120)
 
 
-def _enqueue(bench, number, name, span):
+def _enqueue(harness, number, name, span):
     tier, floor = CLASSES[name]
-    return support.ask(
-        bench, f"{name}{number}", class_name=name, tier=tier, floor=floor,
+    return support.enqueue(
+        harness, f"{name}{number}", class_name=name, tier=tier, floor=floor,
         deadline_in_s=span, workspace=f"w{number % 3}", queue_limit=12,
         late_drop=name == "ramp")
 
 
 class TiersTest(unittest.TestCase):
-    """No higher tier is refused for the sake of a lower one."""
+    """No attempt is refused in favor of one of a lower tier."""
 
     @_settings
-    @hypothesis.given(_steps(("ask", "ask", "ask", "end", "wait")))
+    @hypothesis.given(_steps(("enqueue", "enqueue", "enqueue", "end", "wait")))
     def test_lower_tiers_are_refused_first(self, steps):
-        """When a tier is refused, lower ones hold only floor seats.
+        """After a refusal, lower tiers keep only their protected queues.
 
-        A guide's briefing is refused at its deadline while a waiver goes
-        on waiting for the same engines, and gets the slot that would
-        have come too late for the briefing a moment later.
+        Otherwise an attempt is refused at its deadline while one of a
+        lower tier keeps waiting for the same engines and gets the next
+        slot a moment later.
         """
-        bench = support.new_bench(
+        harness = support.new_harness(
             count=1, limits=state.Limits(max_queue_per_cell=25))
         for index, (kind, number, name, span) in enumerate(steps):
             out = []
-            if kind == "ask":
-                out = _enqueue(bench, index, name, span)
-            elif kind == "end" and bench.running:
-                keys = sorted(bench.running)
-                out = support.finish(bench, keys[number % len(keys)])
+            if kind == "enqueue":
+                out = _enqueue(harness, index, name, span)
+            elif kind == "end" and harness.running:
+                keys = sorted(harness.running)
+                out = support.end_attempt(harness, keys[number % len(keys)])
             elif kind == "wait":
-                out = support.advance(bench, number / 20)
-            self._check(bench, out)
+                out = support.advance(harness, number / 20)
+            self._check(harness, out)
 
-    def _check(self, bench, out):
-        tiers = [bench.asked[(e.message.rid, e.message.attempt)].tier
+    def _check(self, harness, out):
+        tiers = [harness.enqueued[(e.message.rid, e.message.attempt)].tier
                  for e in out if type(e) is effects.Send
                  and type(e.message) is messages.Refusal]
         if not tiers:
             return
-        cell = support.cell_of(bench)
-        slots = choice.most_slots(bench.daemon, cell)
-        for group in cell.classes.values():
-            if group.tier > min(tiers):
+        cell = support.cell_of(harness)
+        slots = choice.most_slots(harness.daemon, cell)
+        for class_queue in cell.classes.values():
+            if class_queue.tier > min(tiers):
                 self.assertLessEqual(
-                    group.waiting, floors.seats(group, slots))
+                    class_queue.waiting,
+                    floors.seats(class_queue, slots))
 
 
 class SlotsTest(unittest.TestCase):
-    """Slots are neither lost nor given twice."""
+    """Slots are neither leaked nor granted twice."""
 
     @_settings
     @hypothesis.given(_steps(
-        ("ask", "ask", "end", "again", "withdraw", "register", "wait")))
+        ("enqueue", "enqueue", "end", "repeat", "withdraw", "register",
+         "wait")))
     def test_no_slot_leaks_over_repeated_and_late_messages(self, steps):
-        """After all is over every slot is free again.
+        """Every slot is free after all attempts have ended.
 
-        Capacity shrinks day by day until the service stands still, with
-        engines idle. A message that came twice or too late left a slot
-        counted for an attempt that had long ended.
+        A duplicate or late message left a slot counted for an attempt that
+        had already ended. Such leaks reduce the capacity until nothing is
+        granted although the engines are idle.
         """
-        bench = support.new_bench(count=2)
-        log = []
+        harness = support.new_harness(count=2)
+        sent = []
         for index, (kind, number, name, span) in enumerate(steps):
-            self._step(bench, log, kind, index, number, name, span)
-            self._check_limits(bench)
-        while bench.running:
-            support.finish(bench, next(iter(bench.running)), "cancelled")
-        for message in log:
-            support.receive(bench, message)
-        while bench.running:
-            key = next(iter(bench.running))
-            support.finish(bench, key, "cancelled")
-        cell = support.cell_of(bench)
+            self._step(harness, sent, kind, index, number, name, span)
+            self._check_limits(harness)
+        while harness.running:
+            support.end_attempt(
+                harness, next(iter(harness.running)), "cancelled")
+        for message in sent:
+            support.receive(harness, message)
+        while harness.running:
+            key = next(iter(harness.running))
+            support.end_attempt(harness, key, "cancelled")
+        cell = support.cell_of(harness)
         self.assertEqual({}, cell.running)
         self.assertEqual({}, cell.by_engine)
-        self.assertEqual(0, cell.top_held)
+        self.assertEqual(0, cell.top_tier_running)
 
-    def _step(self, bench, log, kind, index, number, name, span):
-        keys = sorted(bench.running)
+    def _step(self, harness, sent, kind, index, number, name, span):
+        keys = sorted(harness.running)
         key = keys[number % len(keys)] if keys else None
-        if kind == "ask":
-            _enqueue(bench, index, name, span)
+        if kind == "enqueue":
+            _enqueue(harness, index, name, span)
         elif kind == "end" and key:
-            grant = bench.running[key]
+            grant = harness.running[key]
             end = ENDS[number % len(ENDS)]
-            log.append(messages.Released(*key, support.CELL, grant.engine,
-                                         end))
-            support.finish(bench, key, end)
-        elif kind == "again" and log:
-            support.receive(bench, log[number % len(log)])
+            sent.append(messages.Released(*key, support.CELL, grant.engine,
+                                          end))
+            support.end_attempt(harness, key, end)
+        elif kind == "repeat" and sent:
+            support.receive(harness, sent[number % len(sent)])
         elif kind == "withdraw" and key:
-            bench.running.pop(key)
-            log.append(messages.Withdraw(*key, support.CELL))
-            support.receive(bench, log[-1])
+            harness.running.pop(key)
+            sent.append(messages.Withdraw(*key, support.CELL))
+            support.receive(harness, sent[-1])
         elif kind == "register":
-            self._register(bench)
+            self._register(harness)
         elif kind == "wait":
-            support.advance(bench, number / 20)
+            support.advance(harness, number / 20)
 
-    def _register(self, bench):
-        held = tuple(
+    def _register(self, harness):
+        running = tuple(
             messages.Running(*key, support.CELL, grant.engine,
-                             bench.asked[key].class_name,
-                             bench.asked[key].workspace,
-                             bench.asked[key].tier)
-            for key, grant in bench.running.items())
-        support.receive(bench, messages.Reregister(support.CELL, (), held))
-
-    def _check_limits(self, bench):
-        cell = support.cell_of(bench)
-        for name, held in cell.by_engine.items():
-            view = limits.engine(bench.daemon, name)
-            self.assertLessEqual(len(held), view.most)
-        self.assertEqual(set(bench.running), set(cell.running))
+                             harness.enqueued[key].class_name,
+                             harness.enqueued[key].workspace,
+                             harness.enqueued[key].tier)
+            for key, grant in harness.running.items())
+        support.receive(
+            harness, messages.Reregister(support.CELL, (), running))
+
+    def _check_limits(self, harness):
+        cell = support.cell_of(harness)
+        for name, keys in cell.by_engine.items():
+            view = limits.engine_view(harness.daemon, name)
+            self.assertLessEqual(len(keys), view.max_limit)
+        self.assertEqual(set(harness.running), set(cell.running))
 
 
 if __name__ == "__main__":
--- a/tests/quarantine/test_poison.py
+++ b/tests/quarantine/test_poison.py
@@ -1,4 +1,4 @@
-"""Requests that crash engines are found; the innocent are not blamed."""
+"""Requests that crash engines are quarantined, and no others."""
 
 import unittest
 
@@ -13,58 +13,58 @@
 
 
 class PoisonTest(unittest.TestCase):
-    """At most two crashes by one request over the whole fleet."""
+    """One request causes at most two crashes on all engines together."""
 
     def setUp(self):
-        self.bench = support.new_bench(count=3)
-        support.report(self.bench)
+        self.harness = support.new_harness(count=3)
+        support.report_loads(self.harness)
         self.crashes = 0
         self.attempts = {}
         self.done = set()
 
-    def _ask(self, fingerprint):
+    def _enqueue(self, fingerprint):
         number = self.attempts[fingerprint] = (
             self.attempts.get(fingerprint, 0) + 1)
-        support.ask(self.bench, f"{fingerprint}.{number}",
-                    fingerprint=fingerprint)
+        support.enqueue(self.harness, f"{fingerprint}.{number}",
+                        fingerprint=fingerprint)
 
-    def _crash(self, engine):
+    def _crash_engine(self, engine):
         self.crashes += 1
-        lost = support.crash(self.bench, engine)
+        lost = support.crash_engine(self.harness, engine)
         for key in lost:
-            # Doors retry and callers send again at once.
-            self._ask(self.bench.asked[key].fingerprint)
+            # Entry hosts retry and callers send again immediately.
+            self._enqueue(self.harness.enqueued[key].fingerprint)
 
-    def _pass_time(self, rounds):
-        bench = self.bench
+    def _run_steps(self, rounds):
+        harness = self.harness
         for _ in range(rounds):
-            support.advance(bench, STEP_S)
-            hit = [grant.engine for key, grant in bench.running.items()
-                   if bench.asked[key].fingerprint == POISON]
-            for engine in dict.fromkeys(hit):
-                self._crash(engine)
-            support.report(bench)
-            for key in list(bench.running):
-                fingerprint = bench.asked[key].fingerprint
+            support.advance(harness, STEP_S)
+            crashed = [grant.engine for key, grant in harness.running.items()
+                       if harness.enqueued[key].fingerprint == POISON]
+            for engine in dict.fromkeys(crashed):
+                self._crash_engine(engine)
+            support.report_loads(harness)
+            for key in list(harness.running):
+                fingerprint = harness.enqueued[key].fingerprint
                 if fingerprint != POISON:
-                    support.finish(bench, key)
+                    support.end_attempt(harness, key)
                     self.done.add(fingerprint)
 
     def _verdict(self, fingerprint):
-        return quarantine.verdict(self.bench.daemon, fingerprint)
+        return quarantine.verdict(self.harness.daemon, fingerprint)
 
     def test_two_crashes_and_the_innocent_cleared(self):
-        """One request takes engine after engine down.
+        """A request that crashes engines is found after two crashes.
 
-        Every request that shares an engine with it is lost each time,
-        and its caller sends it again. After the first crash all that ran
-        there run alone; after the second only it can be the cause.
+        Every request that shares an engine with it is lost each time, and
+        its caller sends it again. After the first crash all requests of
+        the engine run alone; after the second only one can be the cause.
         """
         for number in range(15):
-            self._ask(f"innocent{number}")
+            self._enqueue(f"harmless{number}")
             if number == 7:
-                self._ask(POISON)
-        self._pass_time(80)
+                self._enqueue(POISON)
+        self._run_steps(80)
         self.assertEqual(2, self.crashes)
         self.assertEqual("quarantined", self._verdict(POISON))
         self.assertEqual(15, len(self.done))
@@ -72,95 +72,98 @@
             self.assertEqual("", self._verdict(fingerprint))
 
     def test_many_copies_crash_two_engines(self):
-        """A caller sends its request many times before any crash.
+        """Copies enqueued before the first crash crash two engines at most.
 
-        All copies are queued, and run, before the first loss is heard
-        of; each takes another engine down.
+        If all copies ran before the first loss is reported, each would
+        crash another engine.
         """
         for _ in range(6):
-            self._ask(POISON)
-        self._pass_time(60)
+            self._enqueue(POISON)
+        self._run_steps(60)
         self.assertEqual(2, self.crashes)
         self.assertEqual("quarantined", self._verdict(POISON))
 
-    def test_a_suspect_of_another_host_crashes_one_more(self):
-        """The first crash was in another cell, with another dispatcher.
+    def test_a_suspect_reported_by_a_peer_crashes_one_more(self):
+        """A suspect reported by another dispatcher runs alone, once.
 
-        That dispatcher has told all hosts. The caller sends the request
-        here next: it must run alone at once, and only one more time.
+        The first crash was in another cell, and its dispatcher broadcast
+        the verdict. The caller then sends the request here, where it must
+        run alone at once and crash only one more engine.
         """
-        support.receive(self.bench, messages.CrashSeen(
+        support.receive(self.harness, messages.CrashSeen(
             "elsewhere", "suspect", (POISON,)), "entry-1")
         for _ in range(4):
-            self._ask(POISON)
-        self._pass_time(60)
+            self._enqueue(POISON)
+        self._run_steps(60)
         self.assertEqual(1, self.crashes)
         self.assertEqual("quarantined", self._verdict(POISON))
 
-    def test_a_report_that_comes_before_the_loss(self):
-        """A request crashes a third engine.
+    def test_a_load_report_before_the_loss(self):
+        """A crash is detected if the load report precedes the loss.
 
         The restarted engine's load report reached the dispatcher before
-        the door told of the loss. Compared with the newest boot id the
-        engine seemed never to have gone down.
+        the entry host reported the loss. Compared with the newest boot id,
+        the engine seemed not to have crashed, and the request crashed a
+        third one.
         """
-        self._ask("suspect")
-        bench = self.bench
+        self._enqueue("suspect")
+        harness = self.harness
         for _ in range(2):
-            self._settle_one("suspect")
+            self._crash_with_early_report("suspect")
         self.assertEqual("quarantined", self._verdict("suspect"))
-        self.assertEqual({}, bench.running)
+        self.assertEqual({}, harness.running)
 
-    def _settle_one(self, fingerprint):
-        """Crash under the request, report first, then the loss."""
-        bench = self.bench
+    def _crash_with_early_report(self, fingerprint):
+        """Crash an engine; deliver its load report, then the loss."""
+        harness = self.harness
         for _ in range(40):
-            if bench.running:
+            if harness.running:
                 break
-            support.advance(bench, STEP_S)
-            support.report(bench)
-        key, grant = next(iter(bench.running.items()))
-        bench.boots[grant.engine] += 1
-        support.report(bench)
-        support.finish(bench, key, "broken")
-        support.advance(bench, STEP_S)
-        support.report(bench)
-        self._ask(fingerprint)
+            support.advance(harness, STEP_S)
+            support.report_loads(harness)
+        key, grant = next(iter(harness.running.items()))
+        harness.crash_counts[grant.engine] += 1
+        support.report_loads(harness)
+        support.end_attempt(harness, key, "broken")
+        support.advance(harness, STEP_S)
+        support.report_loads(harness)
+        self._enqueue(fingerprint)
 
     def test_a_broken_connection_is_no_crash(self):
-        """A suspect whose connection breaks twice is not condemned.
+        """A suspect whose connection breaks twice is not quarantined.
 
-        A caller is told that its request crashes servers, while only the
-        network between a door and the engine failed; the engine's boot
-        id shows that it never went down.
+        Only the network between an entry host and the engine failed. The
+        engine's boot id shows that it did not crash, so the caller must
+        not be told that its request crashes servers.
         """
-        self._ask("innocent")
+        self._enqueue("harmless")
         for _ in range(2):
-            key = next(iter(self.bench.running))
-            support.finish(self.bench, key, "broken")
-            self._ask("innocent")
+            key = next(iter(self.harness.running))
+            support.end_attempt(self.harness, key, "broken")
+            self._enqueue("harmless")
             for _ in range(20):
-                support.advance(self.bench, STEP_S)
-                support.report(self.bench)
-            self.assertEqual("", self._verdict("innocent"))
-        self.assertEqual(1, len(self.bench.running))
+                support.advance(self.harness, STEP_S)
+                support.report_loads(self.harness)
+            self.assertEqual("", self._verdict("harmless"))
+        self.assertEqual(1, len(self.harness.running))
 
     def test_verdicts_are_told_to_all_hosts(self):
-        self._ask(POISON)
-        key = next(iter(self.bench.running))
-        out = support.finish(self.bench, key, "broken")
-        told = [e.message for e in out if type(e) is effects.Broadcast]
+        self._enqueue(POISON)
+        key = next(iter(self.harness.running))
+        out = support.end_attempt(self.harness, key, "broken")
+        broadcasts = [e.message for e in out if type(e) is effects.Broadcast]
         self.assertEqual(
             [("suspect", (POISON,))],
-            [(seen.verdict, seen.fingerprints) for seen in told])
+            [(seen.verdict, seen.fingerprints) for seen in broadcasts])
 
-    def test_a_late_suspicion_does_not_undo_a_verdict(self):
-        """Hosts hear verdicts in any order; the gravest stays.
+    def test_a_late_suspicion_does_not_replace_a_quarantine(self):
+        """Verdicts may arrive in any order; the most severe one holds.
 
-        A "suspect" of the first crash arrives after "quarantined". Were
-        it to count, the request would run and crash once more.
+        A "suspect" of the first crash arrives after "quarantined". If it
+        replaced that verdict, the request would run and crash another
+        engine.
         """
-        daemon = self.bench.daemon
+        daemon = self.harness.daemon
         for verdict in ("quarantined", "suspect", "cleared"):
             seen = messages.CrashSeen("engine-0", verdict, (POISON,))
             quarantine.handle(
