--- a/crocuskeel/core/__init__.py
+++ b/crocuskeel/core/__init__.py
@@ -1,4 +1,4 @@
-"""The pure core: one reducer over events, effects as data.
+"""The pure core: one reducer over events that returns effects as data.
 
-Nothing in here does I/O, reads a clock or imports the runtime.
+Nothing in this package does I/O, reads a clock or imports the runtime.
 """
--- a/crocuskeel/core/effects.py
+++ b/crocuskeel/core/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what a daemon wants done, as data for the runtime."""
+"""Effects: actions requested by the core, as data for the runtime."""
 
 import dataclasses
 
@@ -17,7 +17,7 @@
 
 @_effect
 class SetTimer:
-    """Fire ``TimerFired(key)`` after a span; replaces the same key."""
+    """Fire ``TimerFired(key)`` after a delay; replaces a timer of this key."""
 
     key: tuple
     after_s: float
@@ -25,7 +25,7 @@
 
 @_effect
 class CancelTimer:
-    """Forget a timer; no error if there is none."""
+    """Cancel a timer; no error if there is none."""
 
     key: tuple
 
@@ -46,7 +46,7 @@
 
 @_effect
 class Broadcast:
-    """Send a message to every live member but this host."""
+    """Send a message to every live member except this host."""
 
     message: messages.Message
 
@@ -57,10 +57,9 @@
 class Answer:
     """Final refusal or failure; ends the caller's response.
 
-    After the first byte was relayed the runtime ends the stream with
+    If the first byte was already relayed, the runtime ends the stream with
     an error event that carries the same problem. ``location`` is the
-    "address:port" of a host that takes the request instead, sent as a
-    redirect, or empty.
+    "address:port" of a host to redirect the caller to, or empty.
     """
 
     rid: str
@@ -70,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LocateAddress:
-    """One address for callers, in order of preference."""
+    """One address for callers; listed in order of preference."""
 
     host: str
     address: str
@@ -80,7 +79,7 @@
 
 @_effect
 class AnswerLocate:
-    """Answer ``GET locate``; ``ttl_s`` is how long to keep it."""
+    """Answer ``GET locate``; ``ttl_s`` is how long to cache it."""
 
     rid: str
     addresses: tuple[LocateAddress, ...]
@@ -92,12 +91,12 @@
 
 @_effect
 class OpenAttempt:
-    """Send the held request to a backend server and relay its answer.
+    """Send a stored request to a backend server and relay its answer.
 
     ``silence_s`` bounds the time without traffic, ``first_byte_s`` the
-    time to the first byte. ``replayable``: keep the answer a while for
-    resends under the same key. ``model`` replaces the one that the
-    body names; empty: the body goes out as it came.
+    time to the first byte. ``replayable`` stores the answer for a while
+    for resends under the same key. ``model`` replaces the model that the
+    body names; if empty, the body is sent unchanged.
     """
 
     rid: str
@@ -113,12 +112,12 @@
 
 @_effect
 class ResumeAttempt:
-    """Go on with a broken stream at its engine.
+    """Resume a broken stream at its engine.
 
-    What the caller already has is not sent again.
+    Events that the caller already has are not sent again.
 
-    For a resume from a caller, ``stream`` is the first request's rid
-    and ``after`` the caller's last event; else empty and -1.
+    For a resume requested by a caller, ``stream`` is the first request's
+    rid and ``after`` the caller's last event; else they are empty and -1.
     """
 
     rid: str
@@ -132,7 +131,7 @@
 
 @_effect
 class CancelAttempt:
-    """Cancel at the backend server and stop relaying."""
+    """Cancel an attempt at the backend server and stop relaying."""
 
     rid: str
     attempt: int
@@ -140,7 +139,7 @@
 
 @_effect
 class Replay:
-    """Answer a caller from this host's own kept answer of ``held``."""
+    """Answer a caller with this host's stored answer to request ``held``."""
 
     rid: str
     held: str
@@ -149,10 +148,10 @@
 
 @_effect
 class ReplayFrom:
-    """Answer a caller with what ``host`` holds of request ``held``.
+    """Answer a caller with the answer to ``held`` stored on ``host``.
 
-    The runtime asks the peer and relays; it reports ``AttemptClosed``
-    with attempt 0 when it could not (GONE) or had done so (DONE).
+    The runtime requests it from the peer and relays it. It then reports
+    ``AttemptClosed`` with attempt 0 and DONE, or GONE if it failed.
     """
 
     rid: str
@@ -166,7 +165,7 @@
 
 @_effect
 class StoreGet:
-    """Read an object; answered by ``StoreAnswered`` with ``op``."""
+    """Read an object; answered by ``StoreAnswered`` with the same ``op``."""
 
     op: tuple
     path: str
@@ -184,7 +183,7 @@
 
 @_effect
 class StorePut:
-    """Conditional write: ``version`` 0 creates, else must match."""
+    """Conditional write: ``version`` 0 creates, others must match."""
 
     op: tuple
     path: str
@@ -194,14 +193,14 @@
 
 @_effect
 class WantHostList:
-    """Read the host list; its answer is an event of its own."""
+    """Read the host list; answered by a host list event."""
 
 
-# What happened.
+# Timeline, metrics and exit.
 
 @_effect
 class Record:
-    """One event of the time line; never holds prompt text or secrets.
+    """One timeline event; never contains prompt text or secrets.
 
     ``fields`` are name and value pairs of str, int, float or bool.
     """
@@ -222,7 +221,7 @@
 
 @_effect
 class Exit:
-    """The drain is complete; the program may end."""
+    """The drain is complete; the program may exit."""
 
 
 Effect = (
--- a/crocuskeel/core/events.py
+++ b/crocuskeel/core/events.py
@@ -1,6 +1,6 @@
-"""Events: everything that happens to a daemon, as data.
+"""Events: all inputs of a daemon, as data.
 
-The runtime makes them from I/O and timers; the reducer takes one at a
+The runtime creates them from I/O and timers; the reducer handles one at a
 time. Times are seconds of the runtime's monotonic clock.
 """
 
@@ -23,12 +23,12 @@
 
 @_event
 class Started:
-    """The runtime is up; concerns set their first timers."""
+    """The runtime has started; components set their first timers."""
 
 
 @_event
 class TimerFired:
-    """A timer set by ``SetTimer`` has come due."""
+    """A timer set by ``SetTimer`` has expired."""
 
     key: tuple
 
@@ -37,15 +37,15 @@
 
 @_event
 class RequestArrived:
-    """A caller's request, body held by the runtime under ``rid``.
-
-    ``token`` is the SHA-256 of the bearer token, hex; ``path`` and
-    ``method`` are the HTTP ones; ``idempotency_key`` is empty if none;
-    ``digest`` is a hash of method, path and body; ``fingerprint`` of
-    workspace-independent content (for poison requests); ``issued_at``
-    is the caller's own issue time of the key in Unix seconds or 0.
-    ``first_sending``: the caller says that no earlier sending of the
-    key went out.
+    """A caller's request; the runtime stores its body under ``rid``.
+
+    ``token`` is the SHA-256 of the bearer token in hex; ``path`` and
+    ``method`` are those of the HTTP request; ``idempotency_key`` is empty
+    if none; ``digest`` is a hash of method, path and body; ``fingerprint``
+    is a hash of the workspace-independent content, to detect poison
+    requests; ``issued_at`` is the caller's own issue time of the key in
+    Unix seconds or 0. ``first_sending`` is true if the caller states that
+    it has not sent the key before.
     """
 
     rid: str
@@ -70,8 +70,8 @@
 class ResumeArrived:
     """A caller asks for the rest of a stream (``Last-Event-ID``).
 
-    ``stream`` is the first request's rid as carried in event ids,
-    ``engine`` the engine it named, ``attempt`` the attempt.
+    ``stream``, ``engine`` and ``attempt`` are taken from the event id:
+    the first request's rid, the engine and the attempt.
     """
 
     rid: str
@@ -85,7 +85,7 @@
 
 @_event
 class CallerGone:
-    """The caller's connection ended before its answer did."""
+    """The caller's connection closed before its answer was complete."""
 
     rid: str
 
@@ -105,12 +105,12 @@
 class AttemptEnd(enum.StrEnum):
     """How an attempt ended.
 
-    DONE: whole answer. BUSY: the backend server is full and did not run
-    it (429). UNREADY: it can't serve this now and did not run it (503).
-    REFUSED: no byte was sent. BROKEN: connection lost after
-    bytes were sent. SILENT: no traffic within the expected time. GONE:
-    the engine no longer knows the stream. FAILED: another error answer.
-    CANCELLED: ended by us.
+    DONE: complete answer. BUSY: the backend server is full and did not
+    run it (429). UNREADY: it can't serve this now and did not run it
+    (503). REFUSED: no byte was sent. BROKEN: connection lost after bytes
+    were sent. SILENT: no traffic within the expected time. GONE: the
+    engine no longer knows the stream. FAILED: another error answer.
+    CANCELLED: cancelled by this host.
     """
 
     DONE = "done"
@@ -135,7 +135,7 @@
 
 @_event
 class AttemptProgress:
-    """Sampled progress of a running attempt (not one a token)."""
+    """Sampled progress of a running attempt, not sent for every token."""
 
     rid: str
     attempt: int
@@ -144,7 +144,7 @@
 
 @_event
 class AttemptClosed:
-    """An attempt ended; ``forwarded`` events had reached the caller."""
+    """An attempt ended; ``forwarded`` events were sent to the caller."""
 
     rid: str
     attempt: int
@@ -157,11 +157,11 @@
     retry_after_s: float = 0.0
 
 
-# Engines' reports.
+# Reports of engines.
 
 @_event
 class EngineLoadSeen:
-    """An engine's load report (lagging); ``ok`` False: none came."""
+    """An engine's load report, with a lag; ``ok`` is False if none came."""
 
     engine: str
     ok: bool
@@ -174,7 +174,7 @@
 
 @_event
 class EngineCacheSeen:
-    """Cache events of an engine: hints only, late and with gaps."""
+    """Cache events of an engine: hints that may be late or incomplete."""
 
     engine: str
     stored: tuple[int, ...] = ()
@@ -185,7 +185,7 @@
 
 @_event
 class Received:
-    """A message of an authenticated peer.
+    """A message from an authenticated peer.
 
     ``generation`` is the sender's settings generation.
     """
@@ -199,7 +199,7 @@
 
 @_event
 class PeerUp:
-    """A stream to or from a peer was made (perhaps made again)."""
+    """A stream to or from a peer was established or reestablished."""
 
     host: str
     incarnation: int
@@ -207,7 +207,7 @@
 
 @_event
 class PeerDown:
-    """The stream to a peer was lost; messages may be lost with it."""
+    """The stream to a peer was lost, perhaps with messages."""
 
     host: str
 
@@ -217,8 +217,8 @@
 class StoreStatus(enum.StrEnum):
     """Results of Object API calls.
 
-    UNAVAILABLE: known not to have happened. UNKNOWN: a write that may
-    or may not have taken effect.
+    UNAVAILABLE: the call is known to have had no effect. UNKNOWN: a write
+    may or may not have taken effect.
     """
 
     FOUND = "found"
@@ -242,7 +242,7 @@
 
 @_event
 class HostListSeen:
-    """An answer of the host list: entry hosts and backend servers."""
+    """The host list was read: entry hosts and backend servers."""
 
     at: int
     entries: tuple[messages.MemberUpdate, ...]
@@ -258,7 +258,7 @@
 
 @_event
 class DrainAsked:
-    """Planned stop of this host: drain, then exit."""
+    """A planned stop was requested: this host drains, then exits."""
 
 
 Event = (
--- a/crocuskeel/core/exceptions.py
+++ b/crocuskeel/core/exceptions.py
@@ -1,15 +1,15 @@
 """Errors of the pure core.
 
-The core signals faults of its inputs as values; an exception from here
-means that the program itself is wrong.
+The core reports invalid inputs as values; these exceptions indicate a bug
+in the program itself.
 """
 
 __all__ = ["CoreError", "UnknownEvent"]
 
 
 class CoreError(Exception):
-    """Base of the core's own errors."""
+    """Base class of the core's errors."""
 
 
 class UnknownEvent(CoreError):
-    """An event reached the reducer that no concern takes."""
+    """The reducer has no route for an event."""
--- a/crocuskeel/core/factory.py
+++ b/crocuskeel/core/factory.py
@@ -1,4 +1,4 @@
-"""Builds the whole state of a daemon."""
+"""Builds the state of a daemon."""
 
 import random
 
@@ -19,8 +19,8 @@
 
     ``tree`` is a parsed settings tree to start from (tests, trials);
     without it the daemon is not ready until it has read one. ``wall``
-    turns the runtime's time into Unix seconds, to refuse claims dated
-    in the future; nothing is ever run because of it.
+    converts the runtime's time to Unix seconds. It is used only to refuse
+    claims dated in the future and never causes a request to be run.
     """
     rng = random.Random(f"{identity.host}/{identity.incarnation}/{seed}")
     return state.Daemon(
--- a/crocuskeel/core/messages.py
+++ b/crocuskeel/core/messages.py
@@ -1,8 +1,8 @@
 """Messages between entry hosts.
 
-One frozen dataclass a message; ``crocuskeel.wire`` turns them into the
-protobuf messages of the same name and back, field by field. Clocks of
-hosts differ, so times are spans in seconds relative to the sending.
+Each message is a frozen dataclass; ``crocuskeel.wire`` converts it to and
+from the protobuf message of the same name, field by field. The hosts'
+clocks differ, so times are spans in seconds relative to the sending.
 """
 
 import dataclasses
@@ -19,17 +19,16 @@
 _message = dataclasses.dataclass(frozen=True, slots=True)
 
 
-# Queueing in cells: door -> dispatcher.
+# Queueing in cells: entry host -> dispatcher.
 
 @_message
 class Enqueue:
-    """A door registers one waiting attempt with a cell's dispatcher.
+    """An entry host enqueues one attempt with a cell's dispatcher.
 
     ``deadline_in_s`` and ``waited_s`` are spans at sending time;
-    ``floor`` is the class's share of the cell's slots; ``late_drop``
-    says that an answer after the deadline is worthless; ``avoid`` names
-    engines not to use again; ``prefix`` is the hash of the prompt's
-    prefix, 0 for none.
+    ``floor`` is the class's minimum share of grants; with ``late_drop`` an
+    answer after the deadline is worthless; ``avoid`` names engines not to
+    use again; ``prefix`` is the hash of the prompt's prefix, 0 for none.
     """
 
     rid: str
@@ -57,7 +56,7 @@
 
 @_message
 class Withdraw:
-    """The door no longer wants a slot for this attempt."""
+    """The entry host no longer wants a slot for this attempt."""
 
     rid: str
     attempt: int
@@ -66,7 +65,7 @@
 
 @_message
 class Running:
-    """One granted attempt, as its door knows it."""
+    """One granted attempt, as known to its entry host."""
 
     rid: str
     attempt: int
@@ -83,10 +82,10 @@
 
 @_message
 class Reregister:
-    """All that one door holds in a cell; replaces what was known.
+    """All attempts of one entry host in a cell; replaces earlier ones.
 
-    Sent to a new dispatcher, after a peer connection was remade, and on
-    :class:`ReregisterAsk`.
+    Sent to a new dispatcher, after a peer connection was reestablished,
+    and in answer to :class:`ReregisterAsk`.
     """
 
     cell: str
@@ -105,7 +104,7 @@
 
 @_message
 class Progressed:
-    """Batched progress of a door's running attempts in a cell."""
+    """Batched progress of an entry host's running attempts in a cell."""
 
     cell: str
     items: tuple[Progress, ...] = ()
@@ -113,10 +112,11 @@
 
 @_message
 class Released:
-    """A granted slot is free again, with what was seen of the engine.
+    """A granted slot is free again, with measurements of the engine.
 
     ``end`` is an ``AttemptEnd`` value; ``ttft_s`` and ``itl_s`` are the
-    time to first token and the mean time between tokens, 0 if unseen.
+    time to first token and the mean time between tokens, 0 if not
+    measured.
     """
 
     rid: str
@@ -130,13 +130,13 @@
     fingerprint: str = ""
 
 
-# Queueing in cells: dispatcher -> door.
+# Queueing in cells: dispatcher -> entry host.
 
 @_message
 class Grant:
     """An engine slot for a waiting attempt.
 
-    ``alone`` marks a suspect that has the engine to itself.
+    ``alone`` marks a suspect that gets the engine exclusively.
     """
 
     rid: str
@@ -148,7 +148,7 @@
 
 @_message
 class Refusal:
-    """The dispatcher gave a waiting attempt up; it was not run."""
+    """The dispatcher refused a waiting attempt; it was not run."""
 
     rid: str
     attempt: int
@@ -160,7 +160,7 @@
 
 @_message
 class NotDispatcher:
-    """The receiver does not own the cell in its own view."""
+    """The host that sends this doesn't own the cell in its own view."""
 
     cell: str
     rid: str = ""
@@ -168,14 +168,14 @@
 
 @_message
 class ReregisterAsk:
-    """The dispatcher asks a door for all it holds in a cell."""
+    """The dispatcher asks an entry host for its attempts in a cell."""
 
     cell: str
 
 
 @_message
 class CrashSeen:
-    """An engine crashed while these requests ran on it.
+    """A verdict on requests that ran on an engine when it may have crashed.
 
     Broadcast. ``verdict`` is ``suspect``, ``cleared`` or
     ``quarantined``, for each of ``fingerprints``.
@@ -191,7 +191,7 @@
 
 @_message
 class ClaimAsk:
-    """A door asks a slot's owner for a claim, or only to ``look``."""
+    """Ask a slot's owner for a claim; ``look`` only reads its state."""
 
     rid: str
     slot: int
@@ -207,9 +207,9 @@
     """The owner's answer to a claim.
 
     ``status`` is one of ``granted``, ``duplicate``, ``mismatch``,
-    ``too_old``, ``too_new`` (dated ahead), ``unavailable``, for a look
-    ``absent``. For a duplicate: the host and request that hold the
-    claim and the outcome as far as the ledger knows it.
+    ``too_old``, ``too_new`` (dated in the future), ``unavailable`` or, for
+    a look, ``absent``. For a duplicate, the other fields give the host and
+    request that hold the claim and the outcome as far as it is recorded.
     """
 
     rid: str
@@ -223,7 +223,7 @@
 
 @_message
 class ClaimSettle:
-    """A door reports how its claimed request ended."""
+    """An entry host reports how its claimed request ended."""
 
     rid: str
     slot: int
@@ -231,14 +231,14 @@
     outcome: str
 
 
-# Answers that another host holds.
+# Answers stored on another host.
 
 @_message
 class ReplayAsk:
-    """Ask the host that holds a request's answer for its events.
+    """Ask the host that stores a request's answer for its events.
 
-    ``after`` is the number of the last event the caller has;
-    ``proof`` shows that the same caller asks.
+    ``after`` is the number of the last event the caller has; ``proof``
+    shows that the request is from the same caller.
     """
 
     rid: str
@@ -249,9 +249,9 @@
 
 @_message
 class ReplayChunk:
-    """Part of a held answer.
+    """Part of a stored answer.
 
-    ``status`` is ``more``, ``end``, ``unknown`` (not held here) or
+    ``status`` is ``more``, ``end``, ``unknown`` (not stored here) or
     ``failed``.
     """
 
@@ -266,13 +266,13 @@
 
 @_message
 class MemberUpdate:
-    """What is said of one entry host.
+    """The status of one entry host as known to the sender.
 
     ``status`` is ``alive``, ``suspect``, ``dead`` or ``leaving``;
-    ``load`` is the share of the door's capacity in use, 0 to 1.
+    ``load`` is the share of the host's capacity in use, 0 to 1.
     ``refutations`` counts how often the host itself denied, within one
-    incarnation, that it was suspect or dead: the newer count wins. An
-    empty ``address`` means that address and labels are left out.
+    incarnation, that it was suspect or dead: the higher count wins. An
+    empty ``address`` means that the address and labels are omitted.
     """
 
     host: str
@@ -290,7 +290,7 @@
 
 @_message
 class Probe:
-    """Liveness probe; ``updates`` are disseminated along with it."""
+    """Liveness probe; ``updates`` are piggybacked on it."""
 
     seq: int
     updates: tuple[MemberUpdate, ...] = ()
@@ -317,18 +317,18 @@
 
 @_message
 class SettingsAsk:
-    """Ask a peer for what leads from ``have`` to its generation."""
+    """Ask a peer for the changes from ``have`` to its generation."""
 
     have: int
 
 
 @_message
 class SettingsAnswer:
-    """A peer's generation, with the stored objects that lead there.
+    """A peer's generation, with the stored objects to reach it.
 
     ``head`` is the stored head object; ``deltas`` are the stored delta
-    objects from ``base`` + 1 on, in order; empty when too far behind,
-    then the parts that the head names are asked for one by one.
+    objects from ``base`` + 1 on, in order, or empty if the requester is
+    too far behind; it then requests the parts named by the head one by one.
     """
 
     generation: int
@@ -346,7 +346,7 @@
 
 @_message
 class PartAnswer:
-    """One content-addressed part; empty ``data``: not held here."""
+    """One content-addressed part; ``data`` is empty if not stored here."""
 
     digest: str
     data: bytes = b""
@@ -356,7 +356,7 @@
 
 @_message
 class Backend:
-    """A backend server as the host list has it.
+    """A backend server as the host list describes it.
 
     ``kind`` is ``engine`` or ``plain``.
     """
@@ -372,7 +372,7 @@
 
 @_message
 class HostListAsk:
-    """Ask a peer for the host list when the platform can't be read."""
+    """Ask a peer for the host list if the platform can't be read."""
 
     have: int
 
@@ -381,8 +381,9 @@
 class HostListNews:
     """Backend servers that the sender saw leaving in the host list.
 
-    ``at`` is the list's own position, to order news. ``backends`` is
-    the whole list, only in an answer to :class:`HostListAsk`.
+    ``at`` is the list's own position, which orders these messages.
+    ``backends`` is the whole list, only in an answer to
+    :class:`HostListAsk`.
     """
 
     at: int
--- a/crocuskeel/core/placement.py
+++ b/crocuskeel/core/placement.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: which host owns a cell, a slot, a fingerprint.
+"""Rendezvous hashing: which host owns a cell, a slot or a fingerprint.
 
-Every host computes the same owner from the same live members, and when
-a member goes only its own keys move. Ownership is a matter of
-efficiency: two hosts whose views differ may both act as owner.
+Every host computes the same owner from the same live members, and when a
+member leaves only its own keys move. Ownership only affects efficiency:
+two hosts with different views of the members may both act as owner.
 """
 
 import functools
@@ -26,6 +26,6 @@
 
 
 def ranked(key, hosts):
-    """Return ``hosts`` ordered by their claim on ``key``."""
+    """Return ``hosts`` by descending score for ``key``, the owner first."""
     return sorted(hosts, key=lambda host: (_score(key, host), host),
                   reverse=True)
--- a/crocuskeel/core/problems.py
+++ b/crocuskeel/core/problems.py
@@ -1,7 +1,7 @@
 """Refusal codes and outcomes that callers see (RFC 9457 problem details).
 
-Every refusal names one :class:`Reason`; ``TABLE`` gives its HTTP status,
-title and whether the caller should come back.
+Every refusal names one :class:`Reason`; ``TABLE`` gives its HTTP status
+and title.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Stable codes; part of the callers' interface, never renamed."""
+    """Stable codes; part of the public API, never renamed."""
 
     UNAUTHORIZED = "unauthorized"
     BAD_REQUEST = "bad_request"
@@ -45,41 +45,41 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
-    """Fixed parts of a refusal: HTTP status and title."""
+class ProblemType:
+    """The HTTP status and title of a reason."""
 
     status: int
     title: str
 
 
 TABLE = {
-    Reason.UNAUTHORIZED: Kind(401, "The bearer token is not known"),
-    Reason.BAD_REQUEST: Kind(400, "The request can't be understood"),
-    Reason.TOO_LARGE: Kind(413, "The request is over its size limit"),
-    Reason.UNKNOWN_CLASS: Kind(404, "No such class in this workspace"),
-    Reason.KEY_REQUIRED: Kind(
+    Reason.UNAUTHORIZED: ProblemType(401, "The bearer token is not known"),
+    Reason.BAD_REQUEST: ProblemType(400, "The request can't be understood"),
+    Reason.TOO_LARGE: ProblemType(413, "The request is over its size limit"),
+    Reason.UNKNOWN_CLASS: ProblemType(404, "No such class in this workspace"),
+    Reason.KEY_REQUIRED: ProblemType(
         400, "A non-repeatable request needs an Idempotency-Key"),
-    Reason.KEY_MISMATCH: Kind(
+    Reason.KEY_MISMATCH: ProblemType(
         422, "This Idempotency-Key named another request"),
-    Reason.KEY_TOO_OLD: Kind(
+    Reason.KEY_TOO_OLD: ProblemType(
         409, "This Idempotency-Key is older than the kept span"),
-    Reason.OVERLOAD: Kind(503, "No capacity is left for this tier"),
-    Reason.QUEUE_FULL: Kind(429, "The queue of this class is full"),
-    Reason.DEADLINE: Kind(504, "The deadline can't be met"),
-    Reason.NO_BACKEND: Kind(503, "No backend server can take this"),
-    Reason.QUARANTINED: Kind(
+    Reason.OVERLOAD: ProblemType(503, "No capacity is left for this tier"),
+    Reason.QUEUE_FULL: ProblemType(429, "The queue of this class is full"),
+    Reason.DEADLINE: ProblemType(504, "The deadline can't be met"),
+    Reason.NO_BACKEND: ProblemType(503, "No backend server can take this"),
+    Reason.QUARANTINED: ProblemType(
         422, "This request crashed backend servers and is quarantined"),
-    Reason.CLAIM_UNAVAILABLE: Kind(
+    Reason.CLAIM_UNAVAILABLE: ProblemType(
         503, "The claim for this request can't be recorded now"),
-    Reason.DUPLICATE: Kind(409, "This request was already taken"),
-    Reason.BACKEND_LOST: Kind(502, "The backend server was lost"),
-    Reason.BACKEND_FAILED: Kind(502, "The backend server failed"),
-    Reason.STREAM_UNKNOWN: Kind(404, "No such stream for this caller"),
-    Reason.NOT_READY: Kind(503, "This host has no settings yet"),
-    Reason.LEAVING: Kind(503, "This host is leaving"),
-    Reason.SETTINGS_STALE: Kind(
+    Reason.DUPLICATE: ProblemType(409, "This request was already taken"),
+    Reason.BACKEND_LOST: ProblemType(502, "The backend server was lost"),
+    Reason.BACKEND_FAILED: ProblemType(502, "The backend server failed"),
+    Reason.STREAM_UNKNOWN: ProblemType(404, "No such stream for this caller"),
+    Reason.NOT_READY: ProblemType(503, "This host has no settings yet"),
+    Reason.LEAVING: ProblemType(503, "This host is leaving"),
+    Reason.SETTINGS_STALE: ProblemType(
         503, "This host has heard no settings for too long"),
-    Reason.INTERNAL: Kind(500, "This host failed on the request"),
+    Reason.INTERNAL: ProblemType(500, "This host failed on the request"),
 }
 
 
@@ -87,7 +87,7 @@
 class Problem:
     """One refusal or failure as a caller sees it.
 
-    ``retry_after_s`` is the time to come back, seconds; 0 for never.
+    ``retry_after_s`` is the time until a retry in seconds, 0 for none.
     """
 
     reason: Reason
--- a/crocuskeel/core/reducer.py
+++ b/crocuskeel/core/reducer.py
@@ -1,7 +1,7 @@
-"""The one reducer: every event of a daemon goes through ``reduce``.
+"""The reducer: every event of a daemon goes through ``reduce``.
 
-``ROUTES`` names, for each kind of event and of peer message, the
-concerns that take it, in order. A message a host sends to itself (it is
+``ROUTES`` maps each type of event and of peer message to the components
+that handle it, in order. A message that a host sends to itself (it is
 often its own dispatcher) is reduced at once, without the network.
 """
 
@@ -21,13 +21,13 @@
 
 __all__ = ["ROUTES", "reduce"]
 
-_ALL = (membership, follower, backends, quarantine, dispatch, claims,
-        door)
+_ALL_COMPONENTS = (membership, follower, backends, quarantine, dispatch,
+                   claims, door)
 
 ROUTES = {
-    events.Started: _ALL,
-    events.TimerFired: _ALL,
-    events.DrainAsked: _ALL,
+    events.Started: _ALL_COMPONENTS,
+    events.TimerFired: _ALL_COMPONENTS,
+    events.DrainAsked: _ALL_COMPONENTS,
     events.PeerUp: (follower, dispatch, claims, door),
     events.PeerDown: (follower, dispatch, claims, door),
     events.HostListSeen: (membership, backends, dispatch, door),
@@ -70,9 +70,9 @@
 
 
 def reduce(daemon, event, now):
-    """Reduce one event into state; return the effects in order.
+    """Apply one event to the state; return the effects in order.
 
-    ``now`` is the runtime's clock, seconds. ``daemon`` changes in
+    ``now`` is the runtime's clock in seconds. ``daemon`` is changed in
     place. Raises :class:`UnknownEvent` for an event without a route.
     """
     out = []
@@ -84,8 +84,8 @@
         if follower.forget(daemon, current):
             continue
         for effect in _step(daemon, current, now):
-            if _to_self(daemon, effect):
-                pending.append(_loop_back(daemon, effect))
+            if _is_to_self(daemon, effect):
+                pending.append(_received_from_self(daemon, effect))
             else:
                 out.append(effect)
         pending.extend(follower.unpark(daemon))
@@ -95,36 +95,36 @@
 
 
 def _must_drain(daemon):
-    # A newer process has this host's name: answers and grants meant for
-    # one would reach the other. The older one lets its work finish.
+    # A newer process runs under this host's name, so answers and grants
+    # for one could reach the other. The older one drains.
     return daemon.members.superseded and daemon.door.drain_at is None
 
 
 def _step(daemon, event, now):
     if type(event) is events.Received:
-        # Any message may carry a newer settings generation; the
-        # follower sees it before the message itself is judged. Any
-        # message is a sign of life, too.
+        # Any message may carry a newer settings generation; the follower
+        # handles it before the message itself is processed. Any message
+        # also shows that its sender is alive.
         out = follower.hear(daemon, event, now)
         membership.hear(daemon, event, now)
         kind = type(event.message)
     else:
         out = []
         kind = type(event)
-    concerns = ROUTES.get(kind)
-    if concerns is None:
+    components = ROUTES.get(kind)
+    if components is None:
         raise exceptions.UnknownEvent(kind.__name__)
-    for concern in concerns:
-        out += concern.handle(daemon, event, now)
+    for component in components:
+        out += component.handle(daemon, event, now)
     return out
 
 
-def _to_self(daemon, effect):
+def _is_to_self(daemon, effect):
     return (type(effect) is effects.Send
             and effect.host == daemon.me.host)
 
 
-def _loop_back(daemon, effect):
+def _received_from_self(daemon, effect):
     return events.Received(
         daemon.me.host, daemon.me.incarnation, effect.message,
         follower.generation(daemon))
--- a/crocuskeel/core/state.py
+++ b/crocuskeel/core/state.py
@@ -1,9 +1,9 @@
-"""State of one daemon: a part for each concern, one owner a part.
+"""State of one daemon, with one attribute for each component.
 
-``Daemon`` is handed to every concern's ``handle``. A concern reads any
-part through its owner's public functions and changes only its own.
-State is updated in place: copying queues on each of thousands of events
-a second would cost more than the decisions themselves.
+``Daemon`` is passed to every component's ``handle``. A component changes
+only its own state and reads that of others through their public
+functions. State is updated in place: copying queues on each of thousands
+of events a second would cost more than the decisions themselves.
 """
 
 import dataclasses
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this daemon is; learned from its settings file at start.
+    """Identity of this daemon, read from its settings file at start.
 
-    ``incarnation`` grows at each start: a rejoin under the same
-    address is a new incarnation.
+    ``incarnation`` grows with each start: a rejoin under the same address
+    is a new incarnation.
     """
 
     deployment: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of a daemon; counts unless the name ends in ``_s``."""
+    """Limits of a daemon: seconds if the name ends in ``_s``, else counts."""
 
     max_requests: int = 2000
     max_queue_per_cell: int = 4000
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Daemon:
-    """All state of one daemon, by concern."""
+    """All state of one daemon, by component."""
 
     me: Identity
     limits: Limits
