--- a/crocuskeel/core/entry/changelog.py
+++ b/crocuskeel/core/entry/changelog.py
@@ -1,23 +1,23 @@
-"""What changed in the list of servers, by the list's revisions.
+"""Changes of the list of servers, by revision of the list.
 
-A host that fetches the list from another says which revision it has and
-gets what changed since: among 3,000 servers one that changes is told in
-0.3 kB, the whole list takes 736 kB. What is kept is bounded; one that is
-too far behind gets the whole.
+A host that fetches the list from another host sends the revision that it has
+and gets the changes since: with 3,000 servers, one changed server takes
+0.3 kB and the full list 736 kB. The log is bounded; a host that is too far
+behind gets the full list.
 """
 
 import dataclasses
 
 __all__ = ["Changes", "Log", "note", "note_whole", "since"]
 
-# So many ids of servers that left are kept, some 200 kB: more than leave
-# in the minutes that a host may be cut off from all others.
-GONE_MOST = 2048
+# Maximum number of removed servers' ids that are kept, some 200 kB: more than
+# are removed in the minutes that a host may be cut off from all others.
+MAX_REMOVED = 2048
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Ids of servers, those that changed and those that left."""
+    """Ids of changed servers and of removed ones."""
 
     changed: tuple
     removed: tuple
@@ -25,23 +25,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Log:
-    """The newest change of each server, the oldest first.
+    """The last change of each server, oldest first.
 
-    ``begins`` is the revision of the list from which on all is known;
-    None while no list is. ``changes`` maps an id to the revision of the
-    list that showed its last change; ``gone`` holds, in the same order,
-    the ids of those that left.
+    ``first_revision`` is the revision since which the log is complete, None
+    while there is no list. ``changes`` maps an id to the revision of the
+    list that showed its last change; ``removed`` does so, in the same
+    order, for the ids of removed servers.
     """
 
-    begins: int | None = None
+    first_revision: int | None = None
     changes: dict = dataclasses.field(default_factory=dict)
-    gone: dict = dataclasses.field(default_factory=dict)
+    removed: dict = dataclasses.field(default_factory=dict)
 
 
 def note_whole(log, former, current, revision):
-    """Note the whole list of a revision; maps of ids to entries."""
-    if log.begins is None:
-        log.begins = revision
+    """Log a full list; ``former`` and ``current`` map ids to entries."""
+    if log.first_revision is None:
+        log.first_revision = revision
         return
     changed = [sid for sid, entry in current.items()
                if former.get(sid) != entry]
@@ -50,35 +50,35 @@
 
 
 def note(log, changed, removed, revision):
-    """Note what changed up to a revision; ids."""
+    """Log the ids of servers that changed up to a revision."""
     for sid in (*changed, *removed):
         log.changes.pop(sid, None)
-        log.gone.pop(sid, None)
+        log.removed.pop(sid, None)
         log.changes[sid] = revision
     for sid in removed:
-        log.gone[sid] = revision
-    if len(log.gone) > GONE_MOST:
-        _forget(log)
+        log.removed[sid] = revision
+    if len(log.removed) > MAX_REMOVED:
+        _discard_removed(log)
 
 
-def _forget(log):
-    """Forget the older half of those that left."""
-    for sid in list(log.gone)[:GONE_MOST // 2]:
-        log.begins = log.gone.pop(sid)
+def _discard_removed(log):
+    """Discard the older half of the removed servers."""
+    for sid in list(log.removed)[:MAX_REMOVED // 2]:
+        log.first_revision = log.removed.pop(sid)
         del log.changes[sid]
 
 
 def since(log, revision):
     """Return the Changes after a revision, or None if they aren't known.
 
-    What it costs grows with what changed, not with the list.
+    The cost grows with the number of changes, not with the list.
     """
-    if log.begins is None or revision < log.begins:
+    if log.first_revision is None or revision < log.first_revision:
         return None
     changed = []
     removed = []
     for sid in reversed(log.changes):
         if log.changes[sid] <= revision:
             break
-        (removed if sid in log.gone else changed).append(sid)
+        (removed if sid in log.removed else changed).append(sid)
     return Changes(tuple(changed), tuple(removed))
--- a/crocuskeel/core/entry/loads.py
+++ b/crocuskeel/core/entry/loads.py
@@ -1,28 +1,29 @@
-"""What other hosts have under way at a backend server, summed."""
+"""Load of other hosts at a backend server, with running totals."""
 
 import collections
 import math
 
 from crocuskeel.core.entry import pauses
 
-__all__ = ["SAID_S", "Loads"]
+__all__ = ["REPORT_TTL_S", "Loads"]
 
-# What another host said of its load counts for this long, s: three of
-# its datagrams.
-SAID_S = 1.0
+# A load report of another host counts for this long, s: three of its
+# datagrams.
+REPORT_TTL_S = 1.0
 
 
 class Loads:
-    """Rows of other hosts, with their sums at hand.
+    """Rows of other hosts, and totals over them.
 
-    ``running`` requests are at the server, ``reading`` of them with
-    prompts that it has yet to read, of ``tokens``. Each request looks at
-    each server: with 36 hosts' rows added up, placing one among 70
-    engines took 1.3 ms of a processor, with the sums 0.4 ms.
+    ``running`` requests are at the server; ``reading`` of them have prompts
+    that it has yet to read, with ``tokens`` in total. Totals are maintained
+    because each request examines each server: placing one among 70 engines
+    took 1.3 ms of CPU time when the rows of 36 hosts were summed for it, and
+    0.4 ms with totals.
     """
 
     __slots__ = ("gaps", "memory", "reading", "rows", "running", "tokens",
-                 "until")
+                 "next_expiry_at")
 
     def __init__(self):
         self.rows = collections.OrderedDict()
@@ -31,41 +32,42 @@
         self.reading = 0
         self.gaps = {}
         self.memory = 0
-        # When the oldest row expires. It is asked for six times a server
-        # when a prompt is placed: with this and what is the same at all
-        # servers worked out once, that takes 0.7 ms among 70, 1.9 before.
-        self.until = math.inf
+        # When the oldest row expires. It is checked six times per server
+        # when a prompt is placed: with this, and with values that are the
+        # same for all servers computed once, placing among 70 takes 0.7 ms
+        # instead of 1.9 ms.
+        self.next_expiry_at = math.inf
 
     def put(self, name, running, tokens, reading, now, gaps=(), memory=0):
-        """Take what a host says; ``now`` never goes back.
+        """Replace the row of a host; ``now`` never goes back.
 
-        ``gaps`` holds (priority, pause in ms, streams of that priority
-        that allow no longer one), ``memory`` is what its requests may come
-        to hold, tokens.
+        ``gaps`` holds (priority, pause in ms, number of streams of that
+        priority that allow no longer pause). ``memory`` is the number of
+        tokens that the host's requests may come to hold.
         """
         self.expire(now)
         if name in self.rows:
-            self._count(self.rows.pop(name), -1)
+            self._add(self.rows.pop(name), -1)
         row = (running, tokens, reading, now, gaps, memory)
         if running:
             self.rows[name] = row
-            self._count(row, 1)
-            self.until = min(self.until, now + SAID_S)
+            self._add(row, 1)
+            self.next_expiry_at = min(self.next_expiry_at, now + REPORT_TTL_S)
 
     def expire(self, now):
-        """Forget what was said too long ago."""
-        if now < self.until:
+        """Remove rows that are older than REPORT_TTL_S."""
+        if now < self.next_expiry_at:
             return
         while self.rows:
             name, row = next(iter(self.rows.items()))
-            self.until = row[3] + SAID_S
-            if now < self.until:
+            self.next_expiry_at = row[3] + REPORT_TTL_S
+            if now < self.next_expiry_at:
                 return
             del self.rows[name]
-            self._count(row, -1)
-        self.until = math.inf
+            self._add(row, -1)
+        self.next_expiry_at = math.inf
 
-    def _count(self, row, sign):
+    def _add(self, row, sign):
         self.running += sign * row[0]
         self.tokens += sign * row[1]
         self.reading += sign * row[2]
--- a/tests/entry/test_changelog.py
+++ b/tests/entry/test_changelog.py
@@ -1,4 +1,4 @@
-"""The changes of the list of servers that a host tells another."""
+"""The log of changes of the list of servers."""
 
 import random
 import unittest
@@ -7,7 +7,7 @@
 
 
 def _apply(known, current, changes):
-    """Return a list of servers after changes of it."""
+    """Return a list of servers with changes applied."""
     after = {sid: entry for sid, entry in known.items()
              if sid not in changes.removed}
     after.update((sid, current[sid]) for sid in changes.changed)
@@ -15,7 +15,7 @@
 
 
 class ChangelogTest(unittest.TestCase):
-    """Changes lead from any revision to the newest, or none are told."""
+    """Changes lead from any logged revision to the newest one."""
 
     def setUp(self):
         self.rng = random.Random(3)
@@ -30,24 +30,24 @@
         self.lists[revision] = dict(self.current)
 
     def _change(self, revision):
-        """Have some servers come, change and leave."""
+        """Add, change and remove some servers."""
         former = dict(self.current)
         for _ in range(self.rng.randrange(1, 4)):
             self.current[f"s{self.rng.randrange(60)}"] = revision
-        gone = [sid for sid in self.current if self.rng.random() < 0.04]
-        for sid in gone:
+        removed = [sid for sid in self.current if self.rng.random() < 0.04]
+        for sid in removed:
             del self.current[sid]
         self.lists[revision] = dict(self.current)
         return former
 
-    def test_any_host_that_is_behind_comes_to_the_same_list(self):
-        # A host that missed one server that left would send there for
-        # good; the list is told in parts, so nothing mends it later.
+    def test_any_host_that_is_behind_gets_the_same_list(self):
+        # A host that missed the removal of a server would send requests
+        # there for ever: only changes are sent, so nothing corrects it.
         self._begin(30, 10)
         for revision in range(11, 300):
             former = self._change(revision)
             if self.rng.random() < 0.1:
-                # The history is gone, the whole list is read anew.
+                # Changes are unavailable: the full list is read again.
                 changelog.note_whole(
                     self.log, former, self.current, revision)
             else:
@@ -62,7 +62,7 @@
             self.assertEqual(self.current, _apply(
                 self.lists[since], self.current, changes))
 
-    def test_one_that_is_too_far_behind_gets_no_changes(self):
+    def test_no_changes_are_known_for_a_revision_before_the_log(self):
         self.assertIsNone(changelog.since(self.log, 0))
         self._begin(3, 10)
         self.assertIsNone(changelog.since(self.log, 9))
@@ -70,14 +70,14 @@
             changelog.since(self.log, 10).changed,
             changelog.since(self.log, 10).removed))
 
-    def test_servers_that_left_are_forgotten_some_time(self):
-        # Each start of a server is a new id: over months a host would
-        # keep all that ever were.
+    def test_the_number_of_removed_servers_is_bounded(self):
+        # Each start of a server may have a new id: over months a host would
+        # accumulate all ids that ever existed.
         self._begin(1, 10)
-        for revision in range(11, 11 + 2 * changelog.GONE_MOST):
+        for revision in range(11, 11 + 2 * changelog.MAX_REMOVED):
             changelog.note(self.log, (), (f"old{revision}",), revision)
-        self.assertLessEqual(len(self.log.gone), changelog.GONE_MOST)
-        self.assertLessEqual(len(self.log.changes), changelog.GONE_MOST)
+        self.assertLessEqual(len(self.log.removed), changelog.MAX_REMOVED)
+        self.assertLessEqual(len(self.log.changes), changelog.MAX_REMOVED)
         self.assertIsNone(changelog.since(self.log, 10))
         self.assertEqual(1, len(changelog.since(
             self.log, revision - 1).removed))
--- a/tests/entry/test_health.py
+++ b/tests/entry/test_health.py
@@ -1,4 +1,4 @@
-"""What is believed of servers that can't be reached."""
+"""Servers that refuse connections or whose address was reused."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class RefusedTest(unittest.TestCase):
-    """A server whose host takes no connection."""
+    """A server that refuses connections."""
 
     def setUp(self):
         self.driver = support.Driver(support.route(), servers=PAIR)
@@ -22,32 +22,32 @@
     def _sid(self, key):
         return self.host.pending[key].tries[-1].sid
 
-    def test_other_hosts_hear_of_it_at_once(self):
-        # Eight engines crash. Six hosts each found out by themselves,
-        # several requests at a time: 661 sends to nobody in four seconds.
+    def test_other_hosts_are_notified_immediately(self):
+        # After eight engines crashed, each of six hosts detected it by its
+        # own requests: 661 requests to dead engines in four seconds.
         self.driver.arrive()
         sid = self._sid(1)
         out = self.driver.feed(events.Broken(
             1, 0, model.Outcome.REFUSED, "refused"), 0.01)
-        (told,) = [effect.event for effect
+        (sent,) = [effect.event for effect
                    in support.only(out, effects.Tell)]
-        self.assertEqual((sid,), told.refused)
+        self.assertEqual((sid,), sent.refused)
 
-    def test_what_others_say_is_believed_by_who_has_no_request_there(self):
-        # A host that is cut off from a server finds it refusing, too;
-        # one that hears answers from there knows better.
+    def test_a_report_counts_only_without_requests_at_the_server(self):
+        # A host that is cut off from a server sees it refuse connections,
+        # too; a host that gets responses from it has better information.
         self.driver.arrive()
-        mine = self._sid(1)
-        other = ({"s1", "s2"} - {mine}).pop()
+        used = self._sid(1)
+        other = ({"s1", "s2"} - {used}).pop()
         self.driver.feed(events.LoadHeard("host-1", (), ("s1", "s2")))
-        self.assertEqual(0.0, self.host.servers[mine].suspect_until)
+        self.assertEqual(0.0, self.host.servers[used].suspect_until)
         self.assertLess(self.driver.now,
                         self.host.servers[other].suspect_until)
 
-    def test_a_server_whose_address_is_another_s_is_not_asked_again(self):
-        # A crashed engine's address is used by a new one at once; the old
-        # entry stays for seconds and drew 409 requests, as it held what
-        # they needed.
+    def test_a_server_whose_address_was_reused_gets_no_requests(self):
+        # A new engine reused a crashed one's address at once. The old entry
+        # remained for seconds and attracted 409 requests, as it appeared to
+        # hold the prompt parts that they needed.
         self.driver.arrive()
         sid = self._sid(1)
         self.driver.feed(events.Broken(
@@ -56,16 +56,16 @@
         for key in range(2, 12):
             self.driver.arrive(key)
             self.assertNotEqual(sid, self._sid(key))
-        # Another host's list brings the entry once more, unchanged.
+        # Another host's list contains the unchanged entry once more.
         self.driver.feed(events.ServersListed(PAIR, 9, ()))
         self.assertTrue(self.host.servers[sid].misdirects)
         self.driver.feed(events.ServersChanged(
             (support.server(sid, slots=9),), (), 10))
         self.assertFalse(self.host.servers[sid].misdirects)
 
-    def test_a_new_entry_at_an_address_ends_the_old_one(self):
-        # A crashed engine is back under another id before its old entry
-        # lapses; what was sent to the old one met the new.
+    def test_a_new_entry_with_an_address_marks_the_old_one(self):
+        # A crashed engine returned under a new id before its old entry
+        # expired, and requests to the old entry reached the new engine.
         new = support.server("s3", address=("10.0.0.1", 99))
         old = support.server("s1", address=("10.0.0.1", 99))
         self.driver.feed(events.ServersChanged((old,), (), 8))
--- a/tests/entry/test_loads.py
+++ b/tests/entry/test_loads.py
@@ -1,4 +1,4 @@
-"""Sums of what other hosts say of their load."""
+"""Totals of the load that other hosts report."""
 
 import random
 import unittest
@@ -7,30 +7,30 @@
 
 
 class LoadsTest(unittest.TestCase):
-    """The sums are those of the rows that count."""
+    """The totals are those of the unexpired rows."""
 
-    def test_sums_are_those_of_the_last_rows_within_the_span(self):
-        # A sum that drifts from its rows would show an engine as busy
-        # for good, and no host would send anything there again.
+    def test_totals_match_the_unexpired_rows(self):
+        # A total that deviates from its rows would show an engine as busy
+        # for ever, and no host would send requests there again.
         rng = random.Random(5)
-        kept, said, now = loads.Loads(), {}, 10.0
+        totals, latest, now = loads.Loads(), {}, 10.0
         for _ in range(2000):
             now += rng.random() * 0.1
             name = f"host-{rng.randrange(12)}"
             row = tuple(rng.randrange(3) for _ in range(3))
-            kept.put(name, *row, now)
-            said[name] = (*row, now)
-            counted = [row for row in said.values()
-                       if row[0] and row[3] > now - loads.SAID_S]
+            totals.put(name, *row, now)
+            latest[name] = (*row, now)
+            counted = [row for row in latest.values()
+                       if row[0] and row[3] > now - loads.REPORT_TTL_S]
             self.assertEqual(
-                [sum(row[place] for row in counted) for place in range(3)],
-                [kept.running, kept.tokens, kept.reading])
+                [sum(row[index] for row in counted) for index in range(3)],
+                [totals.running, totals.tokens, totals.reading])
 
-    def test_a_silent_hosts_requests_stop_counting(self):
-        kept = loads.Loads()
-        kept.put("host-1", 4, 9000, 2, 1.0)
-        kept.expire(1.9)
-        self.assertEqual(4, kept.running)
-        kept.expire(2.1)
+    def test_the_load_of_a_silent_host_expires(self):
+        totals = loads.Loads()
+        totals.put("host-1", 4, 9000, 2, 1.0)
+        totals.expire(1.9)
+        self.assertEqual(4, totals.running)
+        totals.expire(2.1)
         self.assertEqual((0, 0, 0),
-                         (kept.running, kept.tokens, kept.reading))
+                         (totals.running, totals.tokens, totals.reading))
