--- a/crocuskeel/core/entry/carrying.py
+++ b/crocuskeel/core/entry/carrying.py
@@ -1,13 +1,14 @@
-"""How many hosts carry callers: as many as callers' requests need.
+"""How many hosts serve callers: as many as the callers' requests need.
 
-Carriers tell each other what they have under way at each engine. Where a
-hundred equal hosts all carried, each told twelve others, engines were
-chosen by what was not so, and 0.34 of what a day's requests were worth
-came in, 0.78 with few carriers and few candidates. Few carriers know
-nearly all; more are needed only for the requests.
+Serving hosts report to each other what they have in progress at each engine.
+When a hundred equal hosts all served callers and each reported to twelve
+others, engines were chosen by incorrect loads, and a day's requests yielded
+0.34 of their worth; with few serving hosts and few candidates they yielded
+0.78. A few serving hosts know nearly all the load; more are needed only to
+handle more requests.
 
-Each carrier works out from its own requests how many that takes, as
-callers spread evenly, and the largest number is passed on by all.
+Each serving host computes the number needed from its own request rate, as
+callers spread evenly, and all hosts pass on the largest number.
 """
 
 import dataclasses
@@ -15,31 +16,32 @@
 
 from crocuskeel.core.entry import budget
 
-__all__ = ["CARRIERS_FEW", "NOBODY", "Wanted", "count", "hear", "note_own",
-           "told"]
+__all__ = ["CARRIERS_FEW", "NOBODY", "Wanted", "advertised", "merge",
+           "note_own_demand", "serving_host_limit"]
 
-# So many may carry whatever the load is: each tells 12 others at a time,
-# so that what changes is known to all after two datagrams.
+# This many hosts may serve callers at any load: each sends to 12 others at a
+# time, so that all of them know of a change after two datagrams.
 CARRIERS_FEW = 24
-# Requests a second that one carrier is to have: each takes 5 to 8 ms of a
-# processor, so that a burst of five times as many still fits a core.
-REQUESTS_S = 20.0
-# A carrier counts its requests over so long, s: 80 of them at its usual
-# rate, which says it to a tenth; a start and a burst show within it.
-COUNTED_S = 4.0
-# What a carrier said counts for this long, s: bursts follow one another
+# Target rate of one serving host, requests a second: each request takes 5 to
+# 8 ms of CPU time, so that a burst of five times the rate still fits a core.
+TARGET_RATE = 20.0
+# Window over which a serving host measures its request rate, s: 80 requests
+# at the target rate give it to within a tenth, and a start or a burst shows
+# within the window.
+RATE_WINDOW_S = 4.0
+# A reported number is valid for this long, s: bursts follow one another
 # within ten to twenty seconds.
-KEPT_S = 10.0
-# A word is older by so much when it is read than when it was sent, s:
-# without this, hosts that pass it on would keep it young for ever.
-HOP_S = 0.1
+DEMAND_TTL_S = 10.0
+# Time added to the age of a number that another host sent, s: without it,
+# hosts that pass a number on to each other would keep it valid for ever.
+HOP_DELAY_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Wanted:
-    """How many carriers a host found to be needed, and when.
+    """The number of serving hosts that a host found necessary, and when.
 
-    In a datagram ``at`` is the age, s; in a host's state the time.
+    In a datagram ``at`` is the age, s; in a host's state it is the time.
     """
 
     carriers: int
@@ -49,40 +51,42 @@
 NOBODY = Wanted(0, -math.inf)
 
 
-def count(host, now):
-    """Return how many hosts may carry callers."""
-    return max(CARRIERS_FEW, _fresh(host, now).carriers)
+def serving_host_limit(host, now):
+    """Return the maximum number of serving hosts."""
+    return max(CARRIERS_FEW, _current(host, now).carriers)
 
 
-def _fresh(host, now):
-    if now > host.wanted.at + KEPT_S:
+def _current(host, now):
+    if now > host.wanted.at + DEMAND_TTL_S:
         return NOBODY
     return host.wanted
 
 
-def note_own(host, carriers, now):
-    """Note how many carriers this host's own requests show to be needed.
+def note_own_demand(host, serving, now):
+    """Record the number of serving hosts that this host's rate requires.
 
-    ``carriers`` is how many there are now, this one among them.
+    ``serving`` is the current number of serving hosts, including this one.
     """
-    total = budget.rate(host, COUNTED_S, now) * carriers
-    _take(host, Wanted(math.ceil(total / REQUESTS_S), now), now)
+    total = budget.rate(host, RATE_WINDOW_S, now) * serving
+    _replace_if_larger(
+        host, Wanted(math.ceil(total / TARGET_RATE), now), now)
 
 
-def hear(host, wanted, now):
-    """Take what another host knows."""
-    _take(host, Wanted(wanted.carriers, now - wanted.at - HOP_S), now)
+def merge(host, wanted, now):
+    """Merge the number that another host sent."""
+    _replace_if_larger(
+        host, Wanted(wanted.carriers, now - wanted.at - HOP_DELAY_S), now)
 
 
-def _take(host, wanted, now):
-    known = _fresh(host, now)
+def _replace_if_larger(host, wanted, now):
+    known = _current(host, now)
     if (wanted.carriers, wanted.at) > (known.carriers, known.at):
         host.wanted = wanted
 
 
-def told(host, now):
-    """Return what this host passes on."""
-    known = _fresh(host, now)
+def advertised(host, now):
+    """Return the number that this host sends to others."""
+    known = _current(host, now)
     if known is NOBODY:
         return Wanted(0, 0.0)
     return Wanted(known.carriers, now - known.at)
--- a/crocuskeel/core/entry/hints.py
+++ b/crocuskeel/core/entry/hints.py
@@ -1,4 +1,4 @@
-"""What servers say in the heads of their answers of what they take."""
+"""Hints in response headers: rate limit, draining, and time to back off."""
 
 from crocuskeel.core.entry import backoff
 from crocuskeel.core.entry import ending
@@ -10,22 +10,22 @@
 
 
 def seen(host, event, now):
-    """Take the hints of an answer's head, and tell what changed."""
+    """Handle the hints of a response's headers; broadcast what changed."""
     pending, attempt = ending.find(host, event)
     if attempt is None:
         return []
-    found = event.hints
-    out = ratelimits.named(host, attempt, found.rate_limit, now)
-    if found.leaving:
-        out += leaving.said(host, attempt, now)
+    received = event.hints
+    out = ratelimits.note_response(host, attempt, received.rate_limit, now)
+    if received.leaving:
+        out += leaving.note_response(host, attempt, now)
     if out:
-        out += telling.tell_hints(host, now)
-    if found.rest_s is not None:
-        out += backoff.asked(host, attempt, found.rest_s, now)
+        out += telling.broadcast_hints(host, now)
+    if received.rest_s is not None:
+        out += backoff.asked(host, attempt, received.rest_s, now)
     return out
 
 
 def heard(host, event, now):
-    """Take what another host was told by servers."""
-    return (ratelimits.heard(host, event.rate_limits, now)
-            + leaving.heard(host, event.servers_leaving, now))
+    """Handle hints that another host received from servers."""
+    return (ratelimits.merge(host, event.rate_limits, now)
+            + leaving.merge(host, event.servers_leaving, now))
--- a/crocuskeel/core/entry/leaving.py
+++ b/crocuskeel/core/entry/leaving.py
@@ -1,35 +1,35 @@
-"""Servers that leave, by the store or by what they say in their answers.
+"""Servers that drain, according to the store or to their responses.
 
-The load that this answers: a server that leaves while the store is away,
-or whose entry reaches hosts late. It says so in its answers, each of which
-reaches one host, so hosts tell each other. Leaving is final for an
-incarnation of a server: a host that sends it nothing could not hear of a
-change.
+Responses matter when a server begins to drain while the store is unavailable,
+or when its entry reaches hosts late. Each response reaches only one host, so
+hosts report draining servers to each other. Draining is final for an
+incarnation of a server: a host that sends it no requests could not learn of
+a change.
 """
 
 from crocuskeel.core.entry import effects
 
-__all__ = ["forget", "heard", "is_leaving", "rows", "said"]
+__all__ = ["forget", "is_leaving", "merge", "note_response", "rows"]
 
-# A server that is no longer listed is remembered for this long, s: its
-# entry may have lapsed and come back.
-KEPT_S = 60.0
+# A draining server that is no longer listed is kept for this long, s: its
+# entry may have expired and come back.
+RETENTION_S = 60.0
 
 
-def said(host, attempt, now):
-    """Note that an answer to an attempt says that its server leaves."""
-    return _learn(host, attempt.sid, attempt.incarnation, now)
+def note_response(host, attempt, now):
+    """Record that the response to an attempt says its server is draining."""
+    return _mark_draining(host, attempt.sid, attempt.incarnation, now)
 
 
-def heard(host, told, now):
-    """Take rows of another host: (server id, incarnation)."""
+def merge(host, received, now):
+    """Merge rows of another host: (server id, incarnation)."""
     out = []
-    for sid, incarnation in told:
-        out += _learn(host, sid, incarnation, now)
+    for sid, incarnation in received:
+        out += _mark_draining(host, sid, incarnation, now)
     return out
 
 
-def _learn(host, sid, incarnation, now):
+def _mark_draining(host, sid, incarnation, now):
     if incarnation in host.leaving:
         return []
     host.leaving[incarnation] = sid, now
@@ -37,16 +37,16 @@
 
 
 def is_leaving(host, server):
-    """Say whether a server leaves and must get nothing new."""
+    """Return whether a server is draining and must get no new requests."""
     if server.draining:
         return True
     return bool(host.leaving) and server.incarnation in host.leaving
 
 
 def rows(host):
-    """Return rows for other hosts, of servers that the store shows ready.
+    """Return rows for other hosts, of servers that the store lists as ready.
 
-    Of the others the store has told all hosts.
+    The store has told all hosts about the others.
     """
     return tuple((sid, incarnation)
                  for incarnation, (sid, _) in host.leaving.items()
@@ -60,7 +60,7 @@
 
 
 def forget(host, now):
-    """Forget servers that have long not been listed."""
+    """Remove servers that have not been listed for RETENTION_S."""
     for incarnation, (sid, at) in list(host.leaving.items()):
-        if sid not in host.servers and at < now - KEPT_S:
+        if sid not in host.servers and at < now - RETENTION_S:
             del host.leaving[incarnation]
--- a/crocuskeel/core/entry/peers.py
+++ b/crocuskeel/core/entry/peers.py
@@ -1,4 +1,4 @@
-"""What other hosts say: that they live, what they know, what they do."""
+"""Handlers of what other hosts send: their state, load and data versions."""
 
 from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import duties
@@ -16,15 +16,15 @@
 
 __all__ = ["heard", "load_heard", "seen"]
 
-# One peer is asked for newer state at a time, each, s.
-FETCH_S = 0.25
-# A host that follows the store fetches from a peer when it is behind for
-# this long, s: the store tells of a change in some ms.
-BEHIND_S = 0.4
+# Minimum interval between fetches of newer data from a peer, s.
+FETCH_INTERVAL_S = 0.25
+# A host that reads the store fetches from a peer only if it has been behind
+# for this long, s: the store reports a change within some ms.
+STORE_DELAY_S = 0.4
 
 
 def seen(host, event, now):
-    """Learn of hosts from the store; they count as heard for a moment."""
+    """Add hosts that the store lists; they count as just heard."""
     host.seen_at = now
     fleet.changed(host)
     for peer in event.peers:
@@ -34,7 +34,7 @@
 
 
 def heard(host, event, now):
-    """Take what another host says of itself."""
+    """Handle the state of another host."""
     peer = event.peer
     if peer.name == host.me.name:
         return []
@@ -54,45 +54,45 @@
     known.servers_revision = event.servers_revision
     known.reads_store = event.reads_store
     host.told_at = max(
-        host.told_at, now - event.informed_s - fleet.HOP_S)
-    carrying.hear(host, event.wanted, now)
+        host.told_at, now - event.informed_s - fleet.HOP_DELAY_S)
+    carrying.merge(host, event.wanted, now)
     duties.heard(host, event, now)
     for digest, incarnation in event.crashed:
         quarantine.learn(host, digest, incarnation, now)
-    _take_loads(host, event, now)
-    _take_carriers(host, event, now)
-    out += ratelimits.heard(host, event.rate_limits, now)
-    out += leaving.heard(host, event.servers_leaving, now)
+    _apply_loads(host, event, now)
+    _apply_serving_hosts(host, event, now)
+    out += ratelimits.merge(host, event.rate_limits, now)
+    out += leaving.merge(host, event.servers_leaving, now)
     out += telling.reply(host, known, now)
-    return out + _catch_up(host, known, now)
+    return out + _fetch_if_behind(host, known, now)
 
 
 def load_heard(host, event, now):
-    """Take another carrier's changes at engines."""
-    _take_rows(host, event.name, event.loads, now)
+    """Handle load changes that another serving host reports."""
+    _apply_load_rows(host, event.name, event.loads, now)
     for sid in event.refused:
         quarantine.note_gone(host, sid, now)
         state = host.servers.get(sid)
-        # A host that is cut off from a server finds it refusing, too. One
-        # with requests there notices a crash by itself.
+        # A host that is cut off from a server sees it refuse connections,
+        # too. A host with requests there detects a crash by itself.
         if state is not None and not state.mine:
             health.unreached(state, now)
     return []
 
 
-def _take_loads(host, event, now):
-    """Learn what another host has under way at each server."""
-    _take_rows(host, event.peer.name, event.loads, now)
+def _apply_loads(host, event, now):
+    """Record what another host has in progress at each server."""
+    _apply_load_rows(host, event.peer.name, event.loads, now)
     for sid, part, tokens in event.parts:
         state = host.servers.get(sid)
         if state is not None:
-            # The host that sent it there tells what there is to read, too.
+            # The sender's load rows include the tokens yet to be read.
             parts.remember(state, part, tokens,
-                           _memory(host, state.server.service),
+                           _engine_memory(host, state.server.service),
                            now + serverload.ahead_s(state, now))
 
 
-def _take_rows(host, name, rows, now):
+def _apply_load_rows(host, name, rows, now):
     for sid, count, tokens, reading, silent_ms, gaps, memory in rows:
         state = host.servers.get(sid)
         if state is None:
@@ -103,48 +103,48 @@
         state.heard_at = max(state.heard_at, now - silent_ms / 1000)
 
 
-def _memory(host, service):
+def _engine_memory(host, service):
     engine = parts.engine_of(host, service)
     return engine.memory if engine is not None else 0
 
 
-def _take_carriers(host, event, now):
+def _apply_serving_hosts(host, event, now):
     for name in event.carriers:
         known = host.peers.get(name)
         if known is not None:
             known.vouched_at = now
 
 
-def _catch_up(host, known, now):
-    """Fetch what a peer knows that is newer."""
+def _fetch_if_behind(host, known, now):
+    """Fetch data from a peer that has a newer revision."""
     since = _behind_since(host, known, now)
     if since is None:
         return []
     if known.catalog_revision == 0 or now < host.fetch_at:
         return []
     reads = fleet.reads_store(host, now) and host.store_lost_at is None
-    if reads and host.catalog and now < since + BEHIND_S:
-        # The store tells this host itself, in a moment. It does not if
-        # this host's watch fell silent: the wait is bounded.
+    if reads and host.catalog and now < since + STORE_DELAY_S:
+        # The store is expected to report the change shortly. The wait is
+        # bounded, as it doesn't if this host's watch is stalled.
         return []
-    host.fetch_at = now + FETCH_S
+    host.fetch_at = now + FETCH_INTERVAL_S
     return [effects.FetchCatalog(known.peer)]
 
 
 def _behind_since(host, known, now):
-    """Return since when what a peer knows is newer, or None.
+    """Return since when a peer has had newer data, or None.
 
-    By kind: changes of servers that go on coming say nothing of the
-    configuration.
+    Configuration and servers are tracked separately: a steady stream of
+    server changes doesn't show that the configuration is up to date.
     """
-    found = []
+    times = []
     revision = host.catalog.revision if host.catalog else 0
     if known.catalog_revision > revision:
         if host.catalog_behind_at is None:
             host.catalog_behind_at = now
-        found.append(host.catalog_behind_at)
+        times.append(host.catalog_behind_at)
     if known.servers_revision > host.servers_revision:
         if host.servers_behind_at is None:
             host.servers_behind_at = now
-        found.append(host.servers_behind_at)
-    return min(found, default=None)
+        times.append(host.servers_behind_at)
+    return min(times, default=None)
--- a/crocuskeel/core/entry/registry.py
+++ b/crocuskeel/core/entry/registry.py
@@ -1,9 +1,9 @@
 """Configuration in force and registered backend servers.
 
-What is known stays in force while the store is away. Servers' entries
-lapse when the store doesn't hear them for some seconds, so an outage may
-remove servers that are well: they are used on for the two seconds in
-which they register again, and are gone after that.
+The last known data stays in force while the store is unavailable. Server
+entries expire when the store gets no heartbeat for some seconds, so a store
+outage may remove healthy servers. They stay in use for a grace period of two
+seconds in which they can register again, and are dropped after that.
 """
 
 import math
@@ -18,119 +18,121 @@
 __all__ = ["catalog_seen", "expire", "lapsing", "servers_changed",
            "servers_listed", "store_back", "store_left", "store_lost"]
 
-# Lapsed servers register again within some 2 s of the store's return. One
-# that left instead must get nothing 2 s after its entry went, so what is
-# sent last must have reached it by then: s.
-BACK_S = 1.6
-# At least this share of a service removed at once is a lapse of entries
-# and not servers that leave, if none of them said that it drains.
-LAPSE_SHARE = 0.5
+# Grace period of expired entries, s. Servers register again within some 2 s
+# of the store's return. A server that left instead must get nothing 2 s
+# after its entry was removed, so the last request must have reached it by
+# then.
+GRACE_S = 1.6
+# If at least this share of a service is removed at once, not counting
+# draining servers, the entries expired and the servers didn't leave.
+MIN_EXPIRED_SHARE = 0.5
 
 
 def catalog_seen(host, event, now):
-    """Put a configuration in force, unless a newer one is."""
+    """Put a configuration in force unless it is older than the current."""
     catalog = event.catalog
     if host.catalog and catalog.revision <= host.catalog.revision:
         return []
     host.catalog = catalog
     host.catalog_behind_at = None
-    line = effects.Note("catalog", {
+    note = effects.Note("catalog", {
         "version": catalog.version, "revision": catalog.revision,
         "routes": sum(map(len, catalog.routes.values()))})
-    return [line, *telling.tell_news(host, now)]
+    return [note, *telling.broadcast_change(host, now)]
 
 
 def servers_listed(host, event, now):
-    """Take the whole list; entries that are missing left or lapsed."""
+    """Apply the full list; missing servers left or their entries expired."""
     host.servers_known = True
     listed = {server.sid for server in event.servers}
     listed.update(event.unreadable)
     missing = tuple(sid for sid in host.servers if sid not in listed)
-    kept = _kept(host, event, missing, now)
-    return _apply(host, event, event.servers, missing, kept, now)
+    grace_ends = _grace_ends(host, event, missing, now)
+    return _apply(host, event, event.servers, missing, grace_ends, now)
 
 
 def servers_changed(host, event, now):
-    """Take changes of the list."""
-    kept = _kept(host, event, event.removed, now)
-    return _apply(host, event, event.changed, event.removed, kept, now)
+    """Apply changes of the list."""
+    grace_ends = _grace_ends(host, event, event.removed, now)
+    return _apply(
+        host, event, event.changed, event.removed, grace_ends, now)
 
 
-def _kept(host, event, removed, now):
-    """Return until when removed servers are kept, by their ids."""
+def _grace_ends(host, event, removed, now):
+    """Return the ends of grace periods by the ids of removed servers."""
     if event.lapsing is None:
-        return _lapses(host, removed, now)
-    # That host read the store, this one did not: what it saw leave has
-    # left, also if this host was cut off meanwhile.
+        return _own_grace_ends(host, removed, now)
+    # The sender read the store and this host did not: servers that the
+    # sender saw leave have left, even if this host was cut off meanwhile.
     return {sid: now + left_s for sid, left_s in event.lapsing}
 
 
-def _apply(host, event, changed, removed, kept, now):
-    """Take changes; ``kept`` maps lapsed servers to when they go."""
+def _apply(host, event, changed, removed, grace_ends, now):
+    """Apply changes; ``grace_ends`` maps expired servers to drop times."""
     host.servers_revision = max(host.servers_revision, event.revision)
     host.servers_behind_at = None
     out = []
-    anew = restarting.started_again(host, changed)
+    restarted = restarting.restarted_servers(host, changed)
     addresses = {}
     if any(server.sid not in host.servers for server in changed):
         addresses = _by_address(host)
     for server in changed:
-        out += _put(host, server, addresses, now)
+        out += _add_or_update(host, server, addresses, now)
     for sid in removed:
-        out += _remove(host, sid, kept, event.revision, now)
+        out += _remove(host, sid, grace_ends, event.revision, now)
     for sid in event.unreadable:
-        # Its entry names no server. That says nothing of a crash.
+        # An unreadable entry is no sign of a crash.
         if sid in host.servers:
-            _drop(host, sid)
+            _delete(host, sid)
             out.append(effects.Note("server_unreadable", {"server": sid}))
-    _index(host)
-    out += restarting.end_former_runs(host, anew, now)
-    return out + telling.tell_news(host, now)
+    _rebuild_index(host)
+    out += restarting.end_orphaned_attempts(host, restarted, now)
+    return out + telling.broadcast_change(host, now)
 
 
-def _remove(host, sid, kept, revision, now):
+def _remove(host, sid, grace_ends, revision, now):
     if sid not in host.servers:
         return []
     if not leaving.is_leaving(host, host.servers[sid].server):
         quarantine.note_gone(host, sid, now)
-    if sid not in kept:
-        _drop(host, sid)
+    if sid not in grace_ends:
+        _delete(host, sid)
     elif host.servers[sid].lapses_at is None:
-        host.servers[sid].lapses_at = kept[sid]
+        host.servers[sid].lapses_at = grace_ends[sid]
         host.lapsing[sid] = None
     return [effects.Note("server_removed", {
-        "server": sid, "revision": revision, "lapse": sid in kept})]
+        "server": sid, "revision": revision, "lapse": sid in grace_ends})]
 
 
-def _put(host, server, addresses, now):
+def _add_or_update(host, server, addresses, now):
     host.lapsing.pop(server.sid, None)
     known = host.servers.get(server.sid)
     if known is None:
-        _end_former(host, server, addresses)
+        _mark_former_owners(host, server, addresses)
         state = states.new_server(server, now)
         host.servers[server.sid] = state
         addresses.setdefault(server.address, []).append(state)
         return [effects.Note("server_added", {
             "server": server.sid, "service": server.service,
             "draining": server.draining})]
-    was = known.server
-    if restarting.is_restart(was, server):
-        return restarting.begin_anew(host, server, now)
+    former = known.server
+    if restarting.is_restart(former, server):
+        return restarting.reset_server(host, server, now)
     known.server = server
     known.lapses_at = None
-    if was != server:
+    if former != server:
         known.misdirects = False
-    if was.draining == server.draining:
+    if former.draining == server.draining:
         return []
     return [effects.Note("server_state", {
         "server": server.sid, "draining": server.draining})]
 
 
-def _end_former(host, server, addresses):
-    """Note that a new server has an address that was another's.
+def _mark_former_owners(host, server, addresses):
+    """Mark servers whose address now belongs to a new server.
 
-    Not by the word of an entry whose service is not configured: that is
-    no server of this system, and may name any address.
+    Entries of services that are not configured are ignored: they are no
+    servers of this system and may name any address.
     """
     if host.catalog and server.service not in host.catalog.services:
         return
@@ -141,64 +143,66 @@
 def _by_address(host):
     """Return the servers by their addresses.
 
-    3,000 servers that register one after the other were each compared
-    with all others: 0.95 s of a processor, with this 0.01 s.
+    Comparing each of 3,000 servers that register one after the other with
+    all others took 0.95 s of CPU time; with this index it takes 0.01 s.
     """
-    found = {}
+    by_address = {}
     for state in host.servers.values():
-        found.setdefault(state.server.address, []).append(state)
-    return found
+        by_address.setdefault(state.server.address, []).append(state)
+    return by_address
 
 
-def _lapses(host, removed, now):
-    """Return until when removed servers are kept that may have lapsed."""
+def _own_grace_ends(host, removed, now):
+    """Return the ends of grace periods of entries that may have expired."""
     if host.store_lost_at is not None:
-        ends = math.inf
-    elif _was_away(host, now):
-        ends = host.store_back_at + BACK_S
+        ends_at = math.inf
+    elif _store_returned_recently(host, now):
+        ends_at = host.store_back_at + GRACE_S
     else:
-        ends = now + BACK_S
-    return dict.fromkeys(_lapsed(host, removed, now), ends)
-
-
-def _lapsed(host, removed, now):
-    gone = [host.servers[sid] for sid in removed if sid in host.servers
-            and not leaving.is_leaving(host, host.servers[sid].server)]
-    if host.store_lost_at is not None or _was_away(host, now):
-        return {state.server.sid for state in gone}
-    lapsed = set()
-    for service in {state.server.service for state in gone}:
-        here = [state.server.sid for state in gone
+        ends_at = now + GRACE_S
+    return dict.fromkeys(_expired_ids(host, removed, now), ends_at)
+
+
+def _expired_ids(host, removed, now):
+    removed_states = [
+        host.servers[sid] for sid in removed if sid in host.servers
+        and not leaving.is_leaving(host, host.servers[sid].server)]
+    if host.store_lost_at is not None or (
+            _store_returned_recently(host, now)):
+        return {state.server.sid for state in removed_states}
+    expired = set()
+    for service in {state.server.service for state in removed_states}:
+        sids = [state.server.sid for state in removed_states
                 if state.server.service == service]
-        whole = len(host.by_service.get(service, ()))
-        if len(here) > 1 and len(here) >= whole * LAPSE_SHARE:
-            lapsed.update(here)
-    return lapsed
+        total = len(host.by_service.get(service, ()))
+        if len(sids) > 1 and len(sids) >= total * MIN_EXPIRED_SHARE:
+            expired.update(sids)
+    return expired
 
 
-def _was_away(host, now):
-    back = host.store_back_at
-    return back is not None and now < back + BACK_S
+def _store_returned_recently(host, now):
+    returned_at = host.store_back_at
+    return returned_at is not None and now < returned_at + GRACE_S
 
 
 def lapsing(host, now):
-    """Return (server id, seconds) of entries that lapsed and are kept."""
+    """Return (server id, seconds left) of expired entries in grace."""
     return tuple(
-        (state.server.sid, max(0.0, min(BACK_S, state.lapses_at - now)))
-        for state in _lapsing(host))
+        (state.server.sid, max(0.0, min(GRACE_S, state.lapses_at - now)))
+        for state in _expired_servers(host))
 
 
-def _lapsing(host):
+def _expired_servers(host):
     return [host.servers[sid] for sid in host.lapsing]
 
 
-def _drop(host, sid):
+def _delete(host, sid):
     host.servers.pop(sid, None)
     host.working.pop(sid, None)
     host.lapsing.pop(sid, None)
 
 
-def _index(host):
+def _rebuild_index(host):
     host.by_service = {}
     host.rings = {}
     for state in host.servers.values():
@@ -207,50 +211,50 @@
 
 
 def expire(host, now):
-    """Drop servers that did not register again in time."""
-    late = [state.server.sid for state in _lapsing(host)
-            if state.lapses_at <= now]
-    for sid in late:
-        _drop(host, sid)
-    if late:
-        _index(host)
-    return [effects.Note("server_gone", {"server": sid}) for sid in late]
+    """Drop servers that did not register again in the grace period."""
+    overdue = [state.server.sid for state in _expired_servers(host)
+               if state.lapses_at <= now]
+    for sid in overdue:
+        _delete(host, sid)
+    if overdue:
+        _rebuild_index(host)
+    return [effects.Note("server_gone", {"server": sid}) for sid in overdue]
 
 
 def store_lost(host, event, now):
-    """Note that the store does not answer."""
+    """Record that the store does not answer."""
     if host.store_lost_at is not None:
         return []
     host.store_lost_at = now
-    for state in _lapsing(host):
-        # What has not registered again can't do so now.
+    for state in _expired_servers(host):
+        # It can't register again until the store is back.
         state.lapses_at = math.inf
     return [effects.Note("store_lost", {"why": event.reason})]
 
 
 def store_back(host, event, now):
-    """Note that the store answers again."""
+    """Record that the store answers again."""
     if host.store_lost_at is None:
         return []
-    away = now - host.store_lost_at
+    outage_s = now - host.store_lost_at
     host.store_back_at = now
-    _wait_no_more(host, now)
-    return [effects.Note("store_back", {"away_s": round(away, 2)})]
+    _end_store_outage(host, now)
+    return [effects.Note("store_back", {"away_s": round(outage_s, 2)})]
 
 
 def store_left(host, event, now):
-    """Go by what other hosts say: they read the store, this one not.
+    """Stop waiting for the store, as other hosts read it for this one.
 
-    A host that waited on for a store that it no longer asks would keep
-    servers that have left for good.
+    A host that kept waiting for a store that it no longer calls would never
+    drop servers that left.
     """
     if host.store_lost_at is None:
         return []
-    _wait_no_more(host, now)
+    _end_store_outage(host, now)
     return [effects.Note("store_left", {})]
 
 
-def _wait_no_more(host, now):
+def _end_store_outage(host, now):
     host.store_lost_at = None
-    for state in _lapsing(host):
-        state.lapses_at = min(state.lapses_at, now + BACK_S)
+    for state in _expired_servers(host):
+        state.lapses_at = min(state.lapses_at, now + GRACE_S)
--- a/crocuskeel/core/entry/restarting.py
+++ b/crocuskeel/core/entry/restarting.py
@@ -1,9 +1,9 @@
-"""Backend servers that start again under the id that they had.
+"""Backend servers that restart under the same id.
 
-The new process holds no prompt and runs nothing of before, so nothing
-that was learned of the former one may decide about it. What that one ran
-is over, though its connections may not show it: a server that lost power
-resets them only when it is sent something more.
+The new process holds no prompt and runs no earlier request, so nothing that
+was recorded about the former process applies to it. The requests of the
+former process are lost, though the connections may not show it: after a
+power loss a server resets them only when it is sent more data.
 """
 
 from crocuskeel.core.entry import attempts
@@ -13,34 +13,35 @@
 from crocuskeel.core.entry import quarantine
 from crocuskeel.core.entry import state as states
 
-__all__ = ["begin_anew", "end_former_runs", "is_restart", "started_again"]
+__all__ = ["end_orphaned_attempts", "is_restart", "reset_server",
+           "restarted_servers"]
 
-# A server writes its entry as it starts and with each heartbeat, some 1.2 s
-# apart, and the list lags by up to a second more: what was sent, or gave
-# a sign, later than this before the entry came may be the new process's,
-# s.
-SEEN_S = 2.5
+# A server writes its entry when it starts and with each heartbeat, some 1.2 s
+# apart, and the list lags by up to a second more. So an attempt that was sent
+# or active within this time before the entry came, s, may belong to the new
+# process.
+ENTRY_DELAY_S = 2.5
 
 
-def is_restart(was, server):
-    """Say whether an entry is of another process than the one before."""
-    return (server.born is not None and was.born is not None
-            and server.born != was.born)
+def is_restart(former, server):
+    """Return whether an entry is of another process than the former one."""
+    return (server.born is not None and former.born is not None
+            and server.born != former.born)
 
 
-def started_again(host, changed):
-    """Return those of the changed servers that started again."""
+def restarted_servers(host, changed):
+    """Return those of the changed servers that restarted."""
     return [server for server in changed
             if server.sid in host.servers
             and is_restart(host.servers[server.sid].server, server)]
 
 
-def begin_anew(host, server, now):
-    """Forget what was known of the former process."""
+def reset_server(host, server, now):
+    """Discard what was recorded about the former process of a server."""
     quarantine.note_gone(host, server.sid, now)
     former = host.servers[server.sid]
     state = states.new_server(server, now)
-    # Requests in progress are counted until they end.
+    # Requests in progress count until they end.
     state.mine = former.mine
     state.gaps = former.gaps
     state.memory = former.memory
@@ -51,27 +52,28 @@
         "mine": len(former.mine)})]
 
 
-def end_former_runs(host, servers, now):
-    """End what the former processes of servers ran."""
+def end_orphaned_attempts(host, servers, now):
+    """End the attempts that the former processes of servers ran."""
     out = []
     for server in servers:
-        for pending, attempt in _former_runs(host, server, now):
+        for pending, attempt in _orphaned_attempts(host, server, now):
             out.append(effects.Cancel(pending.key, attempt.turn))
             out += attempts.broken(host, events.Broken(
                 pending.key, attempt.turn, model.Outcome.BROKEN,
-                "server started again"), now)
+                "server restarted"), now)
     return out
 
 
-def _former_runs(host, server, now):
+def _orphaned_attempts(host, server, now):
     state = host.servers[server.sid]
-    found = []
+    orphaned = []
     for key, turn in state.mine:
         pending = host.pending[key]
         attempt = pending.tries[turn]
-        signs = attempt.at
+        active_at = attempt.at
         if attempt.opened:
-            signs = max(signs, pending.progress_at)
-        if attempt.incarnation != server.incarnation and signs <= now - SEEN_S:
-            found.append((pending, attempt))
-    return found
+            active_at = max(active_at, pending.progress_at)
+        if (attempt.incarnation != server.incarnation
+                and active_at <= now - ENTRY_DELAY_S):
+            orphaned.append((pending, attempt))
+    return orphaned
--- a/crocuskeel/core/entry/telling.py
+++ b/crocuskeel/core/entry/telling.py
@@ -1,8 +1,9 @@
-"""What a host tells others of itself, to whom and how often.
+"""What a host sends to other hosts about itself, to whom and how often.
 
-Carriers tell each other their state several times a second, and what
-changes at engines at once. Any other host tells a few of them, and hears
-theirs in reply: what a host sends and reads doesn't grow with the fleet.
+Serving hosts send each other their state several times a second, and load
+changes at engines immediately. Any other host sends its state to a few
+serving hosts and receives theirs in reply, so the traffic of a host doesn't
+grow with the fleet.
 """
 
 import math
@@ -18,126 +19,132 @@
 from crocuskeel.core.entry import routing
 from crocuskeel.core.entry import serverload
 
-__all__ = ["loads_due", "note_changes", "reply", "tell",
-           "tell_hints", "tell_lease", "tell_news"]
-
-# Crashes are told again for this long, s: a datagram may be lost.
-RETOLD_S = 2.0
-# Of so many at the most in one datagram, which holds 64 kB: a row with
-# streams takes up to 100 bytes.
-LOADS_MOST = 400
-# News are told this often at most, s, else with the next state: while
-# 3,000 servers register, each host that reads the store told 12 others
-# its whole state for each change, 250 times a second.
-NEWS_GAP_S = 0.1
-# What changes at engines is told this often at most, s: a host with 30
-# requests a second changes them 90 times, and each change went to nine
-# hosts; an engine takes 100 ms and more to read a prompt.
+__all__ = ["broadcast_change", "broadcast_hints", "loads_due",
+           "note_changes", "reply", "tell", "tell_lease"]
+
+# Crashes are included in the state for this long, s: a datagram may be
+# lost.
+CRASH_REPEAT_S = 2.0
+# Limit of rows in one datagram, which holds 64 kB: a row with streams takes
+# up to 100 bytes.
+MAX_ROWS = 400
+# Minimum interval between broadcasts of a change, s; in between, the next
+# periodic state carries it. While 3,000 servers registered, each host that
+# reads the store sent its whole state to 12 others for each change, 250
+# times a second.
+MIN_CHANGE_INTERVAL_S = 0.1
+# Minimum interval between load updates, s: a host with 30 requests a second
+# changes loads 90 times a second, and each change went to nine hosts; an
+# engine takes 100 ms and more to read a prompt.
 LOADS_GAP_S = 0.03
-# Parts sent to engines are told for this long, s: in two datagrams.
-PARTS_S = 0.6
-# Up to so many carriers tell each other everything; of more, each tells
-# so many at a time, drawn anew.
+# Prompt parts sent to engines are included in the state for this long, s:
+# in two datagrams.
+PARTS_REPEAT_S = 0.6
+# Up to this many other serving hosts form a full mesh; with more, each sends
+# to this many, chosen at random each time.
 MESH_MOST = 12
-# Carriers that another host tells its state, and how often, s.
+# Number of serving hosts that a non-serving host sends its state to, and
+# the interval, s.
 CONTACTS = 3
-CONTACT_S = 0.6
-# A silent host that had the capacity to carry callers is told again after
-# so many seconds, so many at a time.
-LOST_S = 1.0
-LOST_MOST = 2
+CONTACT_INTERVAL_S = 0.6
+# A silent host with enough capacity to serve callers is sent the state
+# again at this interval, s, and at most this many of them at a time.
+SILENT_RETRY_S = 1.0
+MAX_SILENT_RETRIES = 2
 
 
 def tell(host, now):
-    """Tell contacts this host's state, as often as they need it."""
+    """Send this host's state to its contacts, each at its interval."""
     contacts = _contacts(host, now)
-    carries = fleet.is_carrier(host, now)
-    if carries:
-        carrying.note_own(host, len(fleet.carriers(host, now)), now)
-    contacts += _lost(host, now, contacts)
-    state = _state(host, now, carries)
+    serving = fleet.is_serving_host(host, now)
+    if serving:
+        carrying.note_own_demand(
+            host, len(fleet.carriers(host, now)), now)
+    contacts += _silent_contacts(host, now, contacts)
+    state = _state(host, now, serving)
     out = []
-    span = 0.0 if carries else CONTACT_S
+    interval = 0.0 if serving else CONTACT_INTERVAL_S
     for peer in contacts:
         known = host.peers[peer.name]
-        if now >= known.told_at + span - 0.01:
+        if now >= known.told_at + interval - 0.01:
             known.told_at = now
             out.append(effects.Tell(peer, state))
     return out
 
 
-def tell_news(host, now):
-    """Tell all contacts at once that something newer is known."""
-    if now < host.told_news_at + NEWS_GAP_S:
-        # The next state tells it.
+def broadcast_change(host, now):
+    """Send the state to all contacts at once, as newer data is known."""
+    if now < host.told_news_at + MIN_CHANGE_INTERVAL_S:
+        # The next periodic state includes it.
         return []
     host.told_news_at = now
-    return _tell_contacts(host, now)
+    return _broadcast_state(host, now)
 
 
 def tell_lease(host, now):
-    """Tell all contacts at once what this host knows of the lease.
+    """Send what this host knows of the lease to all contacts at once.
 
-    A holder that was killed before it told of its last renewal was
-    followed 7 s later, with this 4 s: others count from what they know.
+    When a holder was killed before it had announced its last renewal, its
+    successor took over after 7 s, and with this after 4 s: other hosts
+    count from the last renewal that they know.
     """
-    return _tell_contacts(host, now)
+    return _broadcast_state(host, now)
 
 
-def tell_hints(host, now):
-    """Tell all contacts at once what servers name in their answers."""
-    news = events.HintsHeard(
-        host.me.name, _some(host, ratelimits.rows(host, now)),
-        _some(host, leaving.rows(host)))
-    return [effects.Tell(peer, news) for peer in _contacts(host, now)]
+def broadcast_hints(host, now):
+    """Send the hints in servers' answers to all contacts at once."""
+    update = events.HintsHeard(
+        host.me.name, _sample_rows(host, ratelimits.rows(host, now)),
+        _sample_rows(host, leaving.rows(host)))
+    return [effects.Tell(peer, update) for peer in _contacts(host, now)]
 
 
-def _some(host, rows):
-    """Return what a datagram holds of rows, drawn anew each time."""
-    if len(rows) <= LOADS_MOST:
+def _sample_rows(host, rows):
+    """Return rows, or a random sample if one datagram can't hold all."""
+    if len(rows) <= MAX_ROWS:
         return rows
-    return tuple(host.rng.sample(rows, LOADS_MOST))
+    return tuple(host.rng.sample(rows, MAX_ROWS))
 
 
-def _tell_contacts(host, now):
+def _broadcast_state(host, now):
     state = _state(host, now, False)
     return [effects.Tell(peer, state) for peer in _contacts(host, now)]
 
 
 def note_changes(host, now):
-    """Tell other carriers what changed at engines, at once or soon.
+    """Send load changes to other serving hosts now or at the next interval.
 
-    An engine reads a prompt in a tenth of a second: hosts that heard of
-    each other's sends only with their next state would all send to the
-    same idle engine.
+    An engine reads a prompt in a tenth of a second: hosts that learned of
+    each other's requests only with the next periodic state would all send
+    to the same idle engine.
     """
-    due_at = host.told_load_at + _loads_gap_s(host, now)
+    due_at = host.told_load_at + _load_update_interval_s(host, now)
     if now >= due_at:
-        return _tell_loads(host, now)
+        return _send_loads(host, now)
     if host.load_is_due:
         return []
     host.load_is_due = True
     return [effects.TellLoads(due_at)]
 
 
-def _loads_gap_s(host, now):
-    """Return how often this host tells what changes at engines, s.
+def _load_update_interval_s(host, now):
+    """Return the minimum interval between load updates, s.
 
-    Of many carriers a change reaches a part only, and fewer requests
-    come for each engine: 72 that told 12 others each 30 ms would send and
-    read 800 datagrams a second each.
+    With many serving hosts an update reaches only a part of them, and each
+    engine gets fewer requests of each host: 72 hosts that each sent to 12
+    others every 30 ms would send and receive 800 datagrams a second each.
     """
     others = len(fleet.carriers(host, now)) - 1
     return LOADS_GAP_S * max(1.0, others / MESH_MOST)
 
 
 def loads_due(host, event, now):
-    """Tell what changed since the last time."""
+    """Send the load changes since the last update."""
     host.load_is_due = False
-    return _tell_loads(host, now)
+    return _send_loads(host, now)
 
 
-def _tell_loads(host, now):
+def _send_loads(host, now):
     host.told_load_at = now
     changed, host.changed = host.changed, set()
     refusing, host.refusing = tuple(host.refusing), set()
@@ -145,13 +152,13 @@
                  if sid in host.servers)
     if host.me is None or not (rows or refusing):
         return []
-    news = events.LoadHeard(host.me.name, rows, refusing)
-    return [effects.Tell(peer, news) for peer in _contacts(host, now)]
+    update = events.LoadHeard(host.me.name, rows, refusing)
+    return [effects.Tell(peer, update) for peer in _contacts(host, now)]
 
 
 def reply(host, known, now):
-    """Answer a host that is not told otherwise."""
-    if now < known.told_at + CONTACT_S / 2:
+    """Send the state to a host that is no contact of this one."""
+    if now < known.told_at + CONTACT_INTERVAL_S / 2:
         return []
     if known.peer.name in {peer.name for peer in _contacts(host, now)}:
         return []
@@ -160,10 +167,10 @@
 
 
 def _contacts(host, now):
-    """Return the peers that this host tells its state unasked."""
-    found = fleet.carriers(host, now)
-    others = [peer for peer in found if peer.name != host.me.name]
-    if len(others) == len(found):
+    """Return the peers that this host sends its state to unasked."""
+    serving = fleet.carriers(host, now)
+    others = [peer for peer in serving if peer.name != host.me.name]
+    if len(others) == len(serving):
         others.sort(key=lambda peer: routing.name_hash(
             host.me.name, peer.name))
         return others[:CONTACTS]
@@ -172,38 +179,38 @@
     return others
 
 
-def _lost(host, now, contacts):
-    """Return a silent host that should be a contact: it may be back."""
-    least = min((peer.capacity for peer in contacts), default=0.0)
+def _silent_contacts(host, now, contacts):
+    """Return silent peers that may be back and would be contacts then."""
+    min_capacity = min((peer.capacity for peer in contacts), default=0.0)
     silent = [known.peer for known in host.peers.values()
-              if now - known.heard_at > fleet.SILENT_S
-              and now - known.vouched_at > fleet.SILENT_S
-              and known.peer.capacity >= least
-              and now >= known.told_at + LOST_S]
-    return host.rng.sample(silent, min(len(silent), LOST_MOST))
+              if now - known.heard_at > fleet.PEER_TIMEOUT_S
+              and now - known.vouched_at > fleet.PEER_TIMEOUT_S
+              and known.peer.capacity >= min_capacity
+              and now >= known.told_at + SILENT_RETRY_S]
+    return host.rng.sample(silent, min(len(silent), MAX_SILENT_RETRIES))
 
 
-def _state(host, now, whole):
-    """Return this host's state; with what its requests do if ``whole``."""
+def _state(host, now, with_loads):
+    """Return this host's state, ``with_loads`` and prompt parts or not."""
     reads = fleet.reads_store(host, now) and host.store_lost_at is None
     return events.Heard(
         peer=host.me, ready=fleet.is_ready(host),
         leaving=host.stop_at is not None,
         catalog_revision=host.catalog.revision if host.catalog else 0,
         servers_revision=host.servers_revision,
-        crashed=quarantine.pairs(host, now, RETOLD_S),
-        loads=_loads(host, now) if whole else (),
-        parts=_parts(host, now) if whole else (),
+        crashed=quarantine.pairs(host, now, CRASH_REPEAT_S),
+        loads=_load_rows(host, now) if with_loads else (),
+        parts=_recent_parts(host, now) if with_loads else (),
         reads_store=reads and host.servers_known,
-        carriers=_known_carriers(host, now),
-        informed_s=fleet.informed_s(host, now),
-        wanted=carrying.told(host, now),
-        rate_limits=_some(host, ratelimits.rows(host, now)),
-        servers_leaving=_some(host, leaving.rows(host)),
-        **_of_duties(host, now))
+        carriers=_ready_serving_hosts(host, now),
+        informed_s=fleet.store_data_age_s(host, now),
+        wanted=carrying.advertised(host, now),
+        rate_limits=_sample_rows(host, ratelimits.rows(host, now)),
+        servers_leaving=_sample_rows(host, leaving.rows(host)),
+        **_duty_fields(host, now))
 
 
-def _of_duties(host, now):
+def _duty_fields(host, now):
     duties = host.duties
     if duties is None:
         return {}
@@ -211,37 +218,38 @@
             "leader": duties.leader}
 
 
-def _known_carriers(host, now):
-    """Return the names of the carriers that this host hears itself.
+def _ready_serving_hosts(host, now):
+    """Return the names of serving hosts that this host hears directly.
 
-    In a small fleet each host does. Only carriers tell them: a host that
-    carries nobody sends and reads 3.3 kB a second of datagrams among 300,
-    3.7 with the names in all states.
+    In a small fleet every host hears all others, so none are named. Only
+    serving hosts name them: among 300 hosts, one that serves no callers
+    sends and receives 3.3 kB a second of datagrams, and 3.7 kB with the
+    names in all states.
     """
-    if not fleet.is_large(host) or not fleet.is_carrier(host, now):
+    if not fleet.is_large(host) or not fleet.is_serving_host(host, now):
         return ()
     return tuple(peer.name for peer in fleet.carriers(host, now)
                  if peer.name != host.me.name
-                 and fleet.is_heard(host.peers[peer.name], now))
+                 and fleet.is_peer_ready(host.peers[peer.name], now))
 
 
-def _loads(host, now):
-    """Return rows of servers with work of this host, or heard lately.
+def _load_rows(host, now):
+    """Return rows of servers with work of this host or recent activity.
 
-    Of many carriers each tells of its own work only: what others said of
-    2,000 engines was passed on by 72 hosts, 400 rows a state.
-    Its own come first where not all have room: with 3,000 servers just
-    listed a state was 66 kB, more than a datagram holds, and told nobody
-    anything (9 kB now).
+    With many serving hosts each reports only its own work: otherwise 72
+    hosts passed on what others reported of 2,000 engines, 400 rows a state.
+    If there are too many rows, those with work of this host come first:
+    with 3,000 servers just listed the state was 66 kB, more than a datagram
+    holds, and reached no host; it is 9 kB with the limit.
     """
     since = now - serverload.HEARD_S
     if len(fleet.carriers(host, now)) > MESH_MOST + 1:
         since = math.inf
-    told = [state for state in map(host.servers.get, host.working)
-            if state.mine or state.heard_at > since]
-    if len(told) > LOADS_MOST:
-        told.sort(key=lambda state: (not state.mine, -state.heard_at))
-    return tuple(_load_row(state, now) for state in told[:LOADS_MOST])
+    reported = [state for state in map(host.servers.get, host.working)
+                if state.mine or state.heard_at > since]
+    if len(reported) > MAX_ROWS:
+        reported.sort(key=lambda state: (not state.mine, -state.heard_at))
+    return tuple(_load_row(state, now) for state in reported[:MAX_ROWS])
 
 
 def _load_row(state, now):
@@ -254,7 +262,7 @@
             state.memory)
 
 
-def _parts(host, now):
-    while host.placed and host.placed[0][0] < now - PARTS_S:
+def _recent_parts(host, now):
+    while host.placed and host.placed[0][0] < now - PARTS_REPEAT_S:
         host.placed.popleft()
     return tuple({row[1:]: None for row in host.placed})
--- a/tests/entry/test_hints.py
+++ b/tests/entry/test_hints.py
@@ -1,4 +1,4 @@
-"""Servers that leave, or ask a host for rest, by what they answer."""
+"""Servers that drain, or ask a host to back off, in their responses."""
 
 import collections
 import dataclasses
@@ -14,33 +14,34 @@
 from tests.entry import support
 
 
-LEAVES = deployments.Fault("leave", 4.0, 8.0, count=2)
-RESTS = deployments.Fault("rest", 4.0, 8.0, count=2, times=3.0)
-# A host that passed on that a server leaves sends it nothing that callers
-# ask later than this, s.
+LEAVE_FAULT = deployments.Fault("leave", 4.0, 8.0, count=2)
+REST_FAULT = deployments.Fault("rest", 4.0, 8.0, count=2, times=3.0)
+# Requests that callers send later than this after a host forwarded a response
+# of a draining server must not go to that server, s.
 DRAIN_S = 2.0
-# From this long after a server asked a host for rest it gets so many
-# requests from that host at the most until the rest is over, s.
-HEARD_S = 0.5
-IN_REST_MOST = 2
-# After a rest that all asked for, servers get this many times the usual in
-# a second at the most.
-HERD_TIMES = 3
+# From this long after a server asked a host to back off, s, until the end of
+# that time, the server gets at most this many requests from the host.
+REACTION_S = 0.5
+MAX_REQUESTS_IN_BACKOFF = 2
+# After all servers asked for backoff, they get at most this many times the
+# usual requests in a second.
+MAX_HERD_FACTOR = 3
 
 
-def fleet_with(fault):
+def deployment_with(fault):
     """Return a deployment of six hosts and six engines with a fault."""
     return dataclasses.replace(
         deployments.read("six-engines"), seconds=16.0, faults=(fault,))
 
 
 class FleetTest(unittest.TestCase):
-    """What hosts send to servers that leave, or want rest."""
+    """Requests to servers that drain, or that asked for backoff."""
 
-    def test_a_server_that_said_that_it_leaves_gets_nothing_new(self):
-        # The store was away: hosts sent to it until it was back.
+    def test_a_server_that_reported_draining_gets_no_new_requests(self):
+        # While the store was unavailable, hosts sent requests to a draining
+        # server until the store was back.
         for seed in range(3):
-            world = run.played(fleet_with(LEAVES), seed)
+            world = run.played(deployment_with(LEAVE_FAULT), seed)
             late = [
                 each for server in world.servers.values()
                 for each in server.arrivals if each.asked_at > DRAIN_S
@@ -48,40 +49,40 @@
             with self.subTest(seed=seed):
                 self.assertEqual([], late)
 
-    def test_a_server_that_asked_for_rest_gets_rest(self):
-        # One that refuses all and is never busy looked the best again
-        # after 0.15 s, to every host.
+    def test_hosts_honor_a_backoff_request(self):
+        # A server that refuses all requests is never busy, so every host
+        # considered it the best one again after 0.15 s.
         for seed in range(3):
-            world = run.played(fleet_with(RESTS), seed)
+            world = run.played(deployment_with(REST_FAULT), seed)
             for server in world.servers.values():
                 counts = [sum(
                     each.host == host
-                    and asked_at + HEARD_S <= each.at < asked_at + rest_s
+                    and asked_at + REACTION_S <= each.at < asked_at + rest_s
                     for each in server.arrivals)
                     for asked_at, host, rest_s in server.rests]
                 with self.subTest(seed=seed, server=server.sid):
                     self.assertLessEqual(max(counts, default=0),
-                                         IN_REST_MOST)
+                                         MAX_REQUESTS_IN_BACKOFF)
 
-    def test_the_end_of_all_rests_brings_no_herd(self):
-        # All engines refuse for 3 s. What was refused meanwhile would come
-        # back at the same moment, and be refused again.
+    def test_the_end_of_all_backoffs_causes_no_thundering_herd(self):
+        # All engines refuse for 3 s. The requests refused meanwhile would
+        # be retried at the same moment, and be refused again.
         rest = deployments.Fault("rest", 4.0, 0.5, count=6, times=3.0)
         for seed in range(3):
-            world = run.played(fleet_with(rest), seed)
+            world = run.played(deployment_with(rest), seed)
             began = world.tally.began
             per_s = collections.Counter(
                 int(each.at - began) for server in world.engines()
                 for each in server.arrivals)
-            usual = sum(per_s[second] for second in range(4)) / 4
+            average = sum(per_s[second] for second in range(4)) / 4
             with self.subTest(seed=seed):
                 self.assertLessEqual(
                     max(per_s[second] for second in range(7, 12)),
-                    HERD_TIMES * usual)
+                    MAX_HERD_FACTOR * average)
 
 
 class LeavingTest(unittest.TestCase):
-    """One host, a server that leaves, and what others say of it."""
+    """One host, a draining server, and reports of other hosts."""
 
     def setUp(self):
         self.driver = support.Driver(
@@ -92,76 +93,76 @@
         self.host = self.driver.host
         self.keys = itertools.count(10)
 
-    def _leaves(self, sid="s1"):
-        """Have another host tell that a server leaves."""
-        life = self.host.servers[sid].server.incarnation
+    def _report_draining(self, sid="s1"):
+        """Receive another host's report that a server is draining."""
+        incarnation = self.host.servers[sid].server.incarnation
         return self.driver.feed(events.HintsHeard(
-            "other", (), ((sid, life),)))
+            "other", (), ((sid, incarnation),)))
 
-    def _sent(self):
+    def _send_request(self):
         out = self.driver.arrive(next(self.keys))
         return [each.server.sid for each in support.only(out, effects.Send)]
 
-    def _all_sent(self):
-        return {sid for _ in range(20) for sid in self._sent()}
+    def _used_servers(self):
+        return {sid for _ in range(20) for sid in self._send_request()}
 
-    def test_one_answer_that_says_so_is_enough(self):
-        self.assertEqual({"s1", "s2"}, self._all_sent())
-        (sid,) = self._sent()
+    def test_one_response_that_reports_draining_is_enough(self):
+        self.assertEqual({"s1", "s2"}, self._used_servers())
+        (sid,) = self._send_request()
         self.driver.feed(events.HintsSeen(
             max(self.host.pending), 0, model.Hints(leaving=True)))
-        self.assertEqual({"s1", "s2"} - {sid}, self._all_sent())
+        self.assertEqual({"s1", "s2"} - {sid}, self._used_servers())
 
-    def test_what_one_host_was_told_holds_at_others(self):
-        self._leaves()
-        self.assertEqual({"s2"}, self._all_sent())
+    def test_a_report_of_another_host_applies(self):
+        self._report_draining()
+        self.assertEqual({"s2"}, self._used_servers())
 
-    def test_it_is_told_at_once_and_until_the_store_says_so(self):
+    def test_it_is_announced_at_once_and_until_the_store_lists_it(self):
         self.driver.feed(events.Heard(
             support.peer("other"), True, False, 10, 5))
-        (sid,) = self._sent()
+        (sid,) = self._send_request()
         out = self.driver.feed(events.HintsSeen(
             10, 0, model.Hints(leaving=True)))
         row = (sid, self.host.servers[sid].server.incarnation)
-        tells = support.only(out, effects.Tell)
-        tells += support.only(
+        sent = support.only(out, effects.Tell)
+        sent += support.only(
             self.driver.feed(events.Ticked(), 0.3), effects.Tell)
         self.assertEqual([(row,)] * 2, [
-            each.event.servers_leaving for each in tells])
+            each.event.servers_leaving for each in sent])
         self.driver.feed(events.ServersChanged(
             (support.server(sid, draining=True),), (), 6))
         for each in support.only(
                 self.driver.feed(events.Ticked(), 0.3), effects.Tell):
             self.assertEqual((), each.event.servers_leaving)
 
-    def test_an_entry_of_the_store_does_not_end_it(self):
-        # The store takes its word late; a list of before says ready, and
-        # an entry that lapsed comes back as ready.
-        self._leaves()
+    def test_an_entry_of_the_store_does_not_end_draining(self):
+        # The store learns of draining late: an earlier list shows the
+        # server as ready, and an expired entry returns as ready.
+        self._report_draining()
         self.driver.feed(events.ServersListed(
             (support.server("s1"), support.server("s2")), 6))
-        self.assertEqual({"s2"}, self._all_sent())
+        self.assertEqual({"s2"}, self._used_servers())
         self.driver.feed(events.ServersChanged((), ("s1",), 7))
         self.driver.feed(events.Ticked(), 5.0)
         self.driver.feed(events.ServersChanged(
             (support.server("s1"),), (), 8))
-        self.assertEqual({"s2"}, self._all_sent())
+        self.assertEqual({"s2"}, self._used_servers())
 
-    def test_another_life_of_it_does_not_leave(self):
+    def test_another_incarnation_is_not_draining(self):
         self.driver.feed(events.ServersChanged(
             (support.server("s1", born=1),), (), 6))
-        self._leaves()
+        self._report_draining()
         self.driver.feed(events.ServersChanged(
             (support.server("s1", born=2),), (), 7))
-        self.assertEqual({"s1", "s2"}, self._all_sent())
+        self.assertEqual({"s1", "s2"}, self._used_servers())
 
-    def test_a_stream_goes_on_there_and_is_not_resumed_there(self):
+    def test_a_stream_continues_there_but_is_not_resumed_there(self):
         out = self.driver.arrive(1, path="/advice/1",
                                  prompt=support.prompt())
         (send,) = support.only(out, effects.Send)
         self.driver.feed(events.Opened(1, 0, None), 0.2)
         sid = send.server.sid
-        out = self._leaves(sid)
+        out = self._report_draining(sid)
         self.assertEqual([], support.only(out, effects.Cancel))
         other = "e2" if sid == "e1" else "e1"
         out = self.driver.feed(events.Broken(
@@ -169,23 +170,23 @@
         self.assertEqual([other], [
             each.server.sid for each in support.only(out, effects.Send)])
 
-    def test_a_stream_is_not_moved_where_all_others_leave(self):
+    def test_a_stream_is_not_moved_if_all_other_servers_drain(self):
         self.driver.arrive(1, path="/advice/1", prompt=support.prompt())
         target = self.host.pending[1].tries[0].sid
         self.driver.feed(events.Opened(1, 0, None), 0.2)
-        self._leaves("e2" if target == "e1" else "e1")
+        self._report_draining("e2" if target == "e1" else "e1")
         out = self.driver.feed(events.TimerFired(1), 2.0)
         self.assertEqual([effects.Timer], list(map(type, out)))
 
-    def test_refused_with_the_time_to_come_back_where_all_leave(self):
+    def test_refused_with_a_retry_time_if_all_servers_drain(self):
         for sid in ("s1", "s2"):
-            self._leaves(sid)
+            self._report_draining(sid)
         (answer,) = support.only(self.driver.arrive(1), effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertGreater(answer.retry_s, 0.0)
 
-    def test_it_is_forgotten_long_after_its_end(self):
-        self._leaves()
+    def test_it_is_removed_long_after_the_server_is_gone(self):
+        self._report_draining()
         self.driver.feed(events.ServersChanged((), ("s1",), 6))
         self.driver.feed(events.Ticked(), 30.0)
         self.assertEqual(1, len(self.host.leaving))
@@ -193,8 +194,8 @@
         self.assertEqual({}, self.host.leaving)
 
 
-class RestTest(unittest.TestCase):
-    """One host, and servers that refuse and want rest."""
+class BackoffTest(unittest.TestCase):
+    """One host, and servers that refuse requests and ask for backoff."""
 
     def setUp(self):
         self.driver = support.Driver(
@@ -203,54 +204,56 @@
         self.host = self.driver.host
         self.keys = itertools.count(10)
 
-    def _refuse(self, key, turn=0, rest_s=3.0):
+    def _refuse(self, key, turn=0, backoff_s=3.0):
         """Have the server of an attempt refuse it; return the effects."""
         self.driver.feed(events.HintsSeen(
-            key, turn, model.Hints(rest_s=rest_s)))
+            key, turn, model.Hints(rest_s=backoff_s)))
         return self.driver.feed(events.Broken(
             key, turn, model.Outcome.NOT_RUN, "503"))
 
-    def _ask(self):
+    def _send_request(self):
         key = next(self.keys)
         out = self.driver.arrive(key)
         return key, [each.server.sid
                      for each in support.only(out, effects.Send)]
 
-    def _rest(self, rest_s=3.0):
-        """Have one server ask for rest; return the ids, its own first."""
-        key, (sid,) = self._ask()
-        self._refuse(key, rest_s=rest_s)
+    def _back_off(self, backoff_s=3.0):
+        """Have one server ask for backoff; return the ids, its own first."""
+        key, (sid,) = self._send_request()
+        self._refuse(key, backoff_s=backoff_s)
         return sid, "s2" if sid == "s1" else "s1"
 
-    def test_it_gets_nothing_until_the_rest_is_over(self):
-        resting, other = self._rest()
+    def test_a_server_gets_no_requests_until_the_backoff_ends(self):
+        backing_off, other = self._back_off()
         for _ in range(28):
             self.driver.now += 0.1
-            self.assertEqual([other], self._ask()[1])
+            self.assertEqual([other], self._send_request()[1])
         self.driver.now += 0.3
-        self.assertIn(resting, {
-            sid for _ in range(20) for sid in self._ask()[1]})
+        self.assertIn(backing_off, {
+            sid for _ in range(20) for sid in self._send_request()[1]})
 
-    def test_a_shorter_rest_does_not_end_a_longer_one(self):
-        key, (sid,) = self._ask()
-        other, (again,) = self._ask()
+    def test_a_shorter_backoff_does_not_end_a_longer_one(self):
+        key, (sid,) = self._send_request()
+        other, (again,) = self._send_request()
         while again != sid:
-            other, (again,) = self._ask()
+            other, (again,) = self._send_request()
         self._refuse(key)
-        self._refuse(other, rest_s=0.2)
+        self._refuse(other, backoff_s=0.2)
         self.driver.now += 1.0
         self.assertNotIn(sid, {
-            each for _ in range(20) for each in self._ask()[1]})
+            each for _ in range(20) for each in self._send_request()[1]})
 
-    def test_a_suspect_server_is_tried_and_not_one_that_rests(self):
-        # With all others suspect a host passed over every reason not to.
-        resting, other = self._rest()
+    def test_a_suspect_server_is_preferred_to_one_that_asked_for_backoff(
+            self):
+        # When all other servers were suspect, a host ignored every reason
+        # not to use a server.
+        backing_off, other = self._back_off()
         self.host.servers[other].suspect_until = math.inf
         for _ in range(5):
-            self.assertEqual([other], self._ask()[1])
+            self.assertEqual([other], self._send_request()[1])
 
-    def test_refused_with_the_time_of_rest_where_all_rest(self):
-        key, (sid,) = self._ask()
+    def test_refused_with_the_backoff_time_if_all_asked_for_it(self):
+        key, (sid,) = self._send_request()
         self._refuse(key)
         out = self._refuse(key, turn=1)
         (answer,) = support.only(out, effects.Answer)
@@ -258,10 +261,10 @@
         (answer,) = support.only(
             self.driver.feed(events.Arrived(1, support.request(
                 deadline_s=30.0))), effects.Answer)
-        # No more than a third of what is left: a caller waits no longer.
+        # At most a third of the remaining time: a caller waits no longer.
         self.assertAlmostEqual(0.65, answer.retry_s, places=2)
 
-    def test_callers_come_back_no_sooner_than_the_rest_is_over(self):
+    def test_callers_retry_no_sooner_than_the_backoff_ends(self):
         driver = support.Driver(
             support.route(timeout_s=60.0, goal_s=0.4),
             servers=(support.server("s1"),))
@@ -271,29 +274,29 @@
             1, 0, model.Outcome.NOT_RUN, "503")), effects.Answer)
         self.assertGreaterEqual(answer.retry_s, 12.0)
 
-    def test_a_rest_that_ends_soon_is_waited_for(self):
-        key, _ = self._ask()
-        self._refuse(key, rest_s=0.1)
-        out = self._refuse(key, turn=1, rest_s=0.1)
+    def test_a_request_waits_for_a_backoff_that_ends_soon(self):
+        key, _ = self._send_request()
+        self._refuse(key, backoff_s=0.1)
+        out = self._refuse(key, turn=1, backoff_s=0.1)
         key = next(self.keys)
         out = self.driver.arrive(key)
         self.assertEqual([effects.Timer], list(map(type, out)))
         out = self.driver.feed(events.TimerFired(key), 0.11)
         self.assertEqual(1, len(support.only(out, effects.Send)))
 
-    def test_an_endless_rest_ends(self):
-        resting, _ = self._rest(rest_s=1e9)
+    def test_the_duration_of_a_backoff_is_bounded(self):
+        backing_off, _ = self._back_off(backoff_s=1e9)
         self.driver.now += 61.0
-        self.assertIn(resting, {
-            sid for _ in range(20) for sid in self._ask()[1]})
+        self.assertIn(backing_off, {
+            sid for _ in range(20) for sid in self._send_request()[1]})
         self.driver.feed(events.Ticked())
         self.assertEqual({}, self.host.rests)
 
 
 class LogTest(unittest.TestCase):
-    """What a host writes down."""
+    """Log lines about hints."""
 
-    def test_a_line_where_a_server_first_leaves_or_wants_longer_rest(self):
+    def test_a_line_when_a_server_drains_or_asks_for_longer_backoff(self):
         driver = support.Driver(
             support.route(), servers=(support.server("s1"),))
         found = (model.Hints(), model.Hints(leaving=True),
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -1,4 +1,4 @@
-"""Backend servers that start again under the id that they had."""
+"""Backend servers that restart under the same id."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class RestartTest(unittest.TestCase):
-    """Nothing holds that was known of the former process."""
+    """Nothing that was recorded about the former process applies."""
 
     def setUp(self):
         self.driver = support.Driver(
@@ -33,11 +33,11 @@
         return self.driver.feed(events.ServersChanged(
             (_engine(born=born),), (), 6), after)
 
-    def test_what_was_known_of_it_is_forgotten(self):
-        # An engine starts again and holds no prompt, but hosts send it
-        # what they placed there before, as its parts need no reading;
-        # each waits for 13,000 tokens to be read. It is also left alone
-        # as slow and failing, which its former process was.
+    def test_the_state_of_the_former_process_is_discarded(self):
+        # A restarted engine holds no prompt parts, but hosts kept sending
+        # it prompts whose parts it had held, and each had to wait for
+        # 13,000 tokens to be read. It was also avoided as slow and failing,
+        # which its former process was.
         state = self._state()
         parts.remember(state, "shared", 13_000, 5e5, 0)
         state.slowness, state.failing, state.strikes = 5.0, 0.9, 3
@@ -55,14 +55,14 @@
         self.assertIn("server_restarted", [
             effect.event for effect in support.only(out, effects.Note)])
 
-    def test_an_entry_that_only_changes_restarts_nothing(self):
+    def test_a_changed_entry_alone_is_no_restart(self):
         parts.remember(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.feed(events.ServersChanged(
             (_engine(cold_s=1.0),), (), 6))
         self.assertIn("shared", self._state().parts)
 
-    def test_a_start_time_that_was_not_told_before_ends_nothing(self):
-        # A server's first entry lacks it, a later one has it.
+    def test_a_first_reported_start_time_is_no_restart(self):
+        # A server's first entry may lack the start time of a later one.
         self.driver.feed(events.ServersListed(
             (_engine(born=None), _engine("e1")), 6))
         self.driver.feed(events.ServersChanged((), ("e1",), 7))
@@ -79,9 +79,9 @@
             (_engine(born=9_000), _engine("e1")), 7))
         self.assertEqual({}, dict(self._state().parts))
 
-    def test_what_the_former_process_ran_is_over(self):
-        # An engine loses power in mid-stream and is back in seconds. Its
-        # connections are dead without showing it: callers waited for
+    def test_requests_of_the_former_process_are_ended(self):
+        # An engine lost power during a stream and was back in seconds. Its
+        # connections were dead without being reset: callers waited for
         # their whole time limit.
         self.driver.feed(events.ServersChanged((), ("e1",), 6))
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
@@ -93,7 +93,7 @@
         self.assertEqual({}, self.driver.host.pending)
         self.assertEqual({}, self._state().mine)
 
-    def test_what_it_ran_without_a_first_event_may_have_run(self):
+    def test_a_request_without_a_first_event_may_have_run(self):
         self.driver.feed(events.ServersChanged((), ("e1",), 6))
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
                            deadline_s=8.0)
@@ -101,7 +101,7 @@
         (answer,) = support.only(out, effects.Answer)
         self.assertEqual(502, answer.status)
 
-    def test_a_repeatable_stream_goes_on_elsewhere(self):
+    def test_a_repeatable_stream_continues_on_another_server(self):
         for state in self.driver.host.servers.values():
             state.suspect_until = 0.0
         self.driver.arrive(path="/advice/1", prompt=support.prompt(),
@@ -114,9 +114,9 @@
         (sent,) = support.only(out, effects.Send)
         self.assertEqual(other, sent.server.sid)
 
-    def test_what_was_sent_to_the_new_process_goes_on(self):
-        # The entry of a process that started again comes some seconds
-        # after it: what it has begun by then is its own.
+    def test_requests_of_the_new_process_continue(self):
+        # The entry of a restarted process comes some seconds after its
+        # start: requests that it began before then are its own.
         self.driver.feed(events.ServersChanged((), ("e1",), 6))
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
                            deadline_s=8.0)
@@ -127,10 +127,10 @@
         self.assertEqual({}, self._state().mine)
         self.assertEqual({}, self._state().gaps)
 
-    def test_one_server_that_went_twice_under_a_request_counts_twice(self):
-        # A request crashes the engine that runs it, which is back under
-        # its id and crashes again. With ids alone that was one server,
-        # and the request went on to the next ones.
+    def test_two_crashes_of_one_server_count_as_two(self):
+        # A request crashed its engine, which restarted under the same id
+        # and crashed again. Counted by id, that was only one server, and
+        # the request was sent to further ones.
         for turn, born in ((1, 9_000), (2, 17_000)):
             self.driver.arrive(turn, path="/chat/1", rid=f"r{turn}",
                                prompt=support.prompt())
