--- a/crocuskeel/core/entry/requests.py
+++ b/crocuskeel/core/entry/requests.py
@@ -1,4 +1,4 @@
-"""A request from its arrival, while it waits for an answer."""
+"""Handles the arrival, timers and cancellation of a caller's request."""
 
 from crocuskeel.core.entry import budget
 from crocuskeel.core.entry import effects
@@ -15,37 +15,37 @@
 
 __all__ = ["arrived", "caller_left", "timer_fired"]
 
-# Without a time limit of its own a caller is taken to wait this long, s.
+# Time limit of a request that has none of its own, s.
 DEFAULT_DEADLINE_S = 60.0
-# The answer to a request that runs out of time is sent this much before
-# its caller stops waiting, s: several one-way delays to a caller.
-LAST_WORD_S = 0.03
+# The answer to a request that times out is sent this long before its caller
+# stops waiting, s: several times the one-way network delay to a caller.
+TIMEOUT_ANSWER_LEAD_S = 0.03
 STARTING_RETRY_S = 0.5
 
 
 def arrived(host, event, now):
-    """Place a request and send it on, or refuse it."""
+    """Resolve the route of a request and send it, or refuse it."""
     request = event.request
     if host.catalog is None or not host.servers_known:
         return [ending.refuse(event.key, request.deadline_s, "starting",
                               STARTING_RETRY_S)]
-    placed = routing.place(host.catalog, request)
-    if placed.is_err():
-        refusal = placed.unwrap_err()
+    resolved = routing.resolve(host.catalog, request)
+    if resolved.is_err():
+        refusal = resolved.unwrap_err()
         return [effects.Answer(event.key, refusal.status, refusal.reason),
                 ending.note("refused", request, status=refusal.status,
                             why=refusal.reason, version=host.catalog.version)]
     if quarantine.condemned(host, request.digest, now):
         return _quarantined(host, event, now)
-    pending = _admit(host, event, placed.unwrap(), now)
+    pending = _register(host, event, resolved.unwrap(), now)
     return sending.send(host, pending, now)
 
 
 def _quarantined(host, event, now):
     """Refuse a request that crashes servers until its quarantine ends.
 
-    That may be later than its caller's time limit: an earlier return
-    would only be refused again.
+    The retry delay may exceed the caller's time limit: a retry before the
+    quarantine ends would only be refused again.
     """
     retry_s = quarantine.ends_in(host, event.request.digest, now)
     return [effects.Answer(event.key, ending.UNAVAILABLE, "quarantined",
@@ -54,57 +54,57 @@
                         ends_in_s=round(retry_s, 1))]
 
 
-def _admit(host, event, placed, now):
+def _register(host, event, destination, now):
     request = event.request
     left = DEFAULT_DEADLINE_S
     if request.deadline_s is not None:
         left = request.deadline_s
-    left = min(left, placed.route.timeout_s)
+    left = min(left, destination.route.timeout_s)
     pending = states.Pending(
-        key=event.key, request=request, route=placed.route,
-        service=placed.service, workspace=placed.workspace,
-        priority=placed.priority, at=now,
-        ends_at=now + left - LAST_WORD_S)
+        key=event.key, request=request, route=destination.route,
+        service=destination.service, workspace=destination.workspace,
+        priority=destination.priority, at=now,
+        ends_at=now + left - TIMEOUT_ANSWER_LEAD_S)
     host.pending[event.key] = pending
-    budget.arrived(host, placed.service, now)
+    budget.arrived(host, destination.service, now)
     floors.note_arrived(host, pending, now)
     return pending
 
 
 def timer_fired(host, event, now):
-    """Look at a request whose time has come."""
+    """Time out, send, hedge or move a request whose timer fired."""
     pending = host.pending.get(event.key)
     if pending is None:
         return []
     if now >= pending.ends_at:
-        return _out_of_time(host, pending, now)
+        return _time_out(host, pending, now)
     if not ending.live(pending):
-        # It waits here for room.
+        # It is queued on this host until a server has capacity.
         return sending.send(host, pending, now)
     if pending.route.kind is not model.Kind.STREAM:
         return _hedge(host, pending, now)
     return _move(host, pending, now)
 
 
-def _out_of_time(host, pending, now):
+def _time_out(host, pending, now):
     out = ending.cancel_all(host, pending)
     return out + ending.give_up(host, pending, "time is up", now)
 
 
 def _hedge(host, pending, now):
-    again = [effects.Timer(pending.key, pending.ends_at)]
+    timeout = [effects.Timer(pending.key, pending.ends_at)]
     if not repeating.may_go_on(host, pending, now):
-        return again
+        return timeout
     return sending.send(host, pending, now)
 
 
 def _move(host, pending, now):
-    """Move a resumable stream away from an engine that fell silent.
+    """Move a resumable stream away from a silent engine.
 
-    One that was moved has the time to read its prompt again before its
-    pauses count: by the former engine's last event it would be moved on
-    at each look, 0.1 s apart, and run on more servers than its route
-    allows.
+    Before its first event a moved stream is judged by the silence of its
+    new engine, which needs time to prefill the prompt. Judged by the last
+    event of the former engine, it would be moved again at every check,
+    0.1 s apart, and run on more servers than its route allows.
     """
     attempt = ending.live(pending)[-1]
     target = host.servers.get(attempt.sid)
@@ -125,7 +125,7 @@
 
 
 def caller_left(host, event, now):
-    """The caller is gone: nobody needs the answer."""
+    """Cancel a request whose caller disconnected."""
     pending = host.pending.get(event.key)
     if pending is None:
         return []
--- a/crocuskeel/core/entry/routing.py
+++ b/crocuskeel/core/entry/routing.py
@@ -1,4 +1,4 @@
-"""Which route, workspace and service a request belongs to."""
+"""Resolves the route, workspace and service of a request."""
 
 import dataclasses
 import functools
@@ -8,7 +8,7 @@
 from result import Err
 from result import Ok
 
-__all__ = ["Placed", "Refusal", "name_hash", "place",
+__all__ = ["Destination", "Refusal", "name_hash", "resolve",
            "unit_hash"]
 
 NOT_FOUND = 404
@@ -16,8 +16,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed:
-    """Where a request goes; ``priority`` 0 is first."""
+class Destination:
+    """Where a request is sent; ``priority`` 0 is the most urgent."""
 
     route: model.Route
     service: str
@@ -27,14 +27,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The status of a request that the configuration doesn't allow."""
+    """Status and reason for a request that the configuration rejects."""
 
     status: int
     reason: str
 
 
-def place(catalog, request):
-    """Return Ok(Placed) or Err(Refusal)."""
+def resolve(catalog, request):
+    """Return Ok(Destination) or Err(Refusal)."""
     route = _route(catalog, request)
     if route is None:
         return Err(Refusal(NOT_FOUND, "no route"))
@@ -44,8 +44,8 @@
     priority = workspace.priority
     if priority is None:
         priority = route.priority
-    return Ok(Placed(route, _service(route, request.rid),
-                     workspace.name, priority))
+    return Ok(Destination(route, _service(route, request.rid),
+                          workspace.name, priority))
 
 
 def _route(catalog, request):
@@ -56,12 +56,12 @@
     return None
 
 
-_NOBODY = model.Workspace("", None)
+_ANONYMOUS = model.Workspace("", None)
 
 
 def _workspace(catalog, route, request):
     if route.public or catalog.api_keys is None:
-        return _NOBODY
+        return _ANONYMOUS
     return catalog.api_keys.get(request.api_key)
 
 
@@ -76,11 +76,11 @@
 
 
 def unit_hash(*words):
-    """Return a number in [0, 1) that is the same on every host."""
+    """Hash strings to a number in [0, 1) that is the same on all hosts."""
     digest = hashlib.blake2b("\0".join(words).encode(), digest_size=7)
     return int.from_bytes(digest.digest(), "big") / 2 ** 56
 
 
-# For names of hosts, which are few and stay: the order of 65 hosts is
-# asked for some hundred times a second.
+# Cached variant for host names, which are few and change rarely: the order
+# of 65 hosts is computed some hundred times a second.
 name_hash = functools.lru_cache(maxsize=4096)(unit_hash)
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -1,4 +1,4 @@
-"""A request's answers under faults of servers, in tables."""
+"""Tests how requests are answered when servers fail."""
 
 import unittest
 
@@ -24,9 +24,9 @@
 class PlainTest(unittest.TestCase):
     """Requests to plain services."""
 
-    def test_ends_of_the_first_attempt(self):
-        # A booking must not run twice, and "not run" must be true: what
-        # went out without a word from the server may have run.
+    def test_outcomes_of_the_first_attempt(self):
+        # An unsafe request must not run twice, and "not run" must be true:
+        # a request that was sent and not answered may have run.
         rows = (
             (UNSAFE, model.Outcome.BROKEN, None, 502),
             (UNSAFE, model.Outcome.GARBLED, None, 502),
@@ -49,7 +49,7 @@
                 self.assertEqual([status] if status else [],
                                  [answer.status for answer in answers])
 
-    def test_a_refusal_says_when_to_come_back(self):
+    def test_refusal_names_a_retry_delay(self):
         route = support.route(kind=model.Kind.UNSAFE, tries=1)
         driver = support.Driver(route, servers=PAIR)
         driver.arrive(deadline_s=0.6)
@@ -58,7 +58,7 @@
         self.assertEqual(503, answer.status)
         self.assertLessEqual(answer.retry_s, 0.2)
 
-    def test_a_servers_failure_is_passed_on_when_no_other_helps(self):
+    def test_server_error_is_passed_on_if_the_retry_fails_too(self):
         driver = support.Driver(SAFE, servers=PAIR)
         driver.arrive()
         out = driver.feed(events.Answered(1, 0, 500, None, True), 0.01)
@@ -67,9 +67,9 @@
         self.assertEqual([effects.PassOn(1, 1)],
                          support.only(out, effects.PassOn))
 
-    def test_time_is_up(self):
-        # A caller hears of the end before it stops waiting, and 504 says
-        # nothing of whether the request ran.
+    def test_timeout(self):
+        # The caller is answered before it stops waiting, and 504 tells
+        # nothing about whether the request ran.
         driver = support.Driver(UNSAFE, servers=PAIR)
         driver.arrive()
         out = driver.feed(events.TimerFired(1), 1.98)
@@ -78,7 +78,7 @@
         (answer,) = support.only(out, effects.Answer)
         self.assertEqual((504, None), (answer.status, answer.retry_s))
 
-    def test_a_slow_call_goes_to_a_second_server_too(self):
+    def test_slow_call_is_hedged(self):
         driver = support.Driver(CALL, servers=PAIR)
         first = support.only(driver.arrive(), effects.Send)[0]
         out = driver.feed(events.TimerFired(1), 0.2)
@@ -90,19 +90,19 @@
         self.assertEqual([effects.PassOn(1, 1)],
                          support.only(out, effects.PassOn))
 
-    def test_repeats_keep_to_the_hosts_part_of_the_budget(self):
-        # All servers fail at once. If each request were sent twice, the
-        # load on them would double just when they can't bear it.
+    def test_retries_stay_within_the_hosts_budget(self):
+        # All servers fail at once. If each request were sent twice, their
+        # load would double while they can't serve it.
         driver = support.Driver(SAFE, servers=PAIR, repeat_slack=10)
-        repeats = 0
+        retries = 0
         for key in range(100):
             driver.feed(events.Arrived(key, support.request()))
             out = driver.feed(events.Answered(key, 0, 500, None, True))
-            repeats += len(support.only(out, effects.Send))
-        self.assertGreater(repeats, 5)
-        self.assertLessEqual(repeats, 0.2 * 100 + 10)
+            retries += len(support.only(out, effects.Send))
+        self.assertGreater(retries, 5)
+        self.assertLessEqual(retries, 0.2 * 100 + 10)
 
-    def test_a_caller_that_left_ends_its_attempts(self):
+    def test_disconnected_caller_cancels_its_attempts(self):
         driver = support.Driver(SAFE, servers=PAIR)
         driver.arrive()
         out = driver.feed(events.CallerLeft(1), 0.1)
@@ -112,8 +112,9 @@
             1, 0, 200, None, True)))
         self.assertEqual({}, driver.host.servers["s1"].mine)
 
-    def test_a_host_that_knows_nothing_answers_503(self):
-        # 401 or 404 of a host that just started would be taken as final.
+    def test_host_without_configuration_answers_503(self):
+        # Callers would take 401 or 404 from a host that just started as
+        # final.
         driver = support.Driver()
         (answer,) = support.only(driver.arrive(), effects.Answer)
         self.assertEqual(503, answer.status)
@@ -123,7 +124,7 @@
 class StreamTest(unittest.TestCase):
     """Requests to model engines."""
 
-    def test_a_broken_stream_goes_on_elsewhere(self):
+    def test_broken_stream_resumes_at_another_engine(self):
         driver = support.Driver(STREAM, servers=ENGINES)
         first = support.only(driver.arrive(
             path="/advice/1", prompt=support.prompt()), effects.Send)[0]
@@ -133,7 +134,7 @@
         self.assertTrue(again.resume)
         self.assertNotEqual(first.server.sid, again.server.sid)
 
-    def test_a_stream_that_cannot_resume_is_cut(self):
+    def test_broken_stream_that_cannot_resume_is_cut(self):
         driver = support.Driver(ONCE, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
         driver.feed(events.Opened(1, 0, None), 0.1)
@@ -141,9 +142,9 @@
         self.assertEqual(1, len(support.only(out, effects.Cut)))
         self.assertEqual([], support.only(out, effects.Send))
 
-    def test_a_silent_stream_is_moved_after_its_old_run_ends(self):
-        # An engine falls dark in mid-stream: its connection stays open.
-        # The run there is ended first, so that two never go on at once.
+    def test_silent_stream_is_cancelled_before_it_is_moved(self):
+        # An engine hangs in mid-stream with its connection open. The attempt
+        # there is cancelled first, so that two never run at once.
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
         driver.feed(events.Opened(1, 0, None), 0.1)
@@ -152,11 +153,11 @@
         self.assertLess(kinds.index(effects.Cancel),
                         kinds.index(effects.Send))
 
-    def test_a_moved_stream_gets_time_to_begin_again(self):
-        # A host stands still for two seconds in mid-stream. It takes the
-        # engine for silent and moves the stream; 0.1 s later it moves it
-        # again, before the new engine could read the prompt, and so the
-        # request runs on more servers than its route allows.
+    def test_moved_stream_gets_time_for_its_prefill(self):
+        # A host is paused for two seconds in mid-stream, takes the engine
+        # for silent and moves the stream. 0.1 s later it moved it again,
+        # before the new engine could prefill the prompt, and the request
+        # ran on more servers than its route allows.
         driver = support.Driver(support.stream(tries=3), servers=(
             *ENGINES, support.server("e3", "engines")))
         driver.arrive(path="/advice/1", prompt=support.prompt(),
@@ -168,10 +169,10 @@
         out = driver.feed(events.TimerFired(1))
         self.assertEqual([], support.only(out, effects.Cancel))
 
-    def test_a_moved_stream_may_have_run(self):
-        # An engine takes a request and goes dark; the request is moved
-        # and the next engine is full. "Not run" would be false: the
-        # first one may still work on it.
+    def test_moved_stream_may_have_run(self):
+        # An engine accepts a request and hangs; the request is moved, and
+        # the next engine is full. "Not run" would be false: the first
+        # engine may still run it.
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
         out = driver.feed(events.TimerFired(1), 2.0)
@@ -180,7 +181,7 @@
         (answer,) = support.only(out, effects.Answer)
         self.assertEqual(502, answer.status)
 
-    def test_a_stream_that_goes_on_is_left_alone(self):
+    def test_stream_with_progress_is_not_moved(self):
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
         driver.feed(events.Opened(1, 0, None), 0.1)
@@ -189,47 +190,47 @@
             out = driver.feed(events.TimerFired(1), 0.01)
             self.assertEqual([], support.only(out, effects.Cancel))
 
-    def _crowd(self, driver, reading, tokens):
+    def _load(self, driver, reading, tokens):
         for state in driver.host.servers.values():
             state.others.put("host-1", reading, tokens, reading,
                              driver.now)
 
-    def test_a_broken_stream_waits_for_room(self):
-        # An engine crashes under load: hundreds of streams went on at
-        # once, each with its whole prompt to be read again, and all
-        # engines were late for four seconds.
+    def test_broken_stream_is_queued_for_capacity(self):
+        # An engine crashes under load: hundreds of streams resumed at once,
+        # each with a prefill of its whole prompt, and all engines were late
+        # for four seconds.
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
         driver.feed(events.Opened(1, 0, None), 0.1)
-        self._crowd(driver, 9, 90_000)
+        self._load(driver, 9, 90_000)
         out = driver.feed(_broken(model.Outcome.BROKEN, torn=True), 0.01)
         self.assertEqual([], support.only(out, effects.Send))
         (timer,) = support.only(out, effects.Timer)
-        self._crowd(driver, 0, 0)
+        self._load(driver, 0, 0)
         driver.now = timer.at
         out = driver.feed(events.TimerFired(1))
         self.assertTrue(support.only(out, effects.Send)[0].resume)
 
-    def test_one_that_reached_no_server_is_let_in_anew(self):
-        # Its first engine is gone. Sent on without a look at the load,
-        # it joins the longest queue.
+    def test_unreached_request_passes_admission_again(self):
+        # Its first engine is gone. Sent on regardless of the load, it would
+        # join the longest queue.
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt(),
                       deadline_s=8.0)
-        self._crowd(driver, 9, 90_000)
+        self._load(driver, 9, 90_000)
         out = driver.feed(_broken(model.Outcome.REFUSED), 0.01)
         self.assertEqual([], support.only(out, effects.Send))
         driver.now += 1.0
-        self._crowd(driver, 9, 90_000)
+        self._load(driver, 9, 90_000)
         out = driver.feed(events.TimerFired(1))
         (answer,) = support.only(out, effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertIsNotNone(answer.retry_s)
 
-    def _wait(self, heard_until):
+    def _moved_after(self, heard_until):
         """Wait 5 s for a first event; return when the stream is moved.
 
-        Other hosts hear its engine for ``heard_until`` seconds.
+        Its engine is heard for ``heard_until`` seconds.
         """
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt(),
@@ -246,18 +247,18 @@
             timer = support.only(out, effects.Timer)[0].at
         return None
 
-    def test_a_waiting_stream_stays_while_its_engine_is_heard(self):
-        # Under load first tokens come late. Moving a request whose engine
+    def test_waiting_stream_stays_while_its_engine_is_heard(self):
+        # Under load first tokens are late. Moving a request whose engine
         # works on others would only put it at the end of another queue.
-        self.assertIsNone(self._wait(heard_until=5))
+        self.assertIsNone(self._moved_after(heard_until=5))
 
-    def test_a_waiting_stream_is_moved_when_its_engine_falls_silent(self):
-        # An engine is heard once more after a request went there, then it
-        # goes dark with the connection open. The caller waited until its
-        # time was up, eight seconds.
-        self.assertLess(self._wait(heard_until=0.4), 2.2)
+    def test_waiting_stream_is_moved_when_its_engine_is_silent(self):
+        # An engine is heard once more after a request was sent, then hangs
+        # with the connection open. The caller waited until the timeout of
+        # eight seconds.
+        self.assertLess(self._moved_after(heard_until=0.4), 2.2)
 
-    def test_a_silent_engine_gets_no_more_requests(self):
+    def test_silent_engine_gets_no_more_requests(self):
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
         silent = driver.host.pending[1].tries[0].sid
@@ -275,7 +276,7 @@
         driver.feed(events.Broken(
             key, 0, model.Outcome.BROKEN, "reset", True))
         driver.feed(events.CallerLeft(key))
-        # Another request finds the server gone.
+        # Another request can't reach the server.
         driver.feed(events.Arrived(key + 1, support.request(digest="x")))
         pending = driver.host.pending[key + 1]
         pending.tries[0].sid = sid
@@ -287,8 +288,8 @@
             driver.host.servers.values())
 
     def test_refused_after_two_crashes(self):
-        # One request takes a server with it each time it runs. Its caller
-        # sends it again, to any host, and the service would be gone.
+        # A request crashes a server each time it runs. Its caller sends it
+        # again, to any host, and would crash all servers of the service.
         servers = [support.server(f"s{n}") for n in range(4)]
         driver = support.Driver(UNSAFE, servers=servers)
         self._crash(driver, 1, "poison")
@@ -302,19 +303,19 @@
         self.assertEqual([], support.only(out, effects.Send))
         (answer,) = support.only(out, effects.Answer)
         self.assertEqual(503, answer.status)
-        # It has not run, so its caller is told when it may come back:
-        # not before the quarantine ends.
+        # It has not run, so its caller gets a retry delay, which lasts
+        # until the quarantine ends.
         self.assertTrue(55.0 < answer.retry_s <= 60.0)
 
-    def test_what_else_shows_that_a_server_went(self):
-        # The host under whose request it went sends nothing there again
-        # before its entry lapses: another host finds it refusing, or the
-        # store takes it off the list. Five servers went under one
-        # request.
+    def test_other_signs_of_a_crashed_server(self):
+        # The host whose request crashed a server sends nothing there again
+        # before its entry expires, so it learns of the crash from a peer
+        # that found the server refusing connections, or from the store's
+        # list of servers. Otherwise one request crashed five servers.
         rows = (
             lambda sid: events.LoadHeard("host-1", (), (sid,)),
             lambda sid: events.ServersChanged((), (sid,), 9))
-        for shown in rows:
+        for sign in rows:
             servers = [support.server(f"s{n}") for n in range(4)]
             driver = support.Driver(UNSAFE, servers=servers)
             for key in (1, 2):
@@ -323,14 +324,14 @@
                 sid = driver.host.pending[key].tries[0].sid
                 driver.feed(events.Broken(
                     key, 0, model.Outcome.BROKEN, "reset", True))
-                driver.feed(shown(sid), 1.2)
+                driver.feed(sign(sid), 1.2)
             out = driver.feed(events.Arrived(
                 3, support.request(digest="poison")))
             self.assertEqual([], support.only(out, effects.Send))
 
-    def test_torn_together_at_servers_that_go_on_is_no_crash(self):
-        # Two servers lose many answers for some seconds. Requests that
-        # lost theirs at both were refused for a minute.
+    def test_answers_lost_at_running_servers_are_no_crash(self):
+        # Two servers lose many answers for some seconds. Requests that lost
+        # theirs at both were refused for a minute.
         driver = support.Driver(SAFE, servers=PAIR)
         for key, sid in ((1, "s1"), (11, "s2")):
             for number, digest in enumerate(("d", f"x{key}", f"y{key}")):
@@ -346,7 +347,7 @@
             30, support.request(digest="d")))
         self.assertEqual(1, len(support.only(out, effects.Send)))
 
-    def test_a_server_that_drains_away_crashed_under_nothing(self):
+    def test_server_removed_after_draining_did_not_crash(self):
         servers = [support.server(f"s{n}") for n in range(4)]
         driver = support.Driver(UNSAFE, servers=servers)
         for key in (1, 2):
@@ -360,8 +361,8 @@
         out = driver.feed(events.Arrived(3, support.request(digest="d")))
         self.assertEqual(1, len(support.only(out, effects.Send)))
 
-    def test_a_torn_answer_alone_condemns_nothing(self):
-        # A server loses an answer and stays up: no crash.
+    def test_lost_answer_alone_causes_no_quarantine(self):
+        # A server that loses an answer and stays up has not crashed.
         driver = support.Driver(UNSAFE, servers=PAIR)
         for key in (1, 2, 3):
             driver.feed(events.Arrived(key, support.request()))
