--- a/crocuskeel/core/entry/admission.py
+++ b/crocuskeel/core/entry/admission.py
@@ -1,15 +1,16 @@
-"""Which requests a loaded service takes: early, by tier, with a reason.
-
-An engine that takes every prompt reads all of them at once: each gets
-its first token late, and streams run out of time half done. So a request
-is sent only while its engine can be expected to begin it well within its
-goal. A lower tier stops sooner, which leaves the rest of each engine's
-time to higher tiers. What is not sent is refused soon, with the time to
-come back. One that did come back is late already and finds no more room
-than a fresh one: with twice the wait and one more place it took the room
-of those that could still be on time, and at three times the load that
-engines can do 0.37 of what the highest class was worth came in, with
-equal room 0.67 (emulator).
+"""Admission control: which requests a loaded service accepts.
+
+An engine that accepts every prompt prefills all of them at once: each
+gets its first token late, and streams time out unfinished. So a request
+is sent only while its engine is expected to begin it well within its
+goal. Less urgent ranks are stopped sooner, which reserves the rest of
+each engine's time for more urgent ones. A request that is not sent is
+refused soon, with a retry delay. One that its caller sends again after a
+refusal is late already and has the same limits as a new one: with twice
+the wait and one more prompt it displaced requests that could still be on
+time, and in the emulator, at three times the load that the engines can
+serve, the goodput of the highest class was 0.37, with equal limits 0.67.
+(Goodput is the served share of the value of all requests.)
 """
 
 from crocuskeel.core.entry import choosing
@@ -21,83 +22,85 @@
 __all__ = ["HOLD_SHARE", "admits", "came_back", "hold_until", "look_at",
            "may_spill", "rank", "retry_s"]
 
-# The figures by rank were found by trial on six days of high load: of
-# what callers' requests were worth there 0.559 came in with bounds on
-# waiting alone, 0.582 with ranks by the workspace, 0.659 by the route.
+# Over six days of high load goodput was 0.559 with limits on the wait alone,
+# 0.582 with ranks by the workspace's priority, and 0.659 with ranks by the
+# route's.
 #
 # Share of its goal that a request may expect to wait for its first
-# token, by rank, most urgent first; the last holds for all ranks below.
+# token, by rank, most urgent first; the last is for all lower ranks.
 WAIT_SHARES = (0.6, 0.4, 0.18)
-# Prompts that an engine may have before it, by rank. It reads a part of
-# one between any two tokens of its running streams: while it reads
-# without a pause, a token takes 27 ms in place of 5 ms, and one stream in
-# ten runs out of time.
+# Prompts that may wait for prefill at an engine, by rank. An engine prefills
+# a chunk of one between any two tokens of its running streams: during
+# continuous prefill a token takes 27 ms instead of 5 ms, and one stream in
+# ten times out.
 READING_MOST = (6, 3, 1)
-# Share of its time that an engine may read prompts, by rank: its running
-# streams go on five times as fast in the rest. On a day of high load with
-# 30 engines 0.503 of what callers' requests were worth came in with this
-# bound and the next, 0.300 without. Tighter ones (0.9, 0.75; 0.5) brought
-# 0.525 there, but took 0.012 from a quiet day with six engines.
+# Share of its time that an engine may spend on prefill, by rank: its running
+# streams decode five times as fast in the rest. On a day of high load with
+# 30 engines goodput was 0.503 with this limit and the next, 0.300 without.
+# Tighter ones (0.9, 0.75; 0.5) gave 0.525 there, but cost 0.012 on a quiet
+# day with six engines.
 BUSY_SHARES = (1.0, 0.95, 0.85)
-# An engine that doesn't hold a request's shared parts takes it only if it
-# reads less than this: reading them again displaces three requests.
+# An engine that doesn't cache a request's shared parts is used only if its
+# prefill share is at most this: a repeated prefill displaces three requests.
 SPILL_BUSY = 0.7
-# Streams, as urgent or more, that a prompt may make late: letting it in
-# would lose more than it gains. On a day of high load 264 of 891 of the
-# most urgent streams were late without this bound, and 0.51 of what
-# requests were worth came in; with it 0.58.
+# Streams of the same or a more urgent priority that a prompt may make late:
+# beyond this, admitting it would lose more than it gains. On a day of high
+# load 264 of 891 of the most urgent streams were late without this limit;
+# goodput was 0.51 without and 0.58 with it.
 LATE_MOST = 1.0
-# Of its memory an engine's requests may come to hold this share: each
-# host hears of others' with a delay, in which they may take the rest.
+# Share of an engine's memory that its requests may come to use: a host
+# learns of other hosts' requests with a delay, in which they may use the
+# rest.
 MEMORY_SHARE = 0.9
-# A workspace of the first priority may wait this many times as long.
-FIRST_SHARE = 1.3
-# Slots that each rank may fill, as a share.
+# Requests of a workspace with the first priority may wait this many times
+# as long.
+TOP_PRIORITY_WAIT_FACTOR = 1.3
+# Share of an engine's slots that each rank may fill.
 SLOT_SHARES = (1.0, 0.95, 0.85)
-# A request is held for room this long, as a share of its goal, and
-# looked at this often, s. All that are held together are looked at so
-# many times a second: a look costs 0.4 ms among 70 engines, and 300 held
-# requests would take a whole core.
+# A request without capacity is queued for this share of its goal and checked
+# at this interval, s. All queued requests together are checked at most so
+# many times a second: a check takes 0.4 ms with 70 engines, and 300 queued
+# requests would use a whole core.
 HOLD_SHARE = 0.5
 RECHECK_S = 0.04
-LOOKS_A_SECOND = 200.0
-# A caller's time limit that is this much below its route's shows that a
-# part of it went by elsewhere.
-BACK_LIMIT = 0.97
-# When to come back, as shares of the time that is left: a caller waits
-# no longer than a third.
-RETRY_SHARES = (0.15, 0.33)
+MAX_CHECKS_PER_S = 200.0
+# A time limit below this share of the route's shows that the caller has
+# spent a part of it on an earlier attempt.
+FULL_TIMEOUT_SHARE = 0.97
+# Least and greatest retry delay, as shares of the time left: a caller waits
+# no longer than a third of it.
+RETRY_DELAY_SHARES = (0.15, 0.33)
 
 
 def admits(host, pending, target, now):
-    """Say whether a request may go to a server now."""
+    """Say whether a request may be sent to a server now."""
     if pending.request.prompt is None:
         return True
     rank = pending.rank
-    most = serverload.slots(target, now) * SLOT_SHARES[rank]
-    if serverload.running(target, now) >= most:
+    limit = serverload.usable_slots(target, now) * SLOT_SHARES[rank]
+    if serverload.running(target, now) >= limit:
         return False
     if target.busy > BUSY_SHARES[rank] and not came_back(pending):
         return False
-    most, share = _bounds(pending, rank)
-    if serverload.reading(target, now) >= most:
+    limit, share = _bounds(pending, rank)
+    if serverload.reading(target, now) >= limit:
         return False
-    if not _fits(host, pending, target, now):
+    if not _has_memory(host, pending, target, now):
         return False
-    if not _spares(host, pending, target, now):
+    if not _keeps_streams_on_time(host, pending, target, now):
         return False
     return serverload.ahead_s(target, now) <= share * pending.route.goal_s
 
 
-def _fits(host, pending, target, now):
+def _has_memory(host, pending, target, now):
     """Say whether an engine has memory for one more prompt.
 
-    One that runs out puts back what it has begun, and reads it again. An
-    idle engine takes any prompt. No gain is measured yet: on a day of
-    high load 32 requests were put back with this bound and without.
+    An engine that runs out of memory preempts running requests and
+    prefills them again later. An idle engine accepts any prompt. On a day
+    of high load 32 requests were preempted both with and without this limit.
     """
     engine = parts.engine_of(host, pending.service)
-    used = serverload.memory(target, now)
+    used = serverload.reserved_memory(target, now)
     if engine is None or not used:
         return True
     prompt = pending.request.prompt
@@ -105,34 +108,34 @@
         engine.memory * MEMORY_SHARE)
 
 
-def _spares(host, pending, target, now):
-    """Say whether an engine's streams can bear one more prompt.
+def _keeps_streams_on_time(host, pending, target, now):
+    """Say whether an engine's streams tolerate one more prompt.
 
-    One that was refused before is let in also where it makes others
-    late, if it does so at every engine: with one engine left, long
-    prompts would otherwise get nothing while streams run.
+    A request that was refused before is admitted even if it makes streams
+    late, provided that it would do so at every engine: with one engine
+    left, long prompts would otherwise never be admitted while streams run.
     """
-    if cost.later_streams(host, target, pending, now) <= LATE_MOST:
+    if cost.late_streams(host, target, pending, now) <= LATE_MOST:
         return True
     if not came_back(pending):
         return False
     return not any(
-        cost.later_streams(host, state, pending, now) <= LATE_MOST
-        for state in choosing.sound(host, pending, now))
+        cost.late_streams(host, state, pending, now) <= LATE_MOST
+        for state in choosing.healthy(host, pending, now))
 
 
 def _bounds(pending, rank):
-    """Return (prompts ahead, share of the goal to wait) at the most."""
-    most, share = READING_MOST[rank], WAIT_SHARES[rank]
+    """Return the limits (prompts ahead, share of the goal to wait)."""
+    limit, share = READING_MOST[rank], WAIT_SHARES[rank]
     if pending.priority < pending.route.priority and not pending.priority:
-        share *= FIRST_SHARE
-    return most, share
+        share *= TOP_PRIORITY_WAIT_FACTOR
+    return limit, share
 
 
 def may_spill(host, pending, target):
-    """Say whether an engine has time to read shared parts once more.
+    """Say whether an engine has time to prefill shared parts once more.
 
-    What it gets from another engine it need not read.
+    Parts that it can fetch from another engine need no prefill.
     """
     return (target.busy <= SPILL_BUSY
             or parts.fetchable(host, pending, parts.held(
@@ -140,30 +143,31 @@
 
 
 def rank(host, pending, now):
-    """Return the rank by whose bounds a request is let in; 0 is first.
+    """Return the rank whose limits apply to a request; 0 is most urgent.
 
-    Workspaces' priorities order what an engine has; which kinds of
-    request are let in is for the routes' to say, as most workspaces share
-    one. It is the same at each server that is looked at.
+    It follows the route's priority, as most workspaces have the same one;
+    workspaces' priorities order the requests within an engine. The rank of
+    a request is the same for all servers.
     """
     if pending.request.prompt is None:
         return 0
-    if floors.is_owed(host, pending, now):
+    if floors.is_below_minimum(host, pending, now):
         return 0
     return min(max(0, pending.route.priority), len(WAIT_SHARES) - 1)
 
 
 def came_back(pending):
-    """Say whether a request was refused or failed somewhere before."""
+    """Say whether an earlier attempt of the caller was refused or failed."""
     limit = pending.request.deadline_s
     return limit is not None and (
-        limit < pending.route.timeout_s * BACK_LIMIT)
+        limit < pending.route.timeout_s * FULL_TIMEOUT_SHARE)
 
 
 def hold_until(pending):
-    """Return until when a request is held for room.
+    """Return until when a request is queued for capacity.
 
-    One that may have run can't be refused as not run: it waits on.
+    One that may have run stays queued until its time limit, as it can't
+    be refused as not run.
     """
     if pending.may_have_run:
         return pending.ends_at
@@ -171,15 +175,15 @@
 
 
 def look_at(host, now):
-    """Return when to look at a held request again."""
-    return now + max(RECHECK_S, len(host.held) / LOOKS_A_SECOND)
+    """Return when to check a queued request again."""
+    return now + max(RECHECK_S, len(host.held) / MAX_CHECKS_PER_S)
 
 
 def retry_s(host, pending, now):
-    """Return when a refused caller should come back, s.
+    """Return the seconds after which a refused caller should retry.
 
-    Spread out, so that callers of one burst don't return as another.
+    Random, so that the callers of one burst don't retry in another burst.
     """
-    least, most = RETRY_SHARES
+    least, most = RETRY_DELAY_SHARES
     left = pending.ends_at - now
     return left * (least + (most - least) * host.rng.random())
--- a/crocuskeel/core/entry/backoff.py
+++ b/crocuskeel/core/entry/backoff.py
@@ -8,7 +8,7 @@
 
 from crocuskeel.core.entry import effects
 
-__all__ = ["asked", "forget", "free_in"]
+__all__ = ["asked", "forget", "remaining_s"]
 
 # Longest back-off that is honoured, s: a corrupt number must not take a
 # server out of use for good.
@@ -25,7 +25,7 @@
         "server": attempt.sid, "rest_s": backoff_s})]
 
 
-def free_in(host, server, now):
+def remaining_s(host, server, now):
     """Return the seconds until a server's back-off ends."""
     if not host.rests:
         return 0.0
--- a/crocuskeel/core/entry/budget.py
+++ b/crocuskeel/core/entry/budget.py
@@ -9,14 +9,14 @@
 
 import collections
 
-__all__ = ["arrived", "may_repeat", "rate", "repeated"]
+__all__ = ["may_repeat", "note_request", "rate", "repeated"]
 
 # Share of its budget that a host uses: windows slide, and peers that are
 # not heard of for a moment still use theirs.
 USED_SHARE = 0.7
 
 
-def arrived(host, service, now):
+def note_request(host, service, now):
     """Count a caller's request for a service."""
     _recent(host, host.arrivals, service, now).append(now)
 
--- a/crocuskeel/core/entry/candidates.py
+++ b/crocuskeel/core/entry/candidates.py
@@ -1,9 +1,10 @@
-"""Which servers of a service are looked at when a request is placed.
+"""Selects the servers of a service that are evaluated for a request.
 
-Looking at one takes some 12 us of a processor, so that among 1,700 a
-placement took 22 ms. Of a large service a request looks at those where
-its shared parts go, the same at all hosts, and at some drawn at random:
-a hot part that fills the first finds room at the others.
+Evaluating one takes some 12 us of processor time, which adds up to 22 ms
+for 1,700 servers. For a large service only some servers are candidates:
+those that consistent hashing of the prompt's shared parts prefers, the
+same on all hosts, and a random sample of the others. The sample provides
+capacity for a hot part whose preferred servers are full.
 """
 
 import bisect
@@ -12,29 +13,29 @@
 
 __all__ = ["LOOKED_AT_MOST", "pick"]
 
-# Of a service of so many servers or less all are looked at: placing among
+# All servers of a service are candidates up to this number: choosing among
 # 70 takes 1.1 ms.
 LOOKED_AT_MOST = 96
-# So many where the request's parts go; the others are drawn.
-HOME_MOST = 48
+# Candidates that consistent hashing prefers; the others are sampled.
+MAX_PREFERRED = 48
 
 
 def pick(host, pending):
-    """Return the ServerStates that a request may go to."""
+    """Return the ServerStates that a request may be sent to."""
     servers = host.by_service.get(pending.service, [])
     if len(servers) <= LOOKED_AT_MOST:
         return servers
-    home = _home(host, pending)
-    drawn = host.rng.sample(servers, LOOKED_AT_MOST - len(home))
-    known = {state.server.sid for state in home}
-    return home + [state for state in drawn
-                   if state.server.sid not in known]
+    preferred = _preferred(host, pending)
+    sampled = host.rng.sample(servers, LOOKED_AT_MOST - len(preferred))
+    known = {state.server.sid for state in preferred}
+    return preferred + [state for state in sampled
+                        if state.server.sid not in known]
 
 
-def _home(host, pending):
-    """Return the servers that follow a prompt's parts on the ring.
+def _preferred(host, pending):
+    """Return the servers that follow a prompt's part on the hash ring.
 
-    A server that comes or goes moves few parts: those of its neighbours.
+    Adding or removing a server moves only the parts of its neighbours.
     """
     prompt = pending.request.prompt
     if prompt is None or not prompt.parts:
@@ -42,12 +43,12 @@
     ring = _ring(host, pending.service)
     part = prompt.parts[-2 if len(prompt.parts) > 1 else -1][0]
     first = bisect.bisect(ring, routing.unit_hash(part, "ring"), key=_point)
-    return [ring[place % len(ring)]
-            for place in range(first, first + HOME_MOST)]
+    return [ring[index % len(ring)]
+            for index in range(first, first + MAX_PREFERRED)]
 
 
 def _ring(host, service):
-    """Return a service's servers in an order that all hosts share."""
+    """Return a service's servers in the order of their ring points."""
     if service not in host.rings:
         host.rings[service] = sorted(host.by_service[service], key=_point)
     return host.rings[service]
--- a/crocuskeel/core/entry/choosing.py
+++ b/crocuskeel/core/entry/choosing.py
@@ -1,9 +1,10 @@
-"""Which backend server a request goes to: the one that costs it least.
+"""Selects the backend server with the lowest expected cost for a request.
 
-Hosts tell each other what they have under way at each engine and which
-parts they sent there, so that a shared part is read once by the fleet
-and not once by each host. It goes elsewhere only when waiting there costs
-more than reading it again.
+Hosts tell each other their requests in progress at each engine and the
+prompt parts that they sent there, so that a shared part is prefilled once
+for all hosts and not once per host. A request goes to another engine only
+when waiting for the one that caches its parts costs more than prefilling
+them again.
 """
 
 import math
@@ -14,115 +15,116 @@
 from crocuskeel.core.entry import ratelimits
 from crocuskeel.core.entry import serverload
 
-__all__ = ["choose", "choose_with_room", "free_in", "holders",
-           "is_free", "sound"]
+__all__ = ["choose", "choose_with_room", "free_in", "healthy", "holders",
+           "is_free"]
 
-# Of the connections that a server accepts, hosts use this share together:
-# each hears of the others' with a delay of some ms, in which they could
-# take the rest twice.
+# Share of the connections that a server accepts which all hosts together
+# may use: a host learns of the others' connections some milliseconds late,
+# and in that time several hosts could use the rest at once.
 CONNECTIONS_SHARE = 0.9
 
 
 def choose(host, pending, exclude, now):
     """Return the ServerState to send to, or None if there is none.
 
-    Servers in ``exclude`` and suspect ones are taken only when no other
-    is left: a suspect server may serve, and an excluded one has failed
-    this very request.
+    Suspect servers are chosen only when no other is left: they may still
+    work. Those in ``exclude``, which have failed this request, are not
+    chosen.
     """
-    usable = _free(host, pending, now)
+    usable = _available(host, pending, now)
     for strict in (2, 1, 0):
-        found = [state for state in usable
-                 if _fits(state, strict, exclude, now)]
-        if found:
-            return cost.least(host, found, pending, now)
+        eligible = [state for state in usable
+                    if _is_eligible(state, strict, exclude, now)]
+        if eligible:
+            return cost.cheapest(host, eligible, pending, now)
     return None
 
 
-def choose_with_room(host, pending, has_room, now):
-    """Return the best of the servers with room, or None.
+def choose_with_room(host, pending, has_capacity, now):
+    """Return the best of the servers with capacity, or None.
 
-    ``has_room(state)`` says which have any. One that is suspect has none:
-    a dead engine has nothing before it and would look the best.
+    ``has_capacity(state)`` tells which have any. Suspect servers are left
+    out: a dead engine has an empty queue and would look the best.
     """
-    found = [state for state in sound(host, pending, now)
-             if has_room(state)]
-    return cost.least(host, found, pending, now) if found else None
+    eligible = [state for state in healthy(host, pending, now)
+                if has_capacity(state)]
+    return cost.cheapest(host, eligible, pending, now) if eligible else None
 
 
-def sound(host, pending, now):
-    """Return the servers that may get a request and seem well."""
-    return [state for state in _free(host, pending, now)
-            if _fits(state, 2, (), now)]
+def healthy(host, pending, now):
+    """Return the available servers that are neither suspect nor silent."""
+    return [state for state in _available(host, pending, now)
+            if _is_eligible(state, 2, (), now)]
 
 
 def holders(host, pending, now):
-    """Return the servers that others may fetch from.
+    """Return the servers that other engines may fetch prompt parts from.
 
-    Also those that are limited or resting: no host sends for a fetch.
+    Includes rate-limited servers and those in back-off: a fetch between
+    engines is not a request of a host.
     """
     return [state for state in _usable(host, pending, now)
-            if _fits(state, 2, (), now)]
+            if _is_eligible(state, 2, (), now)]
 
 
 def free_in(host, pending, exclude, now):
-    """Return after how many s a server takes a request again.
+    """Return the seconds until some server accepts a request again.
 
-    None if there is none but those in ``exclude``.
+    None if all usable servers are in ``exclude``.
     """
-    return min((_free_in(host, state, now)
+    return min((_available_in(host, state, now)
                 for state in _usable(host, pending, now)
                 if state.server.sid not in exclude), default=None)
 
 
 def is_free(host, state, now):
-    """Say whether a server's rate limit and rest allow a request now."""
-    return _free_in(host, state, now) <= 0
+    """Say whether a server's rate limit and back-off allow a request now."""
+    return _available_in(host, state, now) <= 0
 
 
-def _free_in(host, state, now):
+def _available_in(host, state, now):
     return max(ratelimits.free_in(host, state.server, now),
-               backoff.free_in(host, state.server, now))
+               backoff.remaining_s(host, state.server, now))
 
 
-def _free(host, pending, now):
-    """Return the usable servers that are neither limited nor resting.
+def _available(host, pending, now):
+    """Return the usable servers without a spent rate limit or a back-off.
 
-    What is left of a rate limit goes to the most urgent request first.
+    The rest of a rate limit goes to the most urgent queued request first.
     """
     usable = _usable(host, pending, now)
     if not host.rate_limits and not host.rests:
         return usable
-    preceded = _is_preceded(host, pending)
+    preceded = _has_more_urgent(host, pending)
     return [state for state in usable if is_free(host, state, now)
             and not (preceded
                      and ratelimits.is_limited(host, state.server))]
 
 
-def _is_preceded(host, pending):
-    """Say whether a more urgent request is held here."""
+def _has_more_urgent(host, pending):
+    """Say whether a more urgent request of the service is queued here."""
     return any(host.pending[key].rank < pending.rank
                and host.pending[key].service == pending.service
                for key in host.held)
 
 
 def _usable(host, pending, now):
-    most = _connections(host, pending.service)
+    limit = _connections(host, pending.service)
     return [state for state in pending.candidates
             if not (leaving.is_leaving(host, state.server)
                     or state.misdirects)
-            and serverload.running(state, now) < most]
+            and serverload.running(state, now) < limit]
 
 
 def _connections(host, service):
-    """Return how many requests a server may have under way at a time."""
+    """Return how many requests a server may have in progress at a time."""
     known = host.catalog.services.get(service)
     if known is None or not known.connections:
         return math.inf
     return known.connections * CONNECTIONS_SHARE
 
 
-def _fits(state, strict, exclude, now):
+def _is_eligible(state, strict, exclude, now):
     if state.server.sid in exclude:
         return strict == 0 and len(exclude) == 0
     if strict < 2:
--- a/crocuskeel/core/entry/cost.py
+++ b/crocuskeel/core/entry/cost.py
@@ -1,9 +1,9 @@
-"""What sending a request to a server is expected to cost, in seconds.
+"""The expected cost of sending a request to a server, in seconds.
 
-The wait at an engine is estimated from tokens that it has to read before
-the first token of this request: those of requests ahead, and those of
-this prompt that it doesn't hold yet. What a prompt does to the streams
-that run there counts too.
+The wait at an engine is estimated from the tokens that it has to prefill
+before the first token of this request: those of queued requests, and those
+of this prompt that it doesn't cache yet. Delays of the streams that run
+there are part of the cost.
 """
 
 import dataclasses
@@ -16,87 +16,91 @@
 from crocuskeel.core.entry import routing
 from crocuskeel.core.entry import serverload
 
-__all__ = ["least", "later_streams"]
+__all__ = ["cheapest", "late_streams"]
 
-# A stream that is late is worth a fraction of one on time: to spare one,
-# another request may be expected to wait for so long, s. With streams'
-# pauses weighed by this, 0.60 of what requests were worth came in over
-# five days of trouble, 0.49 when only the time to read counted.
+# A late stream has a fraction of the value of one on time: keeping one on
+# time is worth this wait of another request, s. With this weight for
+# streams' pauses goodput was 0.60 over five days with faults, 0.49 with the
+# prefill time alone.
 LATE_S = 2.0
-# Streams that long prompts would make late take the engines in the same
-# order at all hosts: an engine later in it counts so much for each place,
-# s, about the time to read one short prompt.
+# Streams that long prompts would make late fill the engines in the same
+# order on all hosts: each position in it adds this cost, s, about the time
+# to prefill one short prompt.
 ORDER_S = 0.02
 # One more running request slows each step of an engine by 0.12 ms of
 # 2.6 ms; over the some 100 steps of an answer that is 12 ms.
 RUNNING_S = 0.012
-# Reading a shared part once more takes an engine's time from every other
-# request and is billed besides: it counts this many times its own time.
+# Prefilling a shared part again takes engine time from all other requests
+# and is billed: it counts this many times its own time.
 REREAD = 4.0
-# What another engine sends takes both engines' links and is billed, too,
-# some tenth to some quarter of reading it: it counts this share of it. On a
-# day of high load with 70 engines 0.32 of what requests were worth came in
-# with fetching, 0.22 without.
+# Fetching a part uses both engines' links and is billed at a tenth to a
+# quarter of its prefill: it counts this share of it. On a day of high load
+# with 70 engines goodput was 0.32 with fetching, 0.22 without.
 FETCH_SHARE = 0.2
-# All slots taken: waiting for one takes the better part of an answer.
+# All slots are in use: waiting for one takes most of the time of an answer.
 FULL_S = 1.0
-# A plain service's call takes some tens of milliseconds.
+# Duration of a call to a plain service: some tens of milliseconds.
 CALL_S = 0.05
-# Between failure domains: one way 0.5 to 1.4 ms, and bytes are billed.
-ACROSS_S = 0.004
-# A server with this share of failures looks as slow as a full one.
+# Sending to another failure domain: 0.5 to 1.4 ms one way, and traffic is
+# billed.
+CROSS_DOMAIN_S = 0.004
+# Cost of a server whose requests all fail, the same as of a full engine; it
+# grows with the square of the share that fails.
 FAILING_S = 1.0
 
 
-def least(host, states, pending, now):
-    """Return the server that costs a request the least."""
+def cheapest(host, states, pending, now):
+    """Return the server with the lowest cost for a request."""
     order = _order(host, states, pending, now)
     prompt = _prompt(host, states, pending, bool(order))
     return min(states, key=lambda state: (
-        _wait(host, state, pending, prompt, now)
+        _cost_s(host, state, pending, prompt, now)
         + order.get(state.server.sid, 0.0),
         state.server.sid))
 
 
-def later_streams(host, state, pending, now):
+def late_streams(host, state, pending, now):
     """Return how many streams, as urgent or more, a prompt makes late."""
-    fresh = parts.to_read(host, state, pending)
-    seen = pace.of_service(host, pending.service)
-    return pauses.harm(state, seen, serverload.ahead_s(state, now),
-                       serverload.read_s(state, fresh), pending.route.priority)
+    tokens = parts.to_read(host, state, pending)
+    estimate = pace.of_service(host, pending.service)
+    return pauses.late_streams(
+        state, estimate, serverload.ahead_s(state, now),
+        serverload.read_s(state, tokens), pending.route.priority)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Prompt:
-    """What is the same of a prompt at each engine that it may go to.
+    """The inputs of a prompt's cost that are the same at all engines.
 
-    ``own`` tokens follow its ``shared`` ones. ``ordered``: streams in
-    danger take the engines in order.
+    ``own`` and ``shared`` are token counts; the shared tokens come first.
+    ``preferred`` is the engine that a new shared part is sent to.
+    ``ordered``: streams fill the engines in a common order.
     """
 
     pending: object
-    seen: pace.Pace
+    estimate: pace.PauseEstimate
     own: int
     shared: int
-    home: object
+    preferred: object
     ordered: bool
 
 
 def _order(host, states, pending, now):
-    """Return what taking an engine out of order counts, s.
+    """Return the cost of each engine's position in the common order, s.
 
-    Streams that long prompts would make late fill the same engines at
+    Streams that long prompts would make late fill the same engines on
     all hosts, one after the other, and leave the rest to long prompts.
+    Empty if the request is not such a stream.
     """
     if pending.request.prompt is None:
         return {}
-    seen = pace.of_service(host, pending.service)
-    if not pauses.sensitive(states, seen, pending.route, now):
+    estimate = pace.of_service(host, pending.service)
+    if not pauses.is_at_risk(states, estimate, pending.route, now):
         return {}
     ranked = sorted(states, key=lambda state: routing.name_hash(
         state.server.sid, "calm"))
-    return {state.server.sid: place * ORDER_S
-            for place, state in enumerate(ranked)}
+    return {state.server.sid: position * ORDER_S
+            for position, state in enumerate(ranked)}
 
 
 def _prompt(host, states, pending, ordered):
@@ -106,14 +110,15 @@
     shared = sum(tokens for _, tokens in prompt.parts[:-1])
     return _Prompt(pending, pace.of_service(host, pending.service),
                    prompt.tokens - shared, shared,
-                   _home(states, pending.request), ordered)
+                   _preferred(states, pending.request), ordered)
 
 
-def _home(states, request):
-    """Return the engine where a prompt's shared parts go first.
+def _preferred(states, request):
+    """Return the engine that a new shared part of a prompt is sent to.
 
-    All hosts find the same one (highest random weight), so that two of
-    them don't have a new part read twice.
+    All hosts select the same one by rendezvous hashing (highest random
+    weight), so that a new part is not prefilled once for each host. None if
+    an engine caches the part, or the prompt has no shared part.
     """
     if request.prompt is None or len(request.prompt.parts) < 2:
         return None
@@ -124,56 +129,60 @@
         shared, state.server.sid))
 
 
-def _wait(host, state, pending, prompt, now):
+def _cost_s(host, state, pending, prompt, now):
     if prompt is None:
-        wait = _call_wait(state, now)
+        cost_s = _call_cost_s(state, now)
     else:
-        wait = _engine_wait(host, state, prompt, now)
-    wait *= state.slowness
+        cost_s = _engine_cost_s(host, state, prompt, now)
+    cost_s *= state.slowness
     if state.server.domain != host.me.domain:
-        wait += ACROSS_S
+        cost_s += CROSS_DOMAIN_S
     failing = health.failing(state, now)
     if pending.route.kind is model.Kind.STREAM:
-        # A stream that breaks off is lost as one that is late.
-        wait += LATE_S * failing
+        # A broken stream loses as much value as a late one.
+        cost_s += LATE_S * failing
     else:
-        wait += FAILING_S * failing ** 2
-    wait += max(0.0, state.cold_until - now)
-    # Equal servers: hosts must not all take the same one.
-    return wait + 0.001 * host.rng.random()
+        cost_s += FAILING_S * failing ** 2
+    cost_s += max(0.0, state.cold_until - now)
+    # Random tie-break: hosts must not all choose the same of equal servers.
+    return cost_s + 0.001 * host.rng.random()
 
 
-def _call_wait(state, now):
+def _call_cost_s(state, now):
     slots = max(1, state.server.slots)
-    busy = serverload.running(state, now)
-    wait = CALL_S * busy / slots
-    if busy >= slots:
-        wait += CALL_S * (1 + busy - slots)
-    return wait
+    running = serverload.running(state, now)
+    cost_s = CALL_S * running / slots
+    if running >= slots:
+        cost_s += CALL_S * (1 + running - slots)
+    return cost_s
 
 
-def _engine_wait(host, state, prompt, now):
+def _engine_cost_s(host, state, prompt, now):
     ahead = serverload.ahead_tokens(state, now)
-    held = parts.held(state, prompt.pending.request.prompt)
-    fetched = parts.fetchable(host, prompt.pending, held)
-    missing = prompt.shared - held - fetched
+    cached = parts.held(state, prompt.pending.request.prompt)
+    fetched = parts.fetchable(host, prompt.pending, cached)
+    missing = prompt.shared - cached - fetched
     tokens = ahead + prompt.own + FETCH_SHARE * fetched
-    if state is not prompt.home:
+    if state is not prompt.preferred:
         tokens += REREAD * missing
-    busy = serverload.running(state, now)
-    wait = tokens / parts.READ_TOKENS_S
+    running = serverload.running(state, now)
+    cost_s = tokens / parts.READ_TOKENS_S
     if not prompt.ordered:
-        wait += RUNNING_S * busy
+        cost_s += RUNNING_S * running
     ahead_s = serverload.read_s(state, ahead)
-    wait += LATE_S * _late(state, prompt, ahead_s, prompt.own + missing, now)
-    if busy >= serverload.slots(state, now):
-        wait += FULL_S
-    return wait
-
-
-def _late(state, prompt, ahead, fresh, now):
-    """Return how many streams a prompt is expected to make late."""
-    fresh_s = serverload.read_s(state, fresh)
-    harm = pauses.harm(state, prompt.seen, ahead, fresh_s)
-    return harm + pauses.own_loss(
-        state, prompt.seen, prompt.pending.route, now)
+    cost_s += LATE_S * _expected_late(
+        state, prompt, ahead_s, prompt.own + missing, now)
+    if running >= serverload.usable_slots(state, now):
+        cost_s += FULL_S
+    return cost_s
+
+
+def _expected_late(state, prompt, ahead_s, tokens, now):
+    """Return how many streams a prompt is expected to make late.
+
+    Its own stream counts with the probability that it is late.
+    """
+    prefill_s = serverload.read_s(state, tokens)
+    others = pauses.late_streams(state, prompt.estimate, ahead_s, prefill_s)
+    return others + pauses.late_probability(
+        state, prompt.estimate, prompt.pending.route, now)
--- a/crocuskeel/core/entry/floors.py
+++ b/crocuskeel/core/entry/floors.py
@@ -1,47 +1,50 @@
-"""No class starves: each is owed a part of what all get, however busy.
-
-The load that this answers: a more urgent class that brings several times
-what the engines can do, for as long as it likes. Bounds by rank leave the
-lower ones nothing then. A burst of some seconds belongs to the higher
-tiers. A class that is let in much less often than all requests of its
-service for longer than that is let in like the most urgent, one by one,
-until it has its part again; what engines do first stays by priority.
-
-A higher tier is never refused for it while a large request of a lower one
-begins: where a more urgent class is refused itself, only requests that
-are not much larger than its own are owed anything.
+"""Guarantees each class a minimum share of admissions under overload.
+
+A class (the requests of a route) may offer several times the load that
+the engines can serve, without end. The limits by rank then admit nothing
+of less urgent classes. In a burst of some seconds the more urgent classes
+go first. A class that for longer than that is admitted much less often
+than all requests of its service gets the limits of the most urgent rank,
+request by request, until it has its share again. The order of execution
+in the engines stays by priority.
+
+This doesn't let a large request begin while a more urgent class is
+refused: in that case only requests that are not much larger than those of
+the refused class have the guarantee.
 """
 
 import dataclasses
 import math
 
-__all__ = ["Served", "is_owed", "note_arrived", "note_sent"]
+__all__ = ["ClassStats", "is_below_minimum", "note_arrived", "note_sent"]
 
-# A class is owed this share of the share that all get: a quarter would be
-# where callers call it starved, and what is let in may still fail.
+# Guaranteed admitted share of a class, as a fraction of the service's
+# admitted share. Callers see a class as starved at a quarter, and admitted
+# requests may still fail.
 FLOOR_SHARE = 0.3
-# One that gets this share of what all get is served well.
-WELL_SHARE = 0.6
-# What came and was let in is forgotten at this rate, s: the span in which
-# a caller sees its class served or not.
-FORGET_S = 5.0
-# It is owed that once it had less for so long, s: bursts end within this.
-# Owed at once, 0.034 less of what requests were worth came in over a burst
-# of 4 s.
-SHORT_S = 8.0
-# So many must have come lately before a share says anything.
-ARRIVED_LEAST = 4.0
-# A more urgent class counts as refused from this share on; requests count
-# as larger from this many times its mean size.
+# A class with this fraction of the service's admitted share is no longer
+# underserved.
+RECOVERED_SHARE = 0.6
+# Time constant of the exponential decay of the counts, s: the span over
+# which a caller judges whether its class is served.
+DECAY_S = 5.0
+# The guarantee applies after a class was underserved for this long, s:
+# bursts end within it. Applied at once, it cost 0.034 of goodput over a
+# burst of 4 s.
+UNDERSERVED_S = 8.0
+# Least number of recent arrivals for a share to be meaningful.
+MIN_ARRIVED = 4.0
+# A more urgent class counts as refused if more than this share of it is;
+# a request counts as larger beyond this many times its mean size.
 REFUSED_SHARE = 0.06
-LARGER = 1.8
+LARGER_SIZE_FACTOR = 1.8
 
 
 @dataclasses.dataclass(slots=True)
-class Served:
-    """Of a class: what came and was let in lately, with tokens.
+class ClassStats:
+    """Decaying counts of a class's arrivals, admissions and prompt tokens.
 
-    ``short_since``: since when it has had less than its part, or None.
+    ``underserved_since`` is when it became underserved, or None.
     """
 
     priority: int
@@ -49,83 +52,84 @@
     sent: float = 0.0
     tokens: float = 0.0
     at: float = 0.0
-    short_since: float | None = None
+    underserved_since: float | None = None
 
     def share(self):
-        """Return the share of its requests that were let in."""
+        """Return the share of its requests that were admitted."""
         return min(1.0, self.sent / self.arrived) if self.arrived else 1.0
 
-    def size(self):
-        """Return the mean tokens of a request."""
+    def mean_tokens(self):
+        """Return the mean number of prompt tokens of a request."""
         return self.tokens / self.arrived if self.arrived else 0.0
 
 
 def note_arrived(host, pending, now):
-    """Count a request with a prompt that came."""
+    """Count the arrival of a request with a prompt."""
     if pending.request.prompt is not None:
-        found = _served(host, pending, now)
-        found.arrived += 1.0
-        found.tokens += pending.request.prompt.tokens
+        stats = _class_stats(host, pending, now)
+        stats.arrived += 1.0
+        stats.tokens += pending.request.prompt.tokens
 
 
 def note_sent(host, pending, now):
-    """Count one that is sent to an engine for the first time."""
+    """Count a request that is sent to an engine for the first time."""
     if pending.request.prompt is not None and not pending.sent:
-        _served(host, pending, now).sent += 1.0
+        _class_stats(host, pending, now).sent += 1.0
 
 
-def _served(host, pending, now):
+def _class_stats(host, pending, now):
     classes = host.served.setdefault(pending.service, {})
-    found = classes.setdefault(pending.route.name, Served(
+    stats = classes.setdefault(pending.route.name, ClassStats(
         pending.route.priority, at=now))
-    _forget(found, now)
-    return found
+    _decay(stats, now)
+    return stats
 
 
-def _forget(found, now):
-    kept = math.exp((found.at - now) / FORGET_S)
-    found.at = now
-    found.arrived *= kept
-    found.sent *= kept
-    found.tokens *= kept
+def _decay(stats, now):
+    factor = math.exp((stats.at - now) / DECAY_S)
+    stats.at = now
+    stats.arrived *= factor
+    stats.sent *= factor
+    stats.tokens *= factor
 
 
-def is_owed(host, pending, now):
-    """Say whether a request's class is let in too seldom."""
+def is_below_minimum(host, pending, now):
+    """Say whether a request's class gets less than its guaranteed share."""
     if pending.route.priority <= 0:
         return False
-    mine = _served(host, pending, now)
-    if mine.arrived < ARRIVED_LEAST:
+    own = _class_stats(host, pending, now)
+    if own.arrived < MIN_ARRIVED:
         return False
     classes = host.served[pending.service].values()
     for each in classes:
-        _forget(each, now)
+        _decay(each, now)
     arrived = sum(each.arrived for each in classes)
     sent = sum(each.sent for each in classes)
-    usual = min(1.0, sent / arrived)
-    if not _is_short(mine, usual, now):
+    service_share = min(1.0, sent / arrived)
+    if not _is_underserved(own, service_share, now):
         return False
     tokens = pending.request.prompt.tokens
-    return not any(_goes_first(each, mine, tokens) for each in classes)
+    return not any(_excludes(each, own, tokens) for each in classes)
 
 
-def _is_short(mine, usual, now):
-    """Say whether a class has had less than its part for long.
+def _is_underserved(own, service_share, now):
+    """Say whether a class has long been below its guaranteed share.
 
-    What it is let in for that does not count as being served well: it
-    would wait for as long again after each request.
+    It counts as underserved until it reaches RECOVERED_SHARE. With the
+    guaranteed share as the end, the few requests that the guarantee admits
+    would reach it, and the class would wait for UNDERSERVED_S after each.
     """
-    if mine.share() >= WELL_SHARE * usual:
-        mine.short_since = None
-    elif mine.short_since is None:
-        mine.short_since = now
-    return (mine.short_since is not None
-            and now >= mine.short_since + SHORT_S
-            and mine.share() < FLOOR_SHARE * usual)
-
-
-def _goes_first(other, mine, tokens):
-    """Say whether a class is refused while larger requests would begin."""
-    return (other.priority < mine.priority
+    if own.share() >= RECOVERED_SHARE * service_share:
+        own.underserved_since = None
+    elif own.underserved_since is None:
+        own.underserved_since = now
+    return (own.underserved_since is not None
+            and now >= own.underserved_since + UNDERSERVED_S
+            and own.share() < FLOOR_SHARE * service_share)
+
+
+def _excludes(other, own, tokens):
+    """Say whether a more urgent class is refused and has smaller requests."""
+    return (other.priority < own.priority
             and 1.0 - other.share() > REFUSED_SHARE
-            and tokens > LARGER * other.size())
+            and tokens > LARGER_SIZE_FACTOR * other.mean_tokens())
--- a/crocuskeel/core/entry/pace.py
+++ b/crocuskeel/core/entry/pace.py
@@ -1,69 +1,70 @@
-"""What the engines of a service are seen to do: how long streams pause.
+"""Estimates how long streams pause during prefill at a service's engines.
 
-Nothing of this is configured, and engines differ: it is learned from the
-streams that pass this host.
+Engines differ and their pauses are not configured, so the estimate is
+learned from the streams that this host relays.
 """
 
 import dataclasses
 
-__all__ = ["Pace", "note_gap", "of_service", "pauses_longer"]
+__all__ = ["PauseEstimate", "may_exceed", "note_gap", "of_service"]
 
-# The pause that this share of all pauses under steady reading keeps.
+# The estimated quantile of the pauses during continuous prefill.
 QUANTILE = 0.95
-# An estimate moves by this share of itself with a sample: it forgets
-# some two hundred samples ago.
+# A sample changes the estimate by this share of it: samples older than some
+# two hundred others no longer count.
 STEP = 0.1
-# Reading times are known to within this factor.
-ENOUGH = 1.5
-# An estimate counts from so many samples.
-SAMPLES_LEAST = 20
-# A stream has several pauses, and the longest of them decides: it is this
-# many times as long as the quantile of one.
-MARGIN = 1.15
+# Prefill times are known to within this factor.
+PREFILL_TIME_ERROR = 1.5
+# Samples before an estimate is used.
+MIN_SAMPLES = 20
+# The longest of a stream's several pauses decides whether it is late: it is
+# this many times as long as the quantile of a single pause.
+LONGEST_PAUSE_FACTOR = 1.15
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
-    """The pause of a stream while its engine reads on and on, s."""
+class PauseEstimate:
+    """Estimated pause of a stream during continuous prefill, s."""
 
     gap_s: float = 0.0
     samples: int = 0
 
 
 def of_service(host, service):
-    """Return the Pace of a service's engines."""
-    return host.paces.setdefault(service, Pace())
+    """Return the PauseEstimate of a service's engines."""
+    return host.paces.setdefault(service, PauseEstimate())
 
 
-def note_gap(pace, ahead_s, gap_s):
-    """Take a pause of a stream whose engine had ``ahead_s`` to read.
+def note_gap(estimate, ahead_s, gap_s):
+    """Sample a pause of a stream whose engine had ``ahead_s`` of prefill.
 
-    It counts if there was more to read than the longest known pause, as
-    it is then the engine's step that ends a pause and not the prompt's
-    end. One much longer than all reading has another cause. The estimate
-    of the quantile goes up by its share with a longer pause and down by
-    the rest with a shorter one (Ma, Muthukrishnan, Sandler: Frugal
+    Only pauses with clearly more prefill ahead than the estimate count: then
+    a pause ends with the engine's step and not with the prompt. A pause
+    much longer than all the prefill has another cause. The estimate of the
+    quantile rises by QUANTILE of a step after a longer pause and falls by
+    the rest of it after a shorter one (Ma, Muthukrishnan, Sandler: Frugal
     Streaming for Estimating Quantiles, 2013).
     """
-    if not gap_s <= ahead_s * ENOUGH or ahead_s < ENOUGH * pace.gap_s:
+    if (not gap_s <= ahead_s * PREFILL_TIME_ERROR
+            or ahead_s < PREFILL_TIME_ERROR * estimate.gap_s):
         return
-    pace.samples += 1
-    if pace.samples <= SAMPLES_LEAST:
-        # A host that has just started takes the longest: from the first
-        # one on, the estimate was too low for five seconds.
-        pace.gap_s = max(pace.gap_s, gap_s)
-    elif gap_s > pace.gap_s:
-        pace.gap_s *= 1 + STEP * QUANTILE
+    estimate.samples += 1
+    if estimate.samples <= MIN_SAMPLES:
+        # The longest of the first samples: updated in steps from the first
+        # one on, the estimate of a new host was too low for five seconds.
+        estimate.gap_s = max(estimate.gap_s, gap_s)
+    elif gap_s > estimate.gap_s:
+        estimate.gap_s *= 1 + STEP * QUANTILE
     else:
-        pace.gap_s *= 1 - STEP * (1 - QUANTILE)
+        estimate.gap_s *= 1 - STEP * (1 - QUANTILE)
 
 
-def pauses_longer(pace, gap_s):
-    """Say whether reading may hold up a stream for more than ``gap_s``.
+def may_exceed(estimate, gap_s):
+    """Say whether prefill may pause a stream for more than ``gap_s``.
 
-    An engine reads a bounded part of a prompt in each step, so on some
-    no prompt is long enough. Until it is known, it may.
+    An engine prefills a bounded chunk of a prompt in each step, so on some
+    engines no prompt causes such a pause. True until enough is known.
     """
-    if pace.samples < SAMPLES_LEAST:
+    if estimate.samples < MIN_SAMPLES:
         return True
-    return pace.gap_s * MARGIN > gap_s
+    return estimate.gap_s * LONGEST_PAUSE_FACTOR > gap_s
--- a/crocuskeel/core/entry/parts.py
+++ b/crocuskeel/core/entry/parts.py
@@ -1,50 +1,50 @@
-"""Which engines hold the parts of a prompt, and what one gets of another.
+"""Tracks which engines cache the parts of prompts, and fetches between them.
 
-Prompts begin with parts that many of them share. An engine that holds
-these reads only the rest. One that doesn't can have them from an engine
-that does, where engines hand each other what they hold: that takes a
-fraction of the time to read them anew, so that a prompt may go to the
-engine with the most time, and its shared parts follow.
+Prompts begin with parts that many of them share. An engine that caches
+these prefills only the rest. One that doesn't can fetch them from an engine
+that does, if the service's engines support it: a fetch takes a fraction of
+the prefill time, so a prompt may go to the engine with the most free time
+and have its shared parts fetched.
 """
 
 import dataclasses
 
-__all__ = ["Part", "engine_of", "fetchable", "follow", "fresh_tokens", "held",
-           "look", "place", "remember", "source", "to_read"]
+__all__ = ["CachedPart", "engine_of", "fetchable", "follow", "held", "look",
+           "place", "remember", "source", "to_read", "uncached_tokens"]
 
-# Reading speed of an engine, tokens a second: between the 36,700 and
-# 48,200 that the two deployments' engines are rated at.
+# Prefill speed of an engine, tokens a second: between the rated speeds of
+# the engines of two deployments, 36,700 and 48,200.
 READ_TOKENS_S = 40_000.0
-# Parts that a server is thought to hold, as a share of its memory: the
-# rest is taken by running requests.
-PARTS_SHARE = 0.7
-# Before one engine sends another what it holds, they exchange some
-# messages, s: parts that are read in that time are not asked for.
-FETCH_LEAST_S = 0.01
+# Share of an engine's memory that is assumed to cache parts: running
+# requests use the rest.
+CACHE_SHARE = 0.7
+# Time for the messages between two engines before a fetch, s: parts whose
+# fetch saves no more than this are prefilled instead.
+FETCH_OVERHEAD_S = 0.01
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
-    """A part at an engine: its size, and when it is read, s."""
+class CachedPart:
+    """A part at an engine: its size, and when its prefill ends, s."""
 
     tokens: int
-    read_at: float
+    prefilled_at: float
 
 
 def engine_of(host, service):
-    """Return what is configured of a service's engines, or None.
+    """Return the configuration of a service's engines, or None.
 
-    A newer configuration may have dropped the service of a request that
-    still waits here.
+    A newer configuration may have removed the service of a request that
+    is still queued here.
     """
     known = host.catalog.services.get(service) if host.catalog else None
     return known.engine if known is not None else None
 
 
 def held(state, prompt):
-    """Return how many tokens of its shared parts an engine holds.
+    """Return how many tokens of a prompt's shared parts an engine caches.
 
-    A part counts only if all parts before it are held, too.
+    A part counts only if all parts before it are cached, too.
     """
     tokens = 0
     for part, count in prompt.parts[:-1]:
@@ -54,111 +54,112 @@
     return tokens
 
 
-def fresh_tokens(state, prompt):
-    """Return how many tokens of a prompt an engine does not hold."""
-    fresh = prompt.tokens
+def uncached_tokens(state, prompt):
+    """Return how many tokens of a prompt an engine does not cache."""
+    uncached = prompt.tokens
     for part, tokens in prompt.parts:
         if part not in state.parts:
             break
-        fresh -= tokens
-    return max(0, fresh)
+        uncached -= tokens
+    return max(0, uncached)
 
 
 def look(pending, states, now):
-    """Note the most of a prompt's shared parts that one may fetch."""
+    """Note the most shared tokens of a prompt that any engine can provide."""
     prompt = pending.request.prompt
     if prompt is None:
         return
     pending.elsewhere = max(
-        (_read(state, prompt, now) for state in states), default=0)
+        (_ready_tokens(state, prompt, now) for state in states), default=0)
 
 
-def _read(state, prompt, now):
-    """Return how many tokens of its shared parts an engine has read.
+def _ready_tokens(state, prompt, now):
+    """Return how many tokens of the shared parts an engine can provide.
 
-    A part that it holds but still reads can't be had from it: in a burst
-    of prompts that share a new part all would go elsewhere, to have it
-    read there, too.
+    A part can't be fetched before its prefill ends. If it counted earlier,
+    a burst of prompts that share a new part would be spread over engines,
+    each of which would prefill the part as well.
     """
     tokens = 0
     for part, count in prompt.parts[:-1]:
-        if part not in state.parts or state.parts[part].read_at > now:
+        if part not in state.parts or state.parts[part].prefilled_at > now:
             break
         tokens += count
     return tokens
 
 
-def fetchable(host, pending, have):
-    """Return how many tokens an engine may get of another one.
+def fetchable(host, pending, cached):
+    """Return how many tokens an engine may fetch from another one.
 
-    It has ``have`` tokens of the prompt's shared parts itself.
+    It caches ``cached`` tokens of the prompt's shared parts itself.
     """
     engine = engine_of(host, pending.service)
     if engine is None or not engine.fetch_token_s:
         return 0
-    tokens = pending.elsewhere - have
+    tokens = pending.elsewhere - cached
     if tokens <= 0:
         return 0
     saved_s = tokens * (1 / READ_TOKENS_S - engine.fetch_token_s)
-    return tokens if saved_s > FETCH_LEAST_S else 0
+    return tokens if saved_s > FETCH_OVERHEAD_S else 0
 
 
 def follow(host, pending):
-    """Say whether a prompt's shared parts can be had at any engine."""
+    """Say whether any engine may fetch a prompt's shared parts."""
     return fetchable(host, pending, 0) > 0
 
 
 def to_read(host, state, pending):
-    """Return the tokens to read before a request's first event.
+    """Return the tokens to prefill before a request's first event.
 
-    Those that are fetched count by the time that this takes.
+    Fetched tokens count as the tokens that could be prefilled meanwhile.
     """
     prompt = pending.request.prompt
-    fresh = fresh_tokens(state, prompt)
+    uncached = uncached_tokens(state, prompt)
     tokens = fetchable(host, pending, held(state, prompt))
     if not tokens:
-        return fresh
+        return uncached
     engine = engine_of(host, pending.service)
-    return int(fresh - tokens
+    return int(uncached - tokens
                + tokens * engine.fetch_token_s * READ_TOKENS_S)
 
 
 def source(host, target, pending, states, now):
     """Return the engine that the target is to fetch from, or None.
 
-    Of those that hold the most, one in the target's failure domain; else
-    any, as an engine sends to one other at a time.
+    Of the engines that can provide the most tokens, a random one in the
+    target's failure domain, else any: random, as an engine sends to only
+    one other at a time.
     """
     prompt = pending.request.prompt
     if not fetchable(host, pending, held(target, prompt)):
         return None
-    found = [state for state in states if state is not target
-             and _read(state, prompt, now) == pending.elsewhere]
-    near = [state for state in found
-            if state.server.domain == target.server.domain]
-    return host.rng.choice(near or found) if found else None
+    sources = [state for state in states if state is not target
+               and _ready_tokens(state, prompt, now) == pending.elsewhere]
+    same_domain = [state for state in sources
+                   if state.server.domain == target.server.domain]
+    return host.rng.choice(same_domain or sources) if sources else None
 
 
-def place(host, state, prompt, memory, now, read_at):
-    """Note that an engine holds a prompt's parts, and tell the others.
+def place(host, state, prompt, memory, now, prefilled_at):
+    """Note that an engine caches a prompt's parts, and queue this for peers.
 
-    It has read them at ``read_at``.
+    Their prefill ends at ``prefilled_at``.
     """
     for part, tokens in prompt.parts[:-1]:
         if part not in state.parts:
             host.placed.append((now, state.server.sid, part, tokens))
     for part, tokens in prompt.parts:
-        remember(state, part, tokens, memory, read_at)
+        remember(state, part, tokens, memory, prefilled_at)
 
 
-def remember(state, part, tokens, memory, read_at):
-    """Note that an engine holds a part, read at a time."""
+def remember(state, part, tokens, memory, prefilled_at):
+    """Note that an engine caches a part; evict the least recently used."""
     known = state.parts.pop(part, None)
     if known is not None:
         state.parts_tokens -= known.tokens
-        read_at = min(read_at, known.read_at)
-    state.parts[part] = Part(tokens, read_at)
+        prefilled_at = min(prefilled_at, known.prefilled_at)
+    state.parts[part] = CachedPart(tokens, prefilled_at)
     state.parts_tokens += tokens
-    while state.parts_tokens > memory * PARTS_SHARE:
-        _, dropped = state.parts.popitem(last=False)
-        state.parts_tokens -= dropped.tokens
+    while state.parts_tokens > memory * CACHE_SHARE:
+        _, evicted = state.parts.popitem(last=False)
+        state.parts_tokens -= evicted.tokens
--- a/crocuskeel/core/entry/requests.py
+++ b/crocuskeel/core/entry/requests.py
@@ -66,7 +66,7 @@
         priority=destination.priority, at=now,
         ends_at=now + left - TIMEOUT_ANSWER_LEAD_S)
     host.pending[event.key] = pending
-    budget.arrived(host, destination.service, now)
+    budget.note_request(host, destination.service, now)
     floors.note_arrived(host, pending, now)
     return pending
 
--- a/tests/entry/test_candidates.py
+++ b/tests/entry/test_candidates.py
@@ -1,4 +1,4 @@
-"""Which servers of a large service are looked at."""
+"""Tests which servers of a large service are candidates."""
 
 import unittest
 
@@ -19,77 +19,78 @@
 
 
 def _pick(driver, part="tide"):
-    asked = support.pending(ROUTE, driver.now, prompt=support.prompt(part))
+    pending = support.pending(ROUTE, driver.now, prompt=support.prompt(part))
     return [state.server.sid for state in candidates.pick(
-        driver.host, asked)]
+        driver.host, pending)]
 
 
-def _home(driver, part="tide"):
-    return _pick(driver, part)[:candidates.HOME_MOST]
+def _preferred(driver, part="tide"):
+    return _pick(driver, part)[:candidates.MAX_PREFERRED]
 
 
 class CandidatesTest(unittest.TestCase):
-    """A few, the same at all hosts, and some drawn."""
+    """Servers that hashing prefers, and a random sample."""
 
-    def test_all_of_a_small_service(self):
+    def test_small_service_is_evaluated_whole(self):
         self.assertEqual(candidates.LOOKED_AT_MOST, len(_pick(
             _driver(candidates.LOOKED_AT_MOST))))
 
-    def test_a_bounded_number_of_a_large_one(self):
-        # A placement that looks at 1,700 engines takes 28 ms: at 30
-        # requests a second that is most of a small host's processor.
-        found = _pick(_driver(MANY))
-        self.assertEqual(len(found), len(set(found)))
-        self.assertLessEqual(len(found), candidates.LOOKED_AT_MOST)
-        self.assertGreater(len(found), candidates.HOME_MOST)
+    def test_large_service_is_evaluated_in_part(self):
+        # Evaluating 1,700 engines takes 28 ms: at 30 requests a second
+        # that is most of a small host's processor time.
+        picked = _pick(_driver(MANY))
+        self.assertEqual(len(picked), len(set(picked)))
+        self.assertLessEqual(len(picked), candidates.LOOKED_AT_MOST)
+        self.assertGreater(len(picked), candidates.MAX_PREFERRED)
 
-    def test_requests_without_parts_or_prompt(self):
+    def test_request_without_parts_or_prompt(self):
         driver = _driver(MANY)
         for prompt in (None, model.Prompt((), 0, 80)):
-            asked = support.pending(ROUTE, driver.now, prompt=prompt)
+            pending = support.pending(ROUTE, driver.now, prompt=prompt)
             self.assertEqual(candidates.LOOKED_AT_MOST, len(
-                candidates.pick(driver.host, asked)))
-
-    def test_all_hosts_send_a_part_to_the_same_servers(self):
-        # Hosts that looked at others would each have it read anew.
-        self.assertEqual(_home(_driver(MANY)), _home(_driver(MANY)))
-        self.assertNotEqual(set(_home(_driver(MANY))),
-                            set(_home(_driver(MANY), "wind")))
-
-    def test_one_that_leaves_moves_no_other(self):
-        before = _home(_driver(MANY))
-        after = _home(_driver(MANY, gone={before[5]}))
+                candidates.pick(driver.host, pending)))
+
+    def test_all_hosts_prefer_the_same_servers_for_a_part(self):
+        # Hosts that preferred different ones would each have the part
+        # prefilled again.
+        self.assertEqual(_preferred(_driver(MANY)), _preferred(_driver(MANY)))
+        self.assertNotEqual(set(_preferred(_driver(MANY))),
+                            set(_preferred(_driver(MANY), "wind")))
+
+    def test_removing_a_server_moves_no_other(self):
+        before = _preferred(_driver(MANY))
+        after = _preferred(_driver(MANY, gone={before[5]}))
         self.assertEqual(set(before) - {before[5]},
                          set(before) & set(after))
 
-    def test_a_hot_part_finds_room_elsewhere(self):
-        # One part gets all the traffic: its own servers are full, and
-        # requests were refused beside 350 idle ones.
+    def test_hot_part_is_sent_to_other_servers(self):
+        # One part gets all the traffic: its preferred servers are full, and
+        # requests were refused while 350 others were idle.
         driver = _driver(MANY)
-        home = _home(driver)
-        for sid in home:
+        preferred = _preferred(driver)
+        for sid in preferred:
             driver.host.servers[sid].others.put(
                 "host-1", 64, 500_000, 64, driver.now)
         out = driver.arrive(path="/advice/1", prompt=support.prompt("tide"))
         (send,) = support.only(out, effects.Send)
-        self.assertNotIn(send.server.sid, home)
+        self.assertNotIn(send.server.sid, preferred)
 
-    def test_servers_that_come_are_looked_at(self):
+    def test_added_servers_become_candidates(self):
         driver = _driver(candidates.LOOKED_AT_MOST)
         _pick(driver)
         servers = tuple(support.server(f"n{number}", "engines")
                         for number in range(MANY))
         driver.feed(events.ServersChanged(servers, (), 6))
-        self.assertTrue({sid for sid in _home(driver)
+        self.assertTrue({sid for sid in _preferred(driver)
                          if sid.startswith("n")})
 
 
 class WorkingTest(unittest.TestCase):
-    """What an idle host does each tick doesn't grow with the servers."""
+    """The work of an idle host per tick doesn't grow with the servers."""
 
-    def test_servers_without_work_are_not_looked_at(self):
-        # Each of 300 hosts looked at 3,000 idle servers three times a
-        # second, and told twelve others of them.
+    def test_servers_without_work_are_not_sampled(self):
+        # Each of 300 hosts processed 3,000 idle servers three times a
+        # second, and reported them to twelve peers.
         driver = _driver(MANY)
         self.assertEqual({}, driver.host.working)
         driver.feed(events.LoadHeard(
@@ -102,7 +103,7 @@
         self.assertEqual({}, driver.host.working)
         self.assertEqual(0, driver.host.servers["e7"].busy)
 
-    def test_a_server_that_left_with_work_is_forgotten(self):
+    def test_server_removed_with_work_is_forgotten(self):
         driver = _driver(3)
         driver.feed(events.LoadHeard(
             "host-1", (("e1", 1, 9_000, 1, 0, (), 9_000),)))
--- a/tests/entry/test_choosing.py
+++ b/tests/entry/test_choosing.py
@@ -1,4 +1,4 @@
-"""Which engine a prompt goes to, and which are let in."""
+"""Tests the choice of an engine for a prompt, and admission control."""
 
 import dataclasses
 import unittest
@@ -21,43 +21,43 @@
 
 
 def _choose(driver, prompt, exclude=()):
-    asked = support.pending(TOP, driver.now, prompt=prompt)
-    asked.candidates = candidates.pick(driver.host, asked)
-    return choosing.choose(driver.host, asked, set(exclude),
+    pending = support.pending(TOP, driver.now, prompt=prompt)
+    pending.candidates = candidates.pick(driver.host, pending)
+    return choosing.choose(driver.host, pending, set(exclude),
                            driver.now).server.sid
 
 
 class ChooseTest(unittest.TestCase):
-    """The least expected wait."""
+    """The engine with the lowest expected cost is chosen."""
 
     def test_all_hosts_send_a_new_part_to_the_same_engine(self):
-        # Two hosts that don't know of each other yet would have a part
-        # of 13,000 tokens read twice, a third of a second each.
+        # Two hosts that don't know of each other yet would have a part of
+        # 13,000 tokens prefilled twice, a third of a second each.
         prompt = support.prompt("tide-7")
-        found = {_choose(_driver(), prompt) for _ in range(5)}
-        self.assertEqual(1, len(found))
+        chosen = {_choose(_driver(), prompt) for _ in range(5)}
+        self.assertEqual(1, len(chosen))
 
-    def test_a_part_is_sent_where_it_is_held(self):
+    def test_part_is_sent_to_the_engine_that_caches_it(self):
         driver = _driver()
         parts.remember(driver.host.servers["e2"], "tide", 13_000, 5e5, 0)
         self.assertEqual("e2", _choose(driver, support.prompt("tide")))
 
-    def test_waiting_too_long_costs_more_than_reading_again(self):
+    def test_long_queue_costs_more_than_repeated_prefill(self):
         driver = _driver()
-        holder = driver.host.servers["e2"]
-        parts.remember(holder, "tide", 13_000, 5e5, 0)
-        holder.others.put("host-1", 4, 40_000, 4, driver.now)
+        caching = driver.host.servers["e2"]
+        parts.remember(caching, "tide", 13_000, 5e5, 0)
+        caching.others.put("host-1", 4, 40_000, 4, driver.now)
         self.assertEqual("e2", _choose(driver, support.prompt("tide")))
-        holder.others.put("host-1", 9, 90_000, 9, driver.now)
+        caching.others.put("host-1", 9, 90_000, 9, driver.now)
         self.assertNotEqual("e2", _choose(driver, support.prompt("tide")))
 
-    def test_what_a_host_said_long_ago_does_not_count(self):
+    def test_old_report_of_a_peer_does_not_count(self):
         driver = _driver()
-        holder = driver.host.servers["e2"]
-        holder.others.put("host-1", 9, 90_000, 9, driver.now - 2)
-        self.assertEqual(0, serverload.ahead_tokens(holder, driver.now))
+        state = driver.host.servers["e2"]
+        state.others.put("host-1", 9, 90_000, 9, driver.now - 2)
+        self.assertEqual(0, serverload.ahead_tokens(state, driver.now))
 
-    def test_draining_never_and_suspect_last(self):
+    def test_draining_servers_never_and_suspect_ones_last(self):
         driver = _driver()
         for sid in ("e0", "e1", "e2"):
             driver.host.servers[sid].suspect_until = driver.now + 1
@@ -67,9 +67,9 @@
         self.assertNotEqual("e3", _choose(driver, support.prompt("tide")))
 
     def test_no_server_gets_more_connections_than_it_accepts(self):
-        # A slow booking desk: calls pile up at all hosts together, until
-        # its servers turn connections away that were not run but wait
-        # there for their time limit.
+        # Calls to a slow service accumulate on all hosts, until its
+        # servers reject connections: those requests are not run and wait
+        # there until they time out.
         plain = (support.server("p1"), support.server("p2"))
         driver = support.Driver(support.route(), servers=plain)
         first = driver.host.servers["p1"]
@@ -83,7 +83,7 @@
         self.assertEqual(503, answer.status)
         self.assertIsNotNone(answer.retry_s)
 
-    def test_parts_are_forgotten_beyond_an_engines_memory(self):
+    def test_parts_beyond_an_engines_memory_are_evicted(self):
         state = _driver().host.servers["e1"]
         for number in range(10):
             parts.remember(state, f"p{number}", 10_000, 100_000, 0)
@@ -91,32 +91,32 @@
         self.assertNotIn("p0", state.parts)
 
 
-class AdmitTest(unittest.TestCase):
-    """Who is let in under load."""
+class AdmissionTest(unittest.TestCase):
+    """Which requests are admitted under load."""
 
     def _load(self, driver, reading, tokens):
         for state in driver.host.servers.values():
             serverload.note_work(driver.host, state)
             state.others.put("host-1", reading, tokens, reading, driver.now)
 
-    def _sends(self, driver, name, key=1, **kwargs):
+    def _arrive(self, driver, name, key=1, **kwargs):
         out = driver.feed(events.Arrived(key, support.request(
             f"/{name}/1", prompt=support.prompt(own=500),
             **{"deadline_s": 8.0, **kwargs})))
         return support.only(out, effects.Send), out
 
-    def test_the_lower_rank_stops_first(self):
-        # A burst of long briefings: engines would take them all, and a
-        # safety question gets its first token after six seconds.
+    def test_less_urgent_rank_is_stopped_first(self):
+        # In a burst of long prompts of a low rank engines would accept them
+        # all, and an urgent request gets its first token after six seconds.
         driver = _driver()
         self._load(driver, 3, 20_000)
-        self.assertEqual(0, len(self._sends(driver, "low", 1)[0]))
-        self.assertEqual(1, len(self._sends(driver, "top", 2)[0]))
+        self.assertEqual(0, len(self._arrive(driver, "low", 1)[0]))
+        self.assertEqual(1, len(self._arrive(driver, "top", 2)[0]))
 
-    def test_held_for_room_then_refused_with_a_time_to_come_back(self):
+    def test_queued_then_refused_with_a_retry_delay(self):
         driver = _driver()
         self._load(driver, 9, 90_000)
-        _, out = self._sends(driver, "low")
+        _, out = self._arrive(driver, "low")
         self.assertEqual([], support.only(out, effects.Answer))
         self.assertEqual(1, len(support.only(out, effects.Timer)))
         self._load(driver, 9, 90_000)
@@ -128,20 +128,20 @@
         self.assertTrue(0.5 < answer.retry_s <= 8.0 / 3)
         self.assertEqual({}, driver.host.pending)
 
-    def test_held_until_there_is_room(self):
+    def test_queued_until_an_engine_has_capacity(self):
         driver = _driver()
         self._load(driver, 9, 90_000)
-        self._sends(driver, "low")
+        self._arrive(driver, "low")
         self._load(driver, 0, 0)
         out = driver.feed(events.TimerFired(1), 0.1)
         self.assertEqual(1, len(support.only(out, effects.Send)))
 
-    def test_a_service_that_is_dropped_while_a_request_waits(self):
-        # A release day takes a service away. What waited for its engines
-        # failed inside the host, and its caller got nothing at all.
+    def test_service_removed_while_a_request_is_queued(self):
+        # A release removes a service. A request that was queued for its
+        # engines raised an error in the host, and its caller got no answer.
         driver = _driver()
         self._load(driver, 9, 90_000)
-        self._sends(driver, "low")
+        self._arrive(driver, "low")
         catalog = driver.host.catalog
         services = {"plain": catalog.services["plain"]}
         driver.feed(events.CatalogSeen(dataclasses.replace(
@@ -151,30 +151,31 @@
         out = driver.feed(events.TimerFired(1))
         self.assertEqual(1, len(support.only(out, effects.Send)))
 
-    def test_another_engine_with_room_goes_before_a_refusal(self):
-        # The engine that holds a prompt's part reads a giant one for a
-        # second. Callers of that part were refused beside idle engines.
+    def test_another_engine_is_used_before_a_refusal(self):
+        # The engine that caches a prompt's part prefills a very long prompt
+        # for a second. Requests with that part were refused while other
+        # engines were idle.
         driver = _driver()
-        holder = driver.host.servers["e2"]
-        parts.remember(holder, "shared", 13_000, 5e5, 0)
-        holder.others.put("host-1", 1, 28_000, 1, driver.now)
-        self.assertEqual(0, len(self._sends(driver, "low")[0]))
+        caching = driver.host.servers["e2"]
+        parts.remember(caching, "shared", 13_000, 5e5, 0)
+        caching.others.put("host-1", 1, 28_000, 1, driver.now)
+        self.assertEqual(0, len(self._arrive(driver, "low")[0]))
         driver.now += 1.01
-        holder.others.put("host-1", 1, 28_000, 1, driver.now)
+        caching.others.put("host-1", 1, 28_000, 1, driver.now)
         out = driver.feed(events.TimerFired(1))
         (sent,) = support.only(out, effects.Send)
         self.assertNotEqual("e2", sent.server.sid)
 
-    def test_a_suspect_engine_is_no_room(self):
-        # Eight engines crash under load. The others are full, and an
-        # engine that is dead has nothing before it: 1,321 requests were
-        # sent to hosts where nothing listened.
+    def test_suspect_engine_has_no_capacity(self):
+        # Eight engines crash under load. The others are full, and a dead
+        # engine has an empty queue: 1,321 requests were sent to addresses
+        # where nothing listened.
         driver = _driver()
         dead = driver.host.servers["e0"]
         dead.suspect_until = driver.now + 4
         self._load(driver, 9, 90_000)
         dead.others.put("host-1", 0, 0, 0, driver.now)
-        self._sends(driver, "low")
+        self._arrive(driver, "low")
         driver.now += 1.01
         self._load(driver, 9, 90_000)
         dead.others.put("host-1", 0, 0, 0, driver.now)
@@ -182,35 +183,35 @@
         self.assertEqual([], support.only(out, effects.Send))
         self.assertEqual(1, len(support.only(out, effects.Answer)))
 
-    def test_an_engine_that_always_reads_takes_no_long_prompts(self):
-        # While an engine reads without a pause its streams go on five
-        # times slower: 551 of 3,700 that had begun ran out of time.
+    def test_engine_in_continuous_prefill_gets_no_long_prompts(self):
+        # During continuous prefill an engine's streams are five times
+        # slower: 551 of 3,700 that had begun timed out.
         driver = _driver()
         for state in driver.host.servers.values():
             state.busy = 0.9
-        self.assertEqual(0, len(self._sends(driver, "low", 1)[0]))
-        self.assertEqual(1, len(self._sends(driver, "top", 2)[0]))
+        self.assertEqual(0, len(self._arrive(driver, "low", 1)[0]))
+        self.assertEqual(1, len(self._arrive(driver, "top", 2)[0]))
 
-    def test_shared_parts_are_read_again_only_by_an_engine_with_time(self):
-        # Under load a prompt went to whichever engine took it; of 32.8
-        # million tokens 12.0 million had been read elsewhere before.
+    def test_busy_engine_does_not_prefill_shared_parts_again(self):
+        # Under load a prompt went to any engine that accepted it: of 32.8
+        # million tokens 12.0 million had been prefilled elsewhere before.
         driver = _driver()
-        holder = driver.host.servers["e2"]
-        parts.remember(holder, "shared", 13_000, 5e5, 0)
+        caching = driver.host.servers["e2"]
+        parts.remember(caching, "shared", 13_000, 5e5, 0)
         for share, sends in ((0.8, 0), (0.6, 1)):
             driver = _driver()
-            holder = driver.host.servers["e2"]
-            parts.remember(holder, "shared", 13_000, 5e5, 0)
+            caching = driver.host.servers["e2"]
+            parts.remember(caching, "shared", 13_000, 5e5, 0)
             for state in driver.host.servers.values():
                 state.busy = share
-            holder.others.put("host-1", 1, 28_000, 1, driver.now)
-            self._sends(driver, "low")
+            caching.others.put("host-1", 1, 28_000, 1, driver.now)
+            self._arrive(driver, "low")
             driver.now += 1.01
-            holder.others.put("host-1", 1, 28_000, 1, driver.now)
+            caching.others.put("host-1", 1, 28_000, 1, driver.now)
             out = driver.feed(events.TimerFired(1))
             self.assertEqual(sends, len(support.only(out, effects.Send)))
 
-    def test_how_busy_an_engine_is_follows_what_it_does(self):
+    def test_prefill_share_follows_the_load(self):
         driver = _driver()
         for _ in range(20):
             self._load(driver, 2, 9_000)
@@ -221,14 +222,14 @@
             driver.feed(events.Ticked(), 0.3)
         self.assertLess(state.busy, 0.1)
 
-    def test_no_prompt_goes_where_memory_would_run_out(self):
-        # Long prompts are kept on some of the engines. One that runs out
-        # of memory puts back what it has begun and reads it again.
+    def test_no_prompt_is_sent_where_memory_would_run_out(self):
+        # Long prompts are kept on some of the engines. One that runs out of
+        # memory preempts running requests and prefills them again.
         driver = _driver()
         for state in driver.host.servers.values():
             state.others.put("host-1", 20, 0, 0, driver.now,
                              memory=440_000)
-        self.assertEqual(0, len(self._sends(driver, "low", 1)[0]))
+        self.assertEqual(0, len(self._arrive(driver, "low", 1)[0]))
         driver.host.servers["e3"].others.put(
             "host-1", 20, 0, 0, driver.now, memory=400_000)
         out = driver.feed(events.TimerFired(1), 0.1)
@@ -236,30 +237,30 @@
             ["e3"], [sent.server.sid for sent
                      in support.only(out, effects.Send)])
 
-    def test_what_requests_may_hold_is_given_back_at_their_end(self):
+    def test_reserved_memory_is_released_when_a_request_ends(self):
         driver = _driver()
-        (sent,), _ = self._sends(driver, "top")
+        (sent,), _ = self._arrive(driver, "top")
         state = driver.host.servers[sent.server.sid]
         self.assertEqual(13_700, state.memory)
         driver.feed(events.Opened(1, 0, None), 0.1)
         driver.feed(events.Ended(1, 0), 0.1)
         self.assertEqual(0, state.memory)
 
-    def test_one_that_came_back_finds_no_more_room_than_others(self):
-        # It is late already. Let in before fresh ones, those that came
-        # back took all room for as long as an overload lasted, and each
-        # fresh one was refused, came back, and was late as well.
+    def test_callers_retry_has_the_same_limits_as_a_new_request(self):
+        # A retry is late already. With higher limits than new requests,
+        # retries took all capacity for as long as an overload lasted: each
+        # new request was refused, retried, and late as well.
         driver = _driver()
         self._load(driver, 1, 12_000)
-        self.assertEqual(0, len(self._sends(driver, "low", 1)[0]))
-        self.assertEqual(0, len(self._sends(
+        self.assertEqual(0, len(self._arrive(driver, "low", 1)[0]))
+        self.assertEqual(0, len(self._arrive(
             driver, "low", 2, deadline_s=5.0)[0]))
 
-    def test_other_hosts_hear_of_a_send_at_once(self):
+    def test_peers_are_told_of_a_send_at_once(self):
         driver = _driver()
         driver.feed(events.Heard(
             support.peer(), True, False, 10, 5, reads_store=True))
-        _, out = self._sends(driver, "top")
+        _, out = self._arrive(driver, "top")
         told = [effect.event for effect in support.only(out, effects.Tell)]
         self.assertEqual([events.LoadHeard], [type(e) for e in told])
         ((sid, count, tokens, reading, _, gaps, memory),) = told[0].loads
@@ -267,17 +268,17 @@
         self.assertEqual(((0, 400, 1),), gaps)
         self.assertEqual(13_700, memory)
 
-    def test_changes_that_follow_closely_are_told_together(self):
-        # A busy host changes the load of engines a hundred times a
-        # second, and each change went to nine hosts by itself.
+    def test_changes_in_quick_succession_are_told_together(self):
+        # A busy host changes the load of engines a hundred times a second,
+        # and each change was sent to nine hosts in its own message.
         driver = _driver()
         driver.feed(events.Heard(
             support.peer(), True, False, 10, 5, reads_store=True))
-        self._sends(driver, "top", 1)
+        self._arrive(driver, "top", 1)
         due, told = [], []
         for key in range(2, 8):
             driver.now += 0.001
-            _, out = self._sends(driver, "top", key)
+            _, out = self._arrive(driver, "top", key)
             due += support.only(out, effects.TellLoads)
             told += support.only(out, effects.Tell)
         self.assertEqual([], told)
--- a/tests/entry/test_floors.py
+++ b/tests/entry/test_floors.py
@@ -1,4 +1,4 @@
-"""No class starves, and no tier is refused for a larger lower one."""
+"""Tests the minimum share of admissions that each class is guaranteed."""
 
 import unittest
 
@@ -19,81 +19,85 @@
         2_000.0, 1_000.0, 8_000.0, 2.0, 0.4)
 
 
-class FloorTest(unittest.TestCase):
-    """When a class is owed more than its rank gets."""
+class MinimumShareTest(unittest.TestCase):
+    """When a class is below its guaranteed share."""
 
     def setUp(self):
         self.host = support.Driver(TOP, LOW).host
 
-    def _came(self, route, count, sent, tokens):
+    def _arrive(self, route, count, sent, tokens):
         for number in range(count):
-            asked = support.pending(route, prompt=support.prompt(
+            pending = support.pending(route, prompt=support.prompt(
                 shared=tokens - 500, own=500))
-            floors.note_arrived(self.host, asked, support.NOW)
+            floors.note_arrived(self.host, pending, support.NOW)
             if number < sent:
-                floors.note_sent(self.host, asked, support.NOW)
-        return asked
+                floors.note_sent(self.host, pending, support.NOW)
+        return pending
 
-    def _is_owed(self, top, low, after_s=floors.SHORT_S):
-        """Say whether the lower class is owed after the same for a while."""
+    def _is_below_minimum(self, top, low, after_s=floors.UNDERSERVED_S):
+        """Say whether the lower class is below its minimum later."""
         self.setUp()
-        self._came(TOP, *top)
-        asked = self._came(LOW, *low)
-        floors.is_owed(self.host, asked, support.NOW)
-        for served in self.host.served["engines"].values():
-            served.at += after_s
-        return floors.is_owed(self.host, asked, support.NOW + after_s)
-
-    def test_each_case(self):
-        # (came, let in, tokens) of the higher and of the lower class.
-        for top, low, owed in (
-                # The lower one gets nothing beside one that is served.
+        self._arrive(TOP, *top)
+        pending = self._arrive(LOW, *low)
+        floors.is_below_minimum(self.host, pending, support.NOW)
+        for stats in self.host.served["engines"].values():
+            stats.at += after_s
+        return floors.is_below_minimum(
+            self.host, pending, support.NOW + after_s)
+
+    def test_shares_of_two_classes(self):
+        # (arrived, admitted, tokens) of the higher and of the lower class.
+        for top, low, below in (
+                # The lower class gets nothing while the higher is served.
                 ((40, 40, 9_000), (10, 0, 4_000), True),
-                # It gets its part.
+                # It gets its share.
                 ((40, 40, 9_000), (10, 4, 4_000), False),
-                # All get little: it is owed a part of that.
+                # Little is admitted at all: its share is of that.
                 ((40, 10, 9_000), (10, 0, 4_000), True),
                 ((40, 10, 9_000), (10, 1, 4_000), False),
-                # Larger requests, while the higher class is refused.
+                # Its requests are larger, with and without refusals of the
+                # higher class.
                 ((40, 30, 1_500), (10, 0, 16_000), False),
                 ((40, 40, 1_500), (10, 0, 16_000), True),
-                # Too few came to say.
+                # Too few arrived for a decision.
                 ((40, 40, 9_000), (3, 0, 4_000), False)):
             with self.subTest(top=top, low=low):
-                self.assertEqual(owed, self._is_owed(top, low))
+                self.assertEqual(below, self._is_below_minimum(top, low))
 
-    def test_a_burst_belongs_to_the_higher_class(self):
-        self.assertFalse(self._is_owed(
-            (40, 40, 9_000), (10, 0, 4_000), floors.SHORT_S - 1.0))
+    def test_no_guarantee_during_a_short_burst(self):
+        self.assertFalse(self._is_below_minimum(
+            (40, 40, 9_000), (10, 0, 4_000), floors.UNDERSERVED_S - 1.0))
 
-    def test_the_highest_class_is_owed_nothing(self):
-        asked = self._came(TOP, 20, 0, 4_000)
-        self.assertFalse(floors.is_owed(self.host, asked, support.NOW))
+    def test_no_guarantee_for_the_highest_class(self):
+        pending = self._arrive(TOP, 20, 0, 4_000)
+        self.assertFalse(floors.is_below_minimum(
+            self.host, pending, support.NOW))
 
-    def test_what_was_long_ago_does_not_count(self):
-        self._came(TOP, 40, 40, 9_000)
-        asked = self._came(LOW, 20, 0, 4_000)
-        self.assertFalse(floors.is_owed(self.host, asked, support.NOW))
-        self.assertFalse(floors.is_owed(
-            self.host, asked, support.NOW + 4 * floors.FORGET_S))
+    def test_old_arrivals_do_not_count(self):
+        self._arrive(TOP, 40, 40, 9_000)
+        pending = self._arrive(LOW, 20, 0, 4_000)
+        self.assertFalse(floors.is_below_minimum(
+            self.host, pending, support.NOW))
+        self.assertFalse(floors.is_below_minimum(
+            self.host, pending, support.NOW + 4 * floors.DECAY_S))
 
 
 class OverloadTest(unittest.TestCase):
-    """The highest class brings several times what the engines can do."""
+    """The highest class offers several times what the engines can serve."""
 
-    def test_what_is_served_is_served_on_time(self):
-        # At three times the load nearly all that was served came late:
-        # those that came back after a refusal took the room of fresh ones,
-        # 0.37 of what the class was worth came in, where 0.67 can.
+    def test_served_requests_are_on_time(self):
+        # At three times the load nearly all served requests were late:
+        # retries after a refusal displaced new requests, and the goodput of
+        # the class was 0.37, where 0.67 is possible.
         kinds = (_kind("top", 36.0, 0, 9_000, 3_000),
                  _kind("mid", 3.0, 1, 3_000, 1_500))
-        found = run.play(test_run.small(seconds=20.0, kinds=kinds), 1)
-        self.assertGreater(found.kinds["top"], 0.55)
-        self.assertGreater(found.shares["on time"], found.shares["late"])
+        result = run.play(test_run.small(seconds=20.0, kinds=kinds), 1)
+        self.assertGreater(result.kinds["top"], 0.55)
+        self.assertGreater(result.shares["on time"], result.shares["late"])
 
-    def test_lower_classes_get_a_part(self):
-        # Advice is asked for without end, and no briefing comes through
-        # at all, for as long as that lasts.
+    def test_lower_classes_get_their_share(self):
+        # An urgent class overloads the engines without end, and a lower one
+        # is not served at all as long as that lasts.
         kinds = (_kind("top", 48.0, 0, 9_000, 3_000),
                  _kind("low", 4.0, 2, 3_000, 1_500))
         deployment = test_run.small(seconds=30.0, kinds=kinds)
--- a/tests/entry/test_pace.py
+++ b/tests/entry/test_pace.py
@@ -1,4 +1,4 @@
-"""What hosts learn of the engines of a service."""
+"""Tests the estimated pauses of streams during prefill."""
 
 import random
 import unittest
@@ -8,55 +8,55 @@
 from tests.entry import support
 
 
-class GapTest(unittest.TestCase):
-    """The longest pause that reading causes."""
+class PauseEstimateTest(unittest.TestCase):
+    """The longest pause that prefill causes."""
 
-    def _learn(self, cap_s, seed=1, count=200):
+    def _learn(self, longest_s, seed=1, count=200):
         rng = random.Random(seed)
-        seen = pace.Pace()
+        estimate = pace.PauseEstimate()
         for _ in range(count):
             ahead_s = rng.uniform(0.02, 1.0)
-            # At the end of a prompt the engine reads for a part of it.
-            gap_s = min(ahead_s, cap_s) * rng.choice((1.0, 1.0, 0.5))
-            pace.note_gap(seen, ahead_s, gap_s)
-        return seen
+            # The last prefill step of a prompt is shorter than others.
+            gap_s = min(ahead_s, longest_s) * rng.choice((1.0, 1.0, 0.5))
+            pace.note_gap(estimate, ahead_s, gap_s)
+        return estimate
 
-    def test_engines_that_read_in_small_parts_hold_up_nobody(self):
-        # Engines there pause for 180 ms at the most, however much they
-        # read. Streams that may pause for 250 ms were kept from long
-        # prompts all the same, whose shared parts were then read again:
-        # 0.72 in place of 0.78 of what requests were worth.
+    def test_small_prefill_steps_cause_no_long_pause(self):
+        # The engines' pauses are at most 180 ms, however much they prefill.
+        # Streams that allow 250 ms were kept apart from long prompts
+        # anyway, whose shared parts were then prefilled again: goodput was
+        # 0.72 instead of 0.78.
         for seed in range(5):
-            seen = self._learn(0.18, seed)
-            self.assertFalse(pace.pauses_longer(seen, 0.25))
+            estimate = self._learn(0.18, seed)
+            self.assertFalse(pace.may_exceed(estimate, 0.25))
 
-    def test_engines_that_read_in_large_parts_hold_up_streams(self):
+    def test_large_prefill_steps_cause_long_pauses(self):
         for seed in range(5):
-            seen = self._learn(0.24, seed)
-            self.assertTrue(pace.pauses_longer(seen, 0.2))
-            self.assertFalse(pace.pauses_longer(seen, 0.4))
+            estimate = self._learn(0.24, seed)
+            self.assertTrue(pace.may_exceed(estimate, 0.2))
+            self.assertFalse(pace.may_exceed(estimate, 0.4))
 
-    def test_unknown_engines_may_hold_up_any_stream(self):
-        self.assertTrue(pace.pauses_longer(pace.Pace(), 10.0))
-        self.assertTrue(pace.pauses_longer(
-            self._learn(0.1, count=pace.SAMPLES_LEAST - 1), 10.0))
+    def test_any_pause_is_possible_until_enough_samples(self):
+        self.assertTrue(pace.may_exceed(pace.PauseEstimate(), 10.0))
+        self.assertTrue(pace.may_exceed(
+            self._learn(0.1, count=pace.MIN_SAMPLES - 1), 10.0))
 
-    def test_short_prompts_say_nothing(self):
-        # On a quiet day most prompts end before an engine's pause does.
-        # By their short pauses long ones looked harmless, and 100 of 320
-        # chats were late.
-        seen = self._learn(0.24)
+    def test_short_prompts_are_not_sampled(self):
+        # Under low load most prompts end within one prefill step. Their
+        # short pauses made long prompts look harmless, and 100 of 320 chats
+        # were late.
+        estimate = self._learn(0.24)
         for _ in range(500):
-            pace.note_gap(seen, 0.1, 0.09)
-        self.assertTrue(pace.pauses_longer(seen, 0.2))
+            pace.note_gap(estimate, 0.1, 0.09)
+        self.assertTrue(pace.may_exceed(estimate, 0.2))
 
-    def test_a_host_that_stood_still_learns_nothing_of_engines(self):
-        seen = self._learn(0.18)
+    def test_pauses_of_the_host_itself_are_not_sampled(self):
+        estimate = self._learn(0.18)
         for _ in range(50):
-            pace.note_gap(seen, 0.3, 2.0)
-        self.assertFalse(pace.pauses_longer(seen, 0.25))
+            pace.note_gap(estimate, 0.3, 2.0)
+        self.assertFalse(pace.may_exceed(estimate, 0.25))
 
-    def test_pauses_beside_a_prompt_are_taken(self):
+    def test_pauses_during_prefill_are_sampled(self):
         engine = support.server("e1", "engines")
         driver = support.Driver(support.stream(gap_s=0.4), servers=(engine,))
         driver.arrive(path="/advice/1", prompt=support.prompt())
--- a/tests/entry/test_pauses.py
+++ b/tests/entry/test_pauses.py
@@ -1,4 +1,4 @@
-"""Streams that allow short pauses, and prompts that take long to read."""
+"""Tests how latency-sensitive streams and long prompts share engines."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 def _arrive(driver, name, key, tokens, after=0.0):
-    """Return the id of the engine that gets the prompt, None if held."""
+    """Return the id of the engine that gets the prompt, None if queued."""
     out = driver.feed(events.Arrived(key, support.request(
         f"/{name}/1", prompt=support.prompt(f"s{key}", 0, tokens),
         deadline_s=8.0, rid=f"r{key}")), after)
@@ -27,13 +27,13 @@
     return sent[0].server.sid if sent else None
 
 
-class PlaceTest(unittest.TestCase):
+class ChooseTest(unittest.TestCase):
     """Which engines get streams and which get long prompts."""
 
-    def test_chats_and_long_prompts_keep_apart(self):
-        # Half of the chats were late on a quiet day: a prompt of 8,000
-        # tokens holds up the streams of its engine for 200 ms, as long as
-        # a chat may pause, and prompts went to whichever engine was idle.
+    def test_chats_and_long_prompts_use_different_engines(self):
+        # Half of the chats were late under low load: the prefill of 8,000
+        # tokens pauses the streams of its engine for 200 ms, as long as a
+        # chat may pause, and prompts were sent to any idle engine.
         driver = _driver()
         chats, drafts = set(), set()
         for key in range(0, 40, 2):
@@ -44,22 +44,22 @@
             for old in (key - 12, key - 11):
                 if old in driver.host.pending:
                     driver.feed(events.Ended(old, 0))
-        # The first prompt may have come before any chat was there.
+        # The first prompt may have arrived before any chat.
         self.assertLessEqual(len(chats & drafts), 1)
         self.assertLessEqual(len(chats), 2)
 
     def test_all_hosts_fill_the_same_engines_with_chats(self):
-        # Two hosts that each chose calm engines of their own would leave
-        # none to long prompts.
-        found = set()
+        # Hosts that each chose different engines for chats would leave none
+        # to long prompts.
+        chosen = set()
         for _ in range(3):
             driver = _driver()
             for state in driver.host.servers.values():
                 state.loud, state.loud_at = 0.15, driver.now
-            found.add(_arrive(driver, "chat", 1, 600))
-        self.assertEqual(1, len(found))
+            chosen.add(_arrive(driver, "chat", 1, 600))
+        self.assertEqual(1, len(chosen))
 
-    def test_one_engine_that_is_left_serves_both(self):
+    def test_single_engine_serves_both(self):
         driver = _driver(ENGINES[:1])
         self.assertEqual("e0", _arrive(driver, "chat", 1, 600))
         driver.feed(events.Opened(1, 0, None), 0.1)
@@ -67,17 +67,17 @@
         driver.feed(events.Opened(2, 0, None), 0.4)
         self.assertEqual("e0", _arrive(driver, "chat", 3, 600))
 
-    def test_a_chat_comes_back_to_an_engine_that_reads_no_more(self):
+    def test_engine_without_prefill_is_safe_for_chats_again(self):
         driver = _driver()
         state = driver.host.servers["e1"]
         pauses.heard(state, 0.4, driver.now)
         for after_s, expected in ((0, True), (4, False)):
-            self.assertEqual(expected, pauses.sensitive(
-                [state], pace.Pace(), CHAT, driver.now + after_s))
+            self.assertEqual(expected, pauses.is_at_risk(
+                [state], pace.PauseEstimate(), CHAT, driver.now + after_s))
 
 
-class AdmitTest(unittest.TestCase):
-    """Long prompts wait where streams would be late."""
+class AdmissionTest(unittest.TestCase):
+    """Long prompts are queued if they would make streams late."""
 
     def _chats(self, driver, sids):
         for sid in sids:
@@ -88,9 +88,9 @@
         driver.host.servers[sid].others.put(
             "host-2", 3, 30_000, 3, driver.now, ((2, 800, 3),))
 
-    def test_a_long_prompt_waits_rather_than_stall_chats(self):
-        # All engines with room had chats on them: a burst of long prompts
-        # went there, and 270 of 890 chats were late by their pauses.
+    def test_long_prompt_is_queued_if_it_delays_chats(self):
+        # All engines with capacity were running chats: a burst of long
+        # prompts was sent there, and pauses made 270 of 890 chats late.
         driver = _driver()
         self._chats(driver, ("e0", "e1"))
         self._busy(driver, "e2")
@@ -104,9 +104,9 @@
         self.assertEqual([], support.only(out, effects.Send))
         self.assertEqual(1, len(support.only(out, effects.Answer)))
 
-    def test_one_that_came_back_is_let_in_if_chats_are_everywhere(self):
-        # Chats run at all engines without an end. Long prompts would get
-        # nothing at all, all day.
+    def test_callers_retry_is_admitted_if_all_engines_run_chats(self):
+        # All engines run chats all the time. Otherwise long prompts would
+        # never be admitted.
         driver = _driver()
         self._chats(driver, [f"e{n}" for n in range(4)])
         self.assertIsNone(_arrive(driver, "draft", 1, 8_000))
@@ -115,7 +115,7 @@
             deadline_s=5.0, rid="r2")))
         self.assertEqual(1, len(support.only(out, effects.Send)))
 
-    def test_less_urgent_streams_hold_nothing_back(self):
+    def test_less_urgent_streams_delay_no_prompt(self):
         driver = _driver()
         for state in driver.host.servers.values():
             state.others.put("host-1", 5, 0, 0, driver.now, ((3, 200, 5),))
@@ -125,18 +125,22 @@
 class CountTest(unittest.TestCase):
     """How many streams a prompt makes late."""
 
-    def test_harm_counts_streams_of_all_hosts_by_their_pause(self):
+    def test_counts_streams_of_all_hosts_by_allowed_pause(self):
         driver = _driver()
         state = driver.host.servers["e0"]
         state.others.put("host-1", 5, 0, 0, driver.now,
                          ((0, 200, 3), (2, 800, 2)))
-        self.assertEqual(0.0, pauses.harm(state, pace.Pace(), 0.0, 0.1))
-        self.assertEqual(3.0, pauses.harm(state, pace.Pace(), 0.0, 0.2))
-        self.assertEqual(5.0, pauses.harm(state, pace.Pace(), 0.0, 0.9))
-        # What is late already can't be made late again.
-        self.assertEqual(2.0, pauses.harm(state, pace.Pace(), 0.25, 0.6))
-
-    def test_a_stream_counts_until_it_ends(self):
+        self.assertEqual(0.0, pauses.late_streams(
+            state, pace.PauseEstimate(), 0.0, 0.1))
+        self.assertEqual(3.0, pauses.late_streams(
+            state, pace.PauseEstimate(), 0.0, 0.2))
+        self.assertEqual(5.0, pauses.late_streams(
+            state, pace.PauseEstimate(), 0.0, 0.9))
+        # A stream that is late already is not counted again.
+        self.assertEqual(2.0, pauses.late_streams(
+            state, pace.PauseEstimate(), 0.25, 0.6))
+
+    def test_stream_counts_until_it_ends(self):
         driver = _driver()
         sid = _arrive(driver, "chat", 1, 600)
         state = driver.host.servers[sid]
@@ -146,7 +150,7 @@
         driver.feed(events.Ended(1, 0), 0.1)
         self.assertEqual({}, state.gaps)
 
-    def test_what_other_hosts_say_lapses(self):
+    def test_reports_of_peers_expire(self):
         driver = _driver()
         state = driver.host.servers["e0"]
         state.others.put("host-1", 5, 0, 0, driver.now, ((0, 200, 3),))
--- a/tests/entry/test_slots.py
+++ b/tests/entry/test_slots.py
@@ -1,4 +1,4 @@
-"""Streams that several hosts send to the same engines at a time."""
+"""Tests that hosts together do not overfill the slots of an engine."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 class SlotsTest(unittest.TestCase):
-    """No engine has more requests than slots, whoever sent them."""
+    """No engine has more requests than slots, over all hosts."""
 
     def setUp(self):
         self.drivers = [support.Driver(CHAT, servers=ENGINES)
@@ -23,7 +23,7 @@
         self.sent = dict.fromkeys((s.sid for s in ENGINES), 0)
         self.key = 0
 
-    def _arrive(self, driver, told):
+    def _arrive(self, driver, sends):
         self.key += 1
         out = driver.feed(events.Arrived(self.key, support.request(
             "/chat/1", prompt=support.prompt(own=100, shared=50),
@@ -31,10 +31,10 @@
         for send in support.only(out, effects.Send):
             sid = send.server.sid
             self.sent[sid] += 1
-            told.append((driver, sid))
+            sends.append((driver, sid))
 
-    def _tell(self, told):
-        for driver, sid in told:
+    def _report_loads(self, sends):
+        for driver, sid in sends:
             number = self.drivers.index(driver)
             count = len(driver.host.servers[sid].mine)
             for other in self.drivers:
@@ -43,27 +43,27 @@
                         f"h{number}", count, 0, 0, other.now)
 
     def _open_all(self):
-        """Have all engines read what they were sent."""
+        """Let all engines finish the prefill of their prompts."""
         for driver in self.drivers:
             for pending in list(driver.host.pending.values()):
                 if pending.tries and not pending.tries[-1].opened:
                     driver.feed(events.Opened(pending.key, 0, None))
 
-    def test_hosts_that_know_of_each_other_late(self):
-        # Seven hosts fill engines in one order, as long prompts are read
-        # at others. Each sees 23 of an engine's 24 slots taken and sends
-        # one more. A caller with a workspace of the first priority then
-        # makes the engine put back a stream that runs: it is read anew,
-        # and its caller's answer stops for seconds.
+    def test_hosts_that_learn_of_requests_with_a_delay(self):
+        # Seven hosts fill the engines in one order, as long prompts are
+        # prefilled at others. Each sees 23 of an engine's 24 slots in use
+        # and sends one more request. One of a workspace with the first
+        # priority then preempts a running stream: its prompt is prefilled
+        # again, and its answer stops for seconds.
         for driver in self.drivers:
             for state in driver.host.servers.values():
                 state.loud, state.loud_at = 0.2, driver.now
         for _ in range(CHATS // HOSTS):
-            told = []
+            sends = []
             for driver in self.drivers:
                 driver.now += 0.01
-                self._arrive(driver, told)
-            self._tell(told)
+                self._arrive(driver, sends)
+            self._report_loads(sends)
             self._open_all()
             self.assertLessEqual(max(self.sent.values()), SLOTS)
         self.assertEqual(CHATS, sum(self.sent.values()))
--- a/tests/entry/test_tiers.py
+++ b/tests/entry/test_tiers.py
@@ -1,4 +1,4 @@
-"""No tier is refused while a less urgent one begins."""
+"""Tests that no class is refused while a less urgent one is served."""
 
 import dataclasses
 import unittest
@@ -19,20 +19,20 @@
 MEMORY = 230_000
 FETCH_TOKEN_S = 5e-6
 SECONDS = 10
-A_SECOND = 10
-# Of a class, so much may be refused in 5 s while larger requests of a less
-# urgent one begin.
-REFUSED_MOST = 1 / 12
-WINDOW = 5 * A_SECOND
+REQUESTS_PER_S = 10
+# Greatest share of a class that may be refused in 5 s while larger requests
+# of a less urgent class begin.
+MAX_REFUSED_SHARE = 1 / 12
+WINDOW = 5 * REQUESTS_PER_S
 
 
 class RefusedTest(unittest.TestCase):
-    """Short prompts whose parts are at an engine without a free slot."""
+    """Short prompts whose parts are cached by an engine without free slots."""
 
     def setUp(self):
-        self._begin(FETCH_TOKEN_S)
+        self._set_up(FETCH_TOKEN_S)
 
-    def _begin(self, fetch_token_s):
+    def _set_up(self, fetch_token_s):
         self.driver = support.Driver(servers=(FULL, BUSY))
         catalog = support.catalog(CHAT, DRAFT)
         engines = model.Service("engines", 360, model.Engine(
@@ -43,8 +43,8 @@
         self.waiting = {}
         self.served = {CHAT.name: [], DRAFT.name: []}
 
-    def _tell(self):
-        """Another host has all slots of the one; the other one reads."""
+    def _report_loads(self):
+        """A peer uses all slots of one engine; the other is in prefill."""
         host, now = self.driver.host, self.driver.now
         host.servers["full"].others.put("h1", 24, 0, 0, now)
         for prompt in (CHAT_PROMPT, DRAFT_PROMPT, LONG_PROMPT):
@@ -54,15 +54,15 @@
         busy = host.servers["busy"]
         busy.busy, busy.loud, busy.loud_at = 0.8, 0.3, now
 
-    def _ask(self, route, prompt):
+    def _arrive(self, route, prompt):
         self.key += 1
         self.waiting[self.key] = route.name
-        self._take(self.key, self.driver.arrive(
+        self._record(self.key, self.driver.arrive(
             self.key, path=f"/{route.name}/1", prompt=prompt,
             rid=f"r{self.key}", deadline_s=route.timeout_s))
 
-    def _take(self, key, out):
-        """Note how a request ends; an engine is done with it at once."""
+    def _record(self, key, out):
+        """Record how a request ends; engines serve requests at once."""
         sent = support.only(out, effects.Send)
         if not sent and not support.only(out, effects.Answer):
             return
@@ -71,28 +71,30 @@
             self.driver.feed(events.Opened(key, 0, None))
             self.driver.feed(events.Ended(key, 0))
 
-    def _play(self, *kinds):
-        for _ in range(SECONDS * A_SECOND):
-            self._tell()
+    def _run(self, *kinds):
+        for _ in range(SECONDS * REQUESTS_PER_S):
+            self._report_loads()
             for route, prompt in kinds:
-                self._ask(route, prompt)
-            self.driver.now += 1 / A_SECOND
+                self._arrive(route, prompt)
+            self.driver.now += 1 / REQUESTS_PER_S
             for key in list(self.waiting):
-                self._take(key, self.driver.feed(events.TimerFired(key)))
+                self._record(key, self.driver.feed(events.TimerFired(key)))
 
     def test_the_urgent_are_not_refused_where_larger_requests_begin(self):
-        # Chats found no free slot where their parts are, and an engine that
-        # reads much took drafts, whose parts it can fetch, and no chats.
-        self._play((CHAT, CHAT_PROMPT), (DRAFT, DRAFT_PROMPT))
+        # Chats found no free slot at the engine that caches their parts. The
+        # engine that is busy with prefill was given drafts, whose parts it
+        # can fetch, but no chats.
+        self._run((CHAT, CHAT_PROMPT), (DRAFT, DRAFT_PROMPT))
         chats = self.served[CHAT.name][-WINDOW:]
         if any(self.served[DRAFT.name][-WINDOW:]):
             self.assertLessEqual(
-                chats.count(False) / len(chats), REFUSED_MOST)
+                chats.count(False) / len(chats), MAX_REFUSED_SHARE)
 
-    def test_long_shared_parts_are_not_read_again_at_a_busy_engine(self):
-        # Nothing can be fetched: it would displace three other requests.
-        self._begin(0.0)
-        self._play((DRAFT, LONG_PROMPT))
+    def test_busy_engine_does_not_prefill_long_shared_parts_again(self):
+        # Nothing can be fetched, and the prefill would displace three other
+        # requests.
+        self._set_up(0.0)
+        self._run((DRAFT, LONG_PROMPT))
         self.assertNotIn(True, self.served[DRAFT.name])
 
 
