--- a/crocuskeel/core/entry/__init__.py
+++ b/crocuskeel/core/entry/__init__.py
@@ -1,9 +1,9 @@
-"""Decisions of an entry host that serves callers on its own counts.
+"""Decision logic of an entry host, free of side effects.
 
-Each host decides alone: from its own requests, from what backend
-servers say of their load in their answers, and from the few facts that
-hosts tell each other. :func:`reduce` takes one event and returns
-effects; nothing in here does I/O or reads a clock.
+Each host decides alone, based on its own requests, on the load that
+backend servers report in their responses, and on the few facts that
+hosts exchange. :func:`reduce` takes one event and returns effects;
+nothing in this package does I/O or reads a clock.
 """
 
 from crocuskeel.core.entry import effects
--- a/crocuskeel/core/entry/events.py
+++ b/crocuskeel/core/entry/events.py
@@ -1,5 +1,8 @@
-"""Everything that an entry host may hear. ``key`` numbers a request at
-this host, ``turn`` one of its attempts at backend servers."""
+"""Events that an entry host handles.
+
+``key`` numbers a request at this host, ``turn`` one of its attempts at
+backend servers.
+"""
 
 import dataclasses
 import math
@@ -22,16 +25,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Started:
-    """The process listens; ``me`` is this host."""
+    """The process is listening; ``me`` is this host."""
 
     me: model.Peer
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticked:
-    """A quarter of a second or so has passed.
+    """A periodic tick, about every quarter of a second.
 
-    ``wall`` is the host's time of day, s since 1970.
+    ``wall`` is the host's wall clock time, s since 1970.
     """
 
     wall: float = 0.0
@@ -39,12 +42,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopAsked:
-    """The process is asked to stop."""
+    """The process was asked to stop."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrived:
-    """A caller's whole request is here."""
+    """A caller's request was received completely."""
 
     key: int
     request: model.Request
@@ -52,23 +55,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """The caller's connection ended before its answer did."""
+    """The caller's connection ended before its response did."""
 
     key: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time that the request's last Timer effect named has come."""
+    """The time set by the request's latest Timer effect has come."""
 
     key: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HintsSeen:
-    """The head of a server's answer is here, also of a refusal.
+    """The header of a server's response was received, also of a refusal.
 
-    It comes before the event that tells what the answer is.
+    It precedes the event for the response itself.
     """
 
     key: int
@@ -78,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Opened:
-    """The first whole event of a stream is here.
+    """The first complete event of a stream was received.
 
     ``load`` is (running, waiting, slots) of the server, or None.
     """
@@ -90,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progressed:
-    """More of a stream is here."""
+    """More of a stream was received."""
 
     key: int
     turn: int
@@ -98,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ended:
-    """A stream that was passed on is complete."""
+    """A stream that was forwarded to the caller is complete."""
 
     key: int
     turn: int
@@ -106,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer that isn't a stream is here."""
+    """A complete response that isn't a stream was received."""
 
     key: int
     turn: int
@@ -117,9 +120,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Broken:
-    """An attempt ended without an answer; ``detail`` is for the log.
+    """An attempt ended without a response; ``detail`` is for the log.
 
-    ``torn``: the server's connection ended, as in a crash of it.
+    ``torn``: the server's connection ended, as it does in a crash.
     """
 
     key: int
@@ -140,10 +143,10 @@
 class ServersListed:
     """All registered backend servers as of a revision of the store.
 
-    ``lapsing`` is None if this host read the store. Else another host
-    did, and names as (server id, seconds) what it keeps for so long
-    although the entry lapsed. ``unreadable`` are ids whose entries name
-    no server to use.
+    ``lapsing`` is None if this host read the store itself. Otherwise it
+    holds (server id, seconds) for each server that the host that did
+    keeps for so long although its entry lapsed. ``unreadable`` holds the
+    ids of entries that describe no usable server.
     """
 
     servers: tuple
@@ -168,50 +171,50 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsSeen:
-    """The bounds of the deployment, as a Settings, were read anew."""
+    """The deployment's limits were read again, as a Settings object."""
 
     settings: object
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreLost:
-    """Calls to the store fail."""
+    """Calls to the store have begun to fail."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreBack:
-    """The store answers again."""
+    """The store responds again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreLeft:
-    """This host no longer reads the store: other hosts do."""
+    """This host stopped reading the store because other hosts do."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeersSeen:
-    """Hosts that registered in the store."""
+    """The hosts registered in the store."""
 
     peers: tuple
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heard:
-    """A datagram of another host.
+    """The state of another host, received as a datagram.
 
-    ``reads_store``: it follows the store itself, with success.
-    ``informed_s``: how old what it knows of the store may be, s.
+    ``reads_store``: it reads the store itself, successfully.
+    ``informed_s``: maximum age of its information from the store, s.
     ``carriers`` names hosts that it knows to be ready for callers.
-    ``wall`` is its time of day, s since 1970, None if it has no duties;
-    ``leader`` says who holds them. ``wanted``: how many hosts are needed
-    to carry callers. ``rate_limits`` and ``servers_leaving`` are
-    those of HintsHeard.
-
-    ``crashed`` holds (digest, incarnation) of requests under which a server
-    ended; ``loads`` is that of LoadHeard, ``parts`` holds (server
-    id, part, tokens) that it sent there lately.
+    ``wall`` is its wall clock time, s since 1970, None if it has no
+    duties; ``leader`` is the holder of the duties' lease. ``wanted``: how
+    many carriers, hosts that serve callers, are needed. ``rate_limits``
+    and ``servers_leaving`` are as in HintsHeard.
+
+    ``crashed`` holds (digest, incarnation) for each request during which
+    a server crashed; ``loads`` is as in LoadHeard, and ``parts`` holds
+    the (server id, part, tokens) that it recently sent to servers.
     """
 
     peer: model.Peer
@@ -234,18 +237,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadsDue:
-    """It is time to tell other hosts what changed at engines."""
+    """It is time to send changed engine loads to other hosts."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadHeard:
-    """What changed at engines, as host ``name`` says.
-
-    ``loads`` holds (server id, requests, tokens to be read, requests with
-    any, milliseconds since the server was heard, streams as (priority,
-    milliseconds that they may pause, count), tokens that the requests may
-    come to hold), as in Heard.
-    ``refused`` names servers whose hosts just took no connection.
+    """Changed loads of engines as reported by host ``name``.
+
+    Each row of ``loads`` holds, as in Heard: server id, number of
+    requests, prompt tokens still to be read, number of requests with such
+    tokens, milliseconds since the server was last heard from, streams as
+    (priority, allowed pause in milliseconds, count), and the tokens that
+    the requests may occupy in the engine's memory. ``refused`` names
+    servers whose hosts just refused a connection.
     """
 
     name: str
@@ -255,11 +259,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HintsHeard:
-    """What servers name in their answers, as host ``name`` says.
+    """Hints from servers' responses as reported by host ``name``.
 
-    ``rate_limits`` holds (incarnation of a server, requests a second or
-    None, how long ago that was true in ms), ``servers_leaving`` (server
-    id, incarnation).
+    ``rate_limits`` holds (server incarnation, requests a second or None,
+    age of that information in ms), ``servers_leaving`` (server id,
+    incarnation).
     """
 
     name: str
@@ -269,7 +273,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DutyAnswered:
-    """A call of a duty ended; ``call`` is as in effects.SendDuty."""
+    """A duty's call ended; ``call`` is that of effects.SendDuty."""
 
     call: object
     outcome: duties_model.Outcome
--- a/crocuskeel/core/entry/model.py
+++ b/crocuskeel/core/entry/model.py
@@ -1,4 +1,4 @@
-"""What an entry host knows: requests, routes, backend servers, hosts."""
+"""Data model of an entry host: requests, routes, servers and hosts."""
 
 import dataclasses
 import enum
@@ -11,7 +11,7 @@
 
 
 class Kind(enum.Enum):
-    """What may be repeated of a request."""
+    """Whether a request is safe to repeat, or is a stream."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -19,25 +19,28 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt at a backend server ended without an answer."""
+    """How an attempt at a backend server ended without a response."""
 
     # No byte of the request left this host.
     UNREACHED = "unreached"
-    # The same, and the server's host says that nothing listens there.
+    # The same, because the server's host refused the connection.
     REFUSED = "refused"
-    # The server says that it did not run the request.
+    # The server reported that it did not run the request.
     NOT_RUN = "not_run"
-    # Another server has the address; it did not run the request.
+    # Another server uses the address; it did not run the request.
     MISDIRECTED = "misdirected"
-    # The connection ended after the request went out.
+    # The connection ended after the request was sent.
     BROKEN = "broken"
-    # Bytes that are no whole answer to this request.
+    # The bytes received are not a complete response to this request.
     GARBLED = "garbled"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """Parts as (id, tokens), in order; ``output`` is the most tokens."""
+    """A prompt; ``parts`` holds (id, tokens) in order.
+
+    ``output`` is the maximum number of output tokens.
+    """
 
     parts: tuple
     tokens: int
@@ -46,9 +49,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One attempt of a caller; ``digest`` names method, path and body.
+    """A request as sent once by a caller.
 
-    ``deadline_s`` is how long the caller waits from arrival, or None.
+    ``digest`` identifies method, path and body. ``deadline_s`` is how
+    long the caller waits from the request's arrival, or None.
     """
 
     rid: str
@@ -63,11 +67,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A class of requests; times in seconds, ``priority`` 0 is first.
+    """A class of requests; times in seconds, ``priority`` 0 is highest.
 
-    ``split`` holds (service, weight). ``tries`` is the most servers one
-    request may be sent to. ``gap_s`` is the longest pause between events
-    for which a stream is on time.
+    ``split`` holds (service, weight). ``tries`` is the maximum number of
+    servers that one request may be sent to. ``gap_s`` is the longest
+    pause between events for which a stream counts as on time.
     """
 
     name: str
@@ -93,10 +97,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """A service of model engines: ``memory`` in tokens.
+    """Properties of a service's model engines; ``memory`` in tokens.
 
-    ``fetch_token_s`` is the time in which one engine sends another what it
-    holds of a token, s; 0 if they don't.
+    ``fetch_token_s`` is the time that one engine takes to send another
+    the cached state of one token, s; 0 if engines don't do so.
     """
 
     slots: int
@@ -106,12 +110,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scaling:
-    """Bounds of a service's engines, in each failure domain.
+    """Limits on the number of a service's engines per failure domain.
 
-    ``boot_s`` passes from an order until an engine serves. ``prices``
-    maps a failure domain to what an engine costs there; one that the
-    platform may take back costs the share ``spot_price`` of it, None if
-    there are none.
+    ``boot_s`` is the time from an order until an engine serves.
+    ``prices`` maps a failure domain to the price of an engine there; a
+    spot engine, which the platform may reclaim, costs the fraction
+    ``spot_price`` of it. None if there are no spot engines.
     """
 
     least: int
@@ -123,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """``connections`` is the most that a server takes; 0 is no bound.
+    """A service; ``connections`` is the maximum per server, 0 for none.
 
     ``scaling`` is None where no engines can be ordered.
     """
@@ -136,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """``priority`` goes before a route's, if it is set."""
+    """A customer; ``priority`` overrides a route's if it is set."""
 
     name: str
     priority: int | None
@@ -144,7 +148,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What a caller may send; bytes and seconds."""
+    """Limits on what a caller may send, in bytes and seconds."""
 
     head_bytes: int
     body_bytes: int
@@ -154,10 +158,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Catalog:
-    """The configuration in force. ``revision`` is the store's.
+    """The configuration in force; ``revision`` is the store's.
 
-    ``routes`` maps a host name to its routes, longest prefix first;
-    ``api_keys`` maps a key to its workspace, None if keys are not used.
+    ``routes`` maps a host name to its routes, longest prefix first.
+    ``api_keys`` maps a key to its workspace; None if keys are not used.
     """
 
     revision: int
@@ -170,11 +174,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Server:
-    """A backend server as registered; ``cold_s`` is left of its warm-up.
+    """A registered backend server.
 
-    ``born`` is the Unix millisecond of its start, None if it doesn't say:
-    it tells the lives of one server apart. ``spot``: it is cheaper, and
-    the platform may take it back at short notice.
+    ``cold_s`` is the remaining time of its warm-up. ``born`` is its start
+    time in Unix milliseconds, None if it doesn't report it; it tells the
+    incarnations of one server apart. ``spot``: the server is cheaper, and
+    the platform may reclaim it at short notice.
     """
 
     sid: str
@@ -189,22 +194,23 @@
 
     @property
     def incarnation(self):
-        """A name of this life of the server."""
+        """The identifier of this incarnation of the server."""
         return f"{self.sid}/{self.born}"
 
 
 def server_id(incarnation):
-    """Return the id in the name of a server's incarnation."""
+    """Return the server id of an incarnation's identifier."""
     return incarnation.rpartition("/")[0]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hints:
-    """What the head of a server's answer says of what the server takes.
+    """Load hints from the header fields of a server's response.
 
     ``rate_limit``: requests a second from all hosts together, None if
-    it names no limit. ``leaving``: it will end. ``rest_s``: for how long
-    it wants nothing from this host, s; None if it doesn't ask for that.
+    the server sets no limit. ``leaving``: the server will shut down.
+    ``rest_s``: for how long the server asks this host to send nothing,
+    s; None if it doesn't ask for that.
     """
 
     rate_limit: float | None = None
@@ -214,10 +220,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peer:
-    """An entry host. ``front`` is where callers reach it.
+    """An entry host; ``front`` is its address for callers.
 
-    ``boot`` tells the lives of one host apart; ``capacity`` is its share of
-    processor time, cores.
+    ``boot`` tells the incarnations of one host apart; ``capacity`` is its
+    share of processor time, in cores.
     """
 
     name: str
--- a/tests/entry/support.py
+++ b/tests/entry/support.py
@@ -1,4 +1,4 @@
-"""Hosts, catalogs and requests for the tests of an entry host."""
+"""Helpers for tests of entry hosts: routes, servers, requests, a driver."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def route(name="booking", kind=model.Kind.SAFE, **kwargs):
-    """Return a route /NAME/ to service ``plain``."""
+    """Return a route with prefix /NAME/ to service ``plain``."""
     values = {
         "name": name, "host": HOST, "prefix": f"/{name}/", "kind": kind,
         "split": (("plain", 1),), "timeout_s": 2.0, "goal_s": 0.4,
@@ -23,7 +23,7 @@
 
 
 def stream(name="advice", **kwargs):
-    """Return a resumable route of model engines."""
+    """Return a resumable stream route to model engines."""
     values = {"kind": model.Kind.STREAM, "split": (("engines", 1),),
               "timeout_s": 8.0, "goal_s": 1.2, "resumable": True,
               "priority": 0}
@@ -31,7 +31,7 @@
 
 
 def catalog(*routes, revision=10):
-    """Return a catalog with the routes, longest prefix first."""
+    """Return a catalog with the routes sorted by prefix length."""
     ordered = sorted(routes, key=lambda row: -len(row.prefix))
     services = {
         "plain": model.Service("plain", 96, None),
@@ -52,7 +52,7 @@
 
 
 def peer(name="host-1", boot=1, capacity=1.0):
-    """Return a host."""
+    """Return an entry host."""
     return model.Peer(name, boot, "perth-a", f"{name}:80",
                       (name, 81), (name, 82), capacity)
 
@@ -65,22 +65,23 @@
 
 
 def prompt(part="shared", shared=13_000, own=3_000):
-    """Return a prompt of one shared part and its own."""
+    """Return a prompt of a shared part and a part of its own."""
     return model.Prompt(((part, shared), ("own", own)),
                         shared + own, 200)
 
 
 def pending(route, now=NOW, **kwargs):
-    """Return a request of the route as a host keeps it."""
-    asked = request(f"/{route.name}/1", **kwargs)
+    """Return the host's state of a request of the route."""
+    caller_request = request(f"/{route.name}/1", **kwargs)
     return states.Pending(
-        key=1, request=asked, route=route, service=route.split[0][0],
+        key=1, request=caller_request, route=route,
+        service=route.split[0][0],
         workspace="hire", priority=route.priority, at=now,
         ends_at=now + route.timeout_s)
 
 
 class Driver:
-    """Feeds a host and keeps what it did."""
+    """Feeds events to a host whose clock it controls."""
 
     def __init__(self, *routes, servers=(), **settings):
         self.now = NOW
@@ -93,7 +94,7 @@
             self.feed(events.ServersListed(tuple(servers), 5))
 
     def feed(self, event, after=0.0):
-        """Feed an event ``after`` seconds; return its effects."""
+        """Feed an event ``after`` seconds later; return its effects."""
         self.now += after
         return entry.reduce(self.host, event, self.now)
 
@@ -103,5 +104,5 @@
 
 
 def only(effects, kind):
-    """Return the effects of a kind."""
+    """Return the effects of the type ``kind``."""
     return [effect for effect in effects if type(effect) is kind]
--- a/tests/entry/test_repeating.py
+++ b/tests/entry/test_repeating.py
@@ -1,4 +1,4 @@
-"""On how many servers a request may run."""
+"""Limits on the number of servers on which a request may run."""
 
 import unittest
 
@@ -17,10 +17,10 @@
 
 
 class RepeatingTest(unittest.TestCase):
-    """As many as its route allows, but for those that are lost."""
+    """A request may use its route's number of servers, lost ones aside."""
 
-    def _go_on_elsewhere(self):
-        """Have a stream break at its first server; return its id, too."""
+    def _resume_at_second_server(self):
+        """Break a stream at its first server; return driver and its id."""
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt(),
                       deadline_s=8.0)
@@ -31,18 +31,18 @@
         return driver, first
 
     def test_a_server_that_left_the_list_counts_as_tried(self):
-        # An engine leaves: its entry goes while it serves on. A stream
-        # that ran there breaks, goes on at a second engine, which breaks
-        # it too, and a third one ran it: the first was taken for lost.
-        driver, first = self._go_on_elsewhere()
+        # An engine that is shutting down removes its entry but still
+        # serves. A stream breaks there and then at a second engine. It
+        # ran on a third one, as the first was wrongly counted as lost.
+        driver, first = self._resume_at_second_server()
         driver.feed(events.ServersChanged((), (first,), 6))
         out = driver.feed(_broken(1), 0.5)
         self.assertEqual([], support.only(out, effects.Send))
 
     def test_a_server_that_can_not_be_reached_is_not_counted(self):
-        # Two engines crash under a stream, and the first refuses
-        # connections since: the third may finish it.
-        driver, first = self._go_on_elsewhere()
+        # Two engines crash under a stream, and the first one refuses
+        # connections since then: a third engine may finish the stream.
+        driver, first = self._resume_at_second_server()
         driver.host.servers[first].unreached = True
         out = driver.feed(_broken(1), 0.5)
         self.assertEqual(1, len(support.only(out, effects.Send)))
