--- a/crocuskeel/core/duties/__init__.py
+++ b/crocuskeel/core/duties/__init__.py
@@ -1,8 +1,8 @@
-"""Duties towards the platform that one host holds at a time.
+"""Duties: tasks for the platform that one host at a time carries out.
 
-The holder of the lease (:mod:`crocuskeel.core.leadership`) reports how
-much each workspace used, and orders engines. All hosts count what they
-had engines begin and tell the holder.
+The host that holds the lease (:mod:`crocuskeel.core.leadership`) reports
+the usage of each workspace and orders engines. Each host counts the
+requests that it had engines begin, and sends the counts to the holder.
 """
 
 from crocuskeel.core.duties.model import Order
--- a/crocuskeel/core/duties/book.py
+++ b/crocuskeel/core/duties/book.py
@@ -1,25 +1,26 @@
-"""What the holder leaves to the next one, in the lease's object.
+"""The record that a holder hands over to the next one in the lease object.
 
-The object is only written on its last version, so books follow one
-another: a window that was decided in one is decided for all holders
-after it, with the same counts, and is reported only once the write that
-decided it is known to have taken effect.
+The object is only written conditionally, on its latest version, so each
+record is based on the previous one. A window that is decided in one, that
+is whose counts are final, stays decided for all later holders with the
+same counts. It is reported only once the write that decided it is known
+to have taken effect.
 """
 
 import dataclasses
 
-__all__ = ["Book", "read", "write"]
+__all__ = ["HandoverState", "read", "write"]
 
 
 @dataclasses.dataclass(slots=True)
-class Book:
+class HandoverState:
     """What the holder has decided, reported and ordered.
 
-    ``done``: all windows up to this one are reported, or given up, but
-    for those that are decided still.
+    ``done``: all windows up to this one were reported or given up, except
+    those that are still in ``decided``.
 
     ``decided`` maps a window to its counts, ``asked`` the subject of an
-    order to the number of engines that it named.
+    order to the number of engines that it asked for.
     """
 
     done: int | None = None
@@ -27,19 +28,19 @@
     asked: dict = dataclasses.field(default_factory=dict)
 
 
-def write(book, tables):
-    """Return the record of a book and the tables of windows not decided.
+def write(state, tables):
+    """Return the record of a HandoverState and the undecided counts.
 
-    A window that is open when all hosts are lost at once keeps what was
-    counted up to the last renewal.
+    If all hosts are lost at once, the windows that are not decided yet
+    keep what was counted up to the last renewal.
     """
-    last = max([book.done or 0, *book.decided])
+    last = max([state.done or 0, *state.decided])
     return {
-        "done": book.done,
+        "done": state.done,
         "decided": {str(window): counts
-                    for window, counts in book.decided.items()},
+                    for window, counts in state.decided.items()},
         "asked": [[*subject, count]
-                  for subject, count in sorted(book.asked.items())],
+                  for subject, count in sorted(state.asked.items())],
         "tables": [
             [name, boot, [[window, counts] for window, counts
                           in table.items() if window > last]]
@@ -47,32 +48,33 @@
 
 
 def read(record):
-    """Return (book, rows) of a record; rows are (name, boot, rows).
+    """Return the HandoverState of a record and its (name, boot, rows).
 
-    Raises ValueError if it is none that :func:`write` made.
+    Raises ValueError for a record that :func:`write` can't have made.
     """
     if record is None:
-        return Book(), []
+        return HandoverState(), []
     try:
         done = record["done"]
-        book = Book(
-            None if done is None else _number(done),
+        state = HandoverState(
+            None if done is None else _integer(done),
             {int(window): _counts(counts)
              for window, counts in record["decided"].items()},
-            {tuple(row[:-1]): _number(row[-1]) for row in record["asked"]})
+            {tuple(row[:-1]): _integer(row[-1]) for row in record["asked"]})
         tables = [
-            (name, boot, [(_number(window), tuple(_counts(counts).items()))
+            (name, boot, [(_integer(window), tuple(_counts(counts).items()))
                           for window, counts in rows])
             for name, boot, rows in record["tables"]]
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
-        raise ValueError(f"no record of a holder: {exc!r}") from exc
-    return book, tables
+        raise ValueError(f"invalid holder record: {exc!r}") from exc
+    return state, tables
 
 
-def _number(value):
-    """Return a whole number as it is; raises TypeError for others.
+def _integer(value):
+    """Return an integer unchanged; raise TypeError for any other type.
 
-    A holder that took another type over would fail at each step.
+    A holder that took over a value of another type would fail at each
+    step.
     """
     if not isinstance(value, int) or isinstance(value, bool):
         raise TypeError(value)
@@ -80,4 +82,4 @@
 
 
 def _counts(rows):
-    return {str(name): _number(count) for name, count in rows.items()}
+    return {str(name): _integer(count) for name, count in rows.items()}
--- a/crocuskeel/core/duties/counting.py
+++ b/crocuskeel/core/duties/counting.py
@@ -1,43 +1,43 @@
 """Counts of the requests that engines began, by window and workspace.
 
-Each life of a host has a table of its own whose counts only grow, and
-whoever holds the table of several merges by the larger count. So a table
-may be told twice, late, or by the store after the host's death, without
-a request that counts twice.
+Each incarnation of a host has its own table, whose counts only grow.
+Copies of a table are merged by taking the larger count. So a table may
+arrive twice, late, or from the store after the host's failure, and no
+request is counted twice.
 """
 
-__all__ = ["WINDOWS_KEPT", "began", "merge", "prune", "total"]
+__all__ = ["WINDOWS_KEPT", "count_request", "merge", "prune", "total"]
 
-# Windows that are kept, back from the newest: a report that is still not
-# out after so many, a minute with windows of 5 s, is of no use.
+# Number of most recent windows that are kept: a report that was not sent
+# within so many, a minute with windows of 5 s, is of no use.
 WINDOWS_KEPT = 12
 
 
-def began(table, window, workspace):
+def count_request(table, window, workspace):
     """Count a request of a workspace that an engine began in a window."""
     counts = table.setdefault(window, {})
     counts[workspace] = counts.get(workspace, 0) + 1
 
 
 def merge(table, rows):
-    """Take what is known of the same table elsewhere."""
+    """Merge the rows of another copy of the table into it."""
     for window, counts in rows:
-        known = table.setdefault(window, {})
+        merged = table.setdefault(window, {})
         for workspace, count in counts:
-            known[workspace] = max(count, known.get(workspace, 0))
+            merged[workspace] = max(count, merged.get(workspace, 0))
 
 
 def total(tables, window):
     """Return the counts of a window over all tables, by workspace."""
-    found = {}
+    totals = {}
     for table in tables:
         for workspace, count in table.get(window, {}).items():
-            found[workspace] = found.get(workspace, 0) + count
-    return found
+            totals[workspace] = totals.get(workspace, 0) + count
+    return totals
 
 
 def prune(tables, before):
-    """Forget windows before one, and tables that have none left."""
+    """Remove windows before ``before``, and tables that have no others."""
     for key in list(tables):
         table = tables[key]
         if table and max(table) < before:
--- a/crocuskeel/core/duties/model.py
+++ b/crocuskeel/core/duties/model.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties sends to the platform."""
+"""Calls that the holder of the duties makes to the platform."""
 
 import dataclasses
 import enum
@@ -7,10 +7,10 @@
 
 
 class Outcome(enum.Enum):
-    """How a call of a duty ended.
+    """How a duty's call ended.
 
-    UNAVAILABLE: none of the engines asked for can be had now. FAILED:
-    the platform may have taken it; it is sent again.
+    UNAVAILABLE: none of the ordered engines are available now. FAILED:
+    the platform may have accepted the call; it is retried.
     """
 
     DONE = "done"
@@ -18,13 +18,13 @@
     FAILED = "failed"
 
 
-# The subject of all reports of usage.
+# The subject of all usage reports.
 REPORTS = ("usage",)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """Requests begun in a window, as (workspace, count) by name.
+    """Requests begun in a window, as (workspace, count) sorted by name.
 
     Window k begins k times the window's length after the start of 1970.
     """
@@ -34,16 +34,16 @@
 
     @property
     def subject(self):
-        """Name what one holder at a time may speak of."""
+        """The subject of the call, on which only one holder may act."""
         return REPORTS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """Have so many engines of a kind in a failure domain.
+    """An order to have ``count`` engines of a kind in a failure domain.
 
-    ``spot``: cheaper ones, which the platform may take back at short
-    notice. The number is absolute, so that a repeat changes nothing.
+    ``spot``: cheaper engines, which the platform may reclaim at short
+    notice. The number is absolute, so a repeated order has no effect.
     """
 
     service: str
@@ -53,13 +53,13 @@
 
     @property
     def subject(self):
-        """Name what one holder at a time may speak of."""
+        """The subject of the call, on which only one holder may act."""
         return ("scale", self.service, self.domain, self.spot)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What one life of a host counted.
+    """The counts of one incarnation of a host.
 
     ``rows`` holds (window, ((workspace, count), ...)); counts only grow.
     """
--- a/crocuskeel/core/duties/ordering.py
+++ b/crocuskeel/core/duties/ordering.py
@@ -1,4 +1,4 @@
-"""Orders for engines: what the holder asks of the platform, and when."""
+"""Orders for engines that the holder gives to the platform."""
 
 from crocuskeel.core.duties import capacity
 from crocuskeel.core.duties import demand
@@ -6,56 +6,57 @@
 
 __all__ = ["answered", "due", "sample"]
 
-# Engines that were ordered and don't serve this long after their boot
-# time are ordered again, s: an order may have been lost after it was
-# taken, or the engines with it.
+# Ordered engines that don't serve this long after their boot time are
+# ordered again, s: the order may have been lost after it was accepted, or
+# the engines may have been lost.
 OVERDUE_S = 2.0
-# The platform had no such engine: it is asked again after this, s.
-NONE_LEFT_S = 1.5
+# An order for engines that were unavailable is retried after this, s.
+UNAVAILABLE_RETRY_S = 1.5
 
 
 def sample(duties, service, shares, now, policy):
-    """Take the shares of their time that a service's engines are used."""
-    known = duties.demands.get(service)
-    if known is None:
-        known = duties.demands[service] = demand.new_demand(
+    """Update the demand from the utilization of a service's engines."""
+    service_demand = duties.demands.get(service)
+    if service_demand is None:
+        service_demand = duties.demands[service] = demand.new_demand(
             policy.kept_s)
-        known.usual = len(shares) * policy.use_share
+        service_demand.mean = len(shares) * policy.use_share
         first = _first_need(duties, service, shares, policy)
-        demand.note(known, first, now)
-    demand.sample(known, shares, now)
+        demand.note(service_demand, first, now)
+    demand.sample(service_demand, shares, now)
 
 
 def _first_need(duties, service, shares, policy):
-    """Return the need that is assumed before any was seen.
+    """Return the need that is assumed before any was measured.
 
-    A holder that follows another keeps what that one had. The first of
-    all takes the operator's engines to be there for work that fills them:
-    when a burst is the first thing that comes, more would be late.
+    A holder that succeeds another keeps the engines that one ordered. The
+    very first holder assumes that the operator's engines will be fully
+    used: if a burst comes first, engines ordered then would be too late.
     """
-    followed = any(subject[1] == service for subject in duties.book.asked)
-    return len(shares) * (policy.use_share if followed else 1.0)
+    has_predecessor = any(
+        subject[1] == service for subject in duties.book.asked)
+    return len(shares) * (policy.use_share if has_predecessor else 1.0)
 
 
 def due(duties, service, scaling, engines, now, policy):
-    """Return the orders of a service that are to be given now.
+    """Return the orders of a service that are due now.
 
     ``engines`` holds the engines that serve, as {(domain, spot): count}.
     """
-    # Where it may run, and where it does.
+    # The domains where engines may run, and those where some do.
     names = set(scaling.prices) | {name for name, _ in engines}
-    known = duties.demands[service]
+    service_demand = duties.demands[service]
     wanted = capacity.plan(
         scaling, [_domain(duties, service, name, engines)
                   for name in sorted(names)],
-        demand.need(known), known.usual, policy)
-    found = []
+        demand.need(service_demand), service_demand.mean, policy)
+    orders = []
     for (name, spot), count in wanted.items():
         order = model.Order(service, name, spot, count)
         if _is_due(duties, order, engines.get((name, spot), 0),
                    scaling.boot_s, now):
-            found.append(order)
-    return found
+            orders.append(order)
+    return orders
 
 
 def _domain(duties, service, name, engines):
@@ -65,30 +66,30 @@
     spot = duties.calls.get(("scale", service, name, True))
     return capacity.Domain(
         name, engines.get((name, True), 0), asked,
-        dry=spot is not None and spot.none_left)
+        dry=spot is not None and spot.unavailable)
 
 
 def _is_due(duties, order, serving, boot_s, now):
-    known = duties.calls.get(order.subject)
-    if known is None:
+    latest = duties.calls.get(order.subject)
+    if latest is None:
         asked = duties.book.asked.get(order.subject, serving)
         return asked != order.count or serving != order.count
-    went, known.served = serving < known.served, serving
-    if known.under_way or known.due_at > now:
+    some_lost, latest.served = serving < latest.served, serving
+    if latest.in_progress or latest.retry_at > now:
         return False
-    if known.call.count != order.count or known.failures:
+    if latest.call.count != order.count or latest.failures:
         return True
-    if known.none_left or went:
+    if latest.unavailable or some_lost:
         return serving < order.count
     return (serving < order.count
-            and now >= known.settled_at + boot_s + OVERDUE_S)
+            and now >= latest.completed_at + boot_s + OVERDUE_S)
 
 
-def answered(duties, known, outcome, now):
-    """Take the answer to an order."""
-    known.none_left = outcome is model.Outcome.UNAVAILABLE
+def answered(duties, latest, outcome, now):
+    """Handle the outcome of the latest order of a subject."""
+    latest.unavailable = outcome is model.Outcome.UNAVAILABLE
     if outcome is model.Outcome.DONE:
-        known.settled_at = now
-        duties.book.asked[known.call.subject] = known.call.count
-    elif known.none_left:
-        known.due_at = now + NONE_LEFT_S
+        latest.completed_at = now
+        duties.book.asked[latest.call.subject] = latest.call.count
+    elif latest.unavailable:
+        latest.retry_at = now + UNAVAILABLE_RETRY_S
--- a/crocuskeel/core/duties/reporting.py
+++ b/crocuskeel/core/duties/reporting.py
@@ -1,8 +1,9 @@
-"""Reports of usage: when a window is decided, and when it is sent.
+"""Usage reports: when a window is decided, and when it is reported.
 
-A window is decided once, for good: its counts are written to the lease's
-object and are sent only when that write is known to have taken effect.
-Whoever holds the lease then sends just these, however often.
+A window is decided once and finally: its counts are written to the lease
+object and are reported only when that write is known to have taken
+effect. From then on every holder reports exactly these counts, however
+often.
 """
 
 from crocuskeel.core.duties import book as books
@@ -11,23 +12,24 @@
 
 __all__ = ["answered", "decide", "due"]
 
-# A window is decided so long after its end, s: a stream's first token is
-# known after some tens of milliseconds, a call's answer after one or two
-# seconds at the most, and hosts tell the holder each third of a second.
+# A window is decided this long after its end, s: the first token of a
+# stream arrives after tens of milliseconds, the response to a call after
+# one or two seconds at the most, and hosts send their counts to the holder
+# every third of a second.
 SETTLE_S = 2.5
-# A report is sent again until so long after it was due, s.
-LATE_S = 60.0
+# A report is retried until this long after it was due, s.
+RETRY_LIMIT_S = 60.0
 
 
 def decide(duties, report_s, wall):
     """Decide the windows that have ended; return their numbers.
 
-    ``wall`` is the time of day that hosts agree on, s.
+    ``wall`` is the wall clock time that hosts agree on, s.
     """
     current = int(wall // report_s)
     book = duties.book
     if book.done is None:
-        # Nobody held the duty before: it begins with this window.
+        # This is the first holder of all: reports begin with this window.
         book.done = current - 1
     last = max([book.done, *book.decided])
     newest = int((wall - SETTLE_S) // report_s) - 1
@@ -43,44 +45,44 @@
 def due(duties, report_s, due_s, wall, failed=None):
     """Return the Report that is to be sent next, or None.
 
-    Only counts that the object holds for certain go out: the next holder
-    would decide a window otherwise whose write never took effect, and the
-    platform would get two counts of it.
+    Only counts that are known to be stored in the lease object are sent.
+    Otherwise, if the write of a window never took effect, the next holder
+    would decide it differently and the platform would get two counts.
 
-    After a window that ``failed`` the later ones come first: one report
-    that the platform turned down kept all others back for a minute, which
-    is past the time at which they are due.
+    After the report of window ``failed`` failed, later windows are sent
+    first: otherwise one report that the platform rejects would delay all
+    others for a minute, which is past the time at which they are due.
     """
     for window in list(duties.book.decided):
-        if wall > (window + 1) * report_s + due_s + LATE_S:
+        if wall > (window + 1) * report_s + due_s + RETRY_LIMIT_S:
             _close(duties, window)
-    kept = _kept(duties)
-    ready = sorted(set(duties.book.decided) & set(kept))
+    committed = _committed(duties)
+    ready = sorted(set(duties.book.decided) & set(committed))
     if not ready:
         return None
     later = [window for window in ready
              if failed is not None and window > failed]
     window = (later or ready)[0]
-    return model.Report(window, tuple(sorted(kept[window].items())))
+    return model.Report(window, tuple(sorted(committed[window].items())))
 
 
-def _kept(duties):
-    """Return the decided windows that the object holds for certain.
+def _committed(duties):
+    """Return the decided windows that are stored in the lease object.
 
-    Its record is read where it changed, and not at each look.
+    The record is parsed only when it has changed.
     """
-    record = duties.candidate.lease.kept
-    if record is not duties.kept_record:
-        duties.kept_record = record
+    record = duties.candidate.lease.committed_record
+    if record is not duties.committed_record:
+        duties.committed_record = record
         try:
-            duties.kept, _ = books.read(record)
+            duties.committed, _ = books.read(record)
         except ValueError:
-            duties.kept = books.Book()
-    return duties.kept.decided
+            duties.committed = books.HandoverState()
+    return duties.committed.decided
 
 
 def answered(duties, call, outcome):
-    """Take the answer to a report."""
+    """Handle the outcome of a report."""
     if outcome is model.Outcome.DONE:
         _close(duties, call.window)
 
--- a/crocuskeel/core/duties/state.py
+++ b/crocuskeel/core/duties/state.py
@@ -1,4 +1,4 @@
-"""What a host holds of the duties."""
+"""State of the duties on a host."""
 
 import dataclasses
 
@@ -11,9 +11,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leader:
-    """Who held the lease as of a version of its object.
+    """The holder of the lease as of a version of the lease object.
 
-    ``host`` is empty if nobody did.
+    ``host`` is empty if the lease was free.
     """
 
     version: int = -1
@@ -23,48 +23,51 @@
 
 @dataclasses.dataclass(slots=True)
 class Open:
-    """A call of a duty: what is sent, and when it may be sent again.
+    """The latest call of a subject, and when it may be repeated.
 
-    ``settled_at``: when it was carried out; ``none_left``: the platform
-    had none of the engines that it asks for.
+    ``completed_at``: when it was carried out; ``unavailable``: the
+    platform had none of the ordered engines.
     """
 
     call: object
-    under_way: bool = False
+    in_progress: bool = False
     failures: int = 0
-    due_at: float = 0.0
-    settled_at: float = 0.0
-    none_left: bool = False
-    # Engines that served when it was last looked at.
+    retry_at: float = 0.0
+    completed_at: float = 0.0
+    unavailable: bool = False
+    # Number of engines that served when it was last checked.
     served: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class Duties:
-    """``tables`` holds counts by (host, boot), this host's among them.
+    """State of the duties on a host.
 
-    ``told_leader`` is (host, fence) of the holder that this host tells
-    its counts, since ``told_leader_at``. ``calls`` are those of the
-    holder, by subject.
+    ``tables`` holds counts by (host, boot), including this host's
+    ``table``. ``reported_to`` is (host, fence) of the holder to whom this
+    host sends its counts, since ``reported_to_since``. ``calls`` holds the
+    latest call of each subject, if this host is the holder.
     """
 
     candidate: leadership.Candidate
     begun_at: float
     leader: Leader = Leader()
-    # When nobody was found to hold the lease.
+    # When the lease was found to be free.
     free_at: float | None = None
     releasing: bool = False
     offsets: dict = dataclasses.field(default_factory=dict)
     table: dict = dataclasses.field(default_factory=dict)
     tables: dict = dataclasses.field(default_factory=dict)
-    # By window: when this host last counted in it.
+    # By window: when this host last counted a request in it.
     counted_at: dict = dataclasses.field(default_factory=dict)
-    told_leader: tuple = ()
-    told_leader_at: float = 0.0
-    book: books.Book = dataclasses.field(default_factory=books.Book)
-    # What the lease's object holds for certain, as written and as read.
-    kept_record: dict | None = None
-    kept: books.Book = dataclasses.field(default_factory=books.Book)
+    reported_to: tuple = ()
+    reported_to_since: float = 0.0
+    book: books.HandoverState = dataclasses.field(
+        default_factory=books.HandoverState)
+    # The record known to be stored in the lease object, raw and parsed.
+    committed_record: dict | None = None
+    committed: books.HandoverState = dataclasses.field(
+        default_factory=books.HandoverState)
     calls: dict = dataclasses.field(default_factory=dict)
     # By service.
     demands: dict[str, demand.Demand] = dataclasses.field(
@@ -72,10 +75,11 @@
 
 
 def new_duties(cfg, rng, now):
-    """Return the duties of a host that has just begun.
+    """Return the state of the duties on a host that has just started.
 
-    ``cfg`` is a :class:`leadership.Config`. An earlier life of the host
-    may have acted until now, so that it rests as after a loss.
+    ``cfg`` is a :class:`leadership.Config`. An earlier incarnation of the
+    host may have acted until now, so the cooldown applies as after a loss
+    of the lease.
     """
     return Duties(leadership.Candidate(
-        cfg=cfg, rng=rng, rests_until=now + cfg.rest_s), now)
+        cfg=cfg, rng=rng, cooldown_until=now + cfg.cooldown_s), now)
--- a/crocuskeel/core/duties/truetime.py
+++ b/crocuskeel/core/duties/truetime.py
@@ -1,27 +1,27 @@
-"""The time of day that hosts agree on.
+"""The wall clock time that hosts agree on.
 
-A host's time of day may jump by seconds, forward or back. Windows of
-usage follow the middle of what all hosts say: one host's clock, or those
-of a third of them, don't move it.
+A host's wall clock may jump by seconds, forward or back. Usage windows
+therefore follow the median of all hosts' clocks, which wrong clocks of
+one host, or of a third of them, don't change.
 """
 
 import statistics
 
-__all__ = ["note", "now", "own"]
+__all__ = ["add_reading", "own", "wall_time"]
 
-# What a host said of its clock counts for this long, s: ten datagrams.
-SAID_S = 3.0
+# A reading of a host's clock is valid for this long, s: ten datagrams.
+READING_TTL_S = 3.0
 
 
-def note(offsets, name, wall, now):
-    """Take a host's time of day, ``wall``, told at ``now`` of our clock."""
+def add_reading(offsets, name, wall, now):
+    """Record a host's wall clock time, received at ``now`` of our clock."""
     offsets[name] = (wall - now, now)
 
 
-def now(offsets, now):
-    """Return the time of day, s since 1970, or None if nobody told it."""
+def wall_time(offsets, now):
+    """Return the agreed time, s since 1970, or None without readings."""
     for name in [name for name, (_, at) in offsets.items()
-                 if now - at > SAID_S]:
+                 if now - at > READING_TTL_S]:
         del offsets[name]
     if not offsets:
         return None
@@ -30,7 +30,7 @@
 
 
 def own(offsets, name, now):
-    """Return what a host's own clock says, or None before it was read."""
+    """Return a host's own wall clock time, or None without a reading."""
     if name not in offsets:
         return None
     return now + offsets[name][0]
--- a/crocuskeel/core/entry/attempts.py
+++ b/crocuskeel/core/entry/attempts.py
@@ -1,4 +1,4 @@
-"""What attempts at servers bring: answers, events, failures."""
+"""Handles the results of attempts: responses, stream events, failures."""
 
 from crocuskeel.core.entry import budget
 from crocuskeel.core.entry import effects
@@ -15,29 +15,30 @@
 
 __all__ = ["answered", "broken", "ended", "opened", "progressed"]
 
-FAILED = 500
-# A server that sheds is left alone for this long, s.
-FULL_S = 0.15
-# Attempts to reach a server, on top of servers that may have run it.
-REACHES = 4
-# The request got to no server that could run it.
-REACHED_NOBODY = (model.Outcome.UNREACHED, model.Outcome.REFUSED,
-                  model.Outcome.MISDIRECTED)
+SERVER_ERROR = 500
+# A server that sheds load gets no requests for this long, s.
+SHED_BACKOFF_S = 0.15
+# Maximum number of attempts to reach a server; the number of servers that
+# may run the request is limited separately.
+MAX_CONNECT_ATTEMPTS = 4
+# The request reached no server that could run it.
+NOT_REACHED = (model.Outcome.UNREACHED, model.Outcome.REFUSED,
+               model.Outcome.MISDIRECTED)
 
 
 def opened(host, event, now):
-    """The first event of a stream: the caller gets this answer."""
+    """Handle the first event of a stream: forward it to the caller."""
     pending, attempt = ending.find(host, event)
     if attempt is None:
         return []
     target = host.servers.get(attempt.sid)
     if target is not None:
-        _note_pace(target, attempt, now)
+        _record_first_event(target, attempt, now)
         target.mine[pending.key, attempt.turn] = 0
-        ending.changed(host, pending, target)
+        ending.mark_load_changed(host, pending, target)
         serverload.note_load(target, event.load, now)
     pending.may_have_run = True
-    usage.began(host, pending, now)
+    usage.count_begun(host, pending, now)
     attempt.opened = True
     pending.passing = attempt.turn
     pending.progress_at = now
@@ -50,7 +51,7 @@
     return out
 
 
-def _note_pace(target, attempt, now):
+def _record_first_event(target, attempt, now):
     tokens = attempt.fresh_tokens + sum(target.mine.values())
     expected = 0.05 + tokens / parts.READ_TOKENS_S
     health.timed(target, now - attempt.at, expected)
@@ -58,7 +59,7 @@
 
 
 def progressed(host, event, now):
-    """More of a stream came."""
+    """Handle further data of a stream."""
     pending, attempt = ending.find(host, event)
     if attempt is None:
         return []
@@ -68,23 +69,23 @@
     target = host.servers.get(attempt.sid)
     if target is not None:
         health.heard(target, now)
-        _note_gap(host, pending, target, gap_s, now)
+        _record_gap(host, pending, target, gap_s, now)
     return []
 
 
-def _note_gap(host, pending, target, gap_s, now):
-    seen = pace.of_service(host, pending.service)
-    pace.note_gap(seen, pending.ahead_s, gap_s)
+def _record_gap(host, pending, target, gap_s, now):
+    observed = pace.of_service(host, pending.service)
+    pace.note_gap(observed, pending.ahead_s, gap_s)
     pending.ahead_s = serverload.ahead_s(target, now)
 
 
 def ended(host, event, now):
-    """A stream is complete."""
+    """Handle the end of a complete stream."""
     pending, attempt = ending.find(host, event)
     if attempt is None:
         return []
     target = host.servers.get(attempt.sid)
-    _note_success(host, target, attempt, now)
+    _record_success(host, target, attempt, now)
     ending.finish(host, pending)
     return [ending.note("served", pending.request, turn=attempt.turn,
                         server=attempt.sid,
@@ -93,23 +94,23 @@
                         gap_s=pending.route.gap_s)]
 
 
-def _note_success(host, target, attempt, now):
-    quarantine.note_alive(host, attempt.incarnation, attempt.at)
+def _record_success(host, target, attempt, now):
+    quarantine.note_completed(host, attempt.incarnation, attempt.at)
     if target is not None:
         health.succeeded(target, now)
 
 
 def answered(host, event, now):
-    """A whole answer: pass it on, or try another server after a failure."""
+    """Forward a complete response, or try another server after an error."""
     pending, attempt = ending.find(host, event)
     if attempt is None:
         return []
     target = host.servers.get(attempt.sid)
-    ending.release(host, pending, attempt)
+    ending.close_attempt(host, pending, attempt)
     pending.may_have_run = True
-    usage.began(host, pending, attempt.at)
-    if event.status < FAILED:
-        return _pass_on(host, pending, attempt, target, event, now)
+    usage.count_begun(host, pending, attempt.at)
+    if event.status < SERVER_ERROR:
+        return _forward(host, pending, attempt, target, event, now)
     if target is not None:
         health.failed(target, now)
     pending.fallback = attempt.turn
@@ -122,12 +123,12 @@
     return ending.give_up(host, pending, f"server failed {event.status}", now)
 
 
-def _pass_on(host, pending, attempt, target, event, now):
+def _forward(host, pending, attempt, target, event, now):
     if pending.passing is not None:
         return ending.give_up(host, pending, "resume was refused", now)
     if target is not None:
         serverload.note_load(target, event.load, now)
-    _note_success(host, target, attempt, now)
+    _record_success(host, target, attempt, now)
     out = ending.cancel_others(host, pending, attempt)
     out.append(effects.PassOn(pending.key, attempt.turn))
     out.append(ending.note("served", pending.request, turn=attempt.turn,
@@ -138,34 +139,34 @@
 
 
 def broken(host, event, now):
-    """An attempt ended without an answer."""
+    """Handle the end of an attempt that got no response."""
     pending, attempt = ending.find(host, event)
     if attempt is None:
         return []
-    ending.release(host, pending, attempt)
-    _judge(host, pending, attempt, event, now)
+    ending.close_attempt(host, pending, attempt)
+    _record_failure(host, pending, attempt, event, now)
     line = ending.note("broken", pending.request, turn=attempt.turn,
                        server=attempt.sid, outcome=event.outcome.value,
                        detail=event.detail,
                        passing=pending.passing is not None)
     if ending.live(pending):
         return [line]
-    if _may_try_again(host, pending, event.outcome, now):
+    if _may_retry(host, pending, event.outcome, now):
         return [line] + sending.send(host, pending, now)
     return [line] + ending.give_up(host, pending, event.outcome.value, now)
 
 
-def _may_try_again(host, pending, outcome, now):
-    if outcome in REACHED_NOBODY:
-        return pending.reached_out < REACHES
+def _may_retry(host, pending, outcome, now):
+    if outcome in NOT_REACHED:
+        return pending.connect_attempts < MAX_CONNECT_ATTEMPTS
     if outcome is model.Outcome.NOT_RUN and not pending.may_have_run:
         return (pending.sent < pending.route.tries
                 and budget.may_repeat(host, pending.service, now))
     return repeating.may_go_on(host, pending, now)
 
 
-def _judge(host, pending, attempt, event, now):
-    """Learn from a broken attempt, of the request and its server."""
+def _record_failure(host, pending, attempt, event, now):
+    """Update the state of the request and its server after a failure."""
     target = host.servers.get(attempt.sid)
     digest = pending.request.digest
     match event.outcome:
@@ -185,18 +186,18 @@
                 target.misdirects = True
         case model.Outcome.NOT_RUN:
             if target is not None:
-                _note_full(target, now)
+                _back_off(target, now)
         case _:
             pending.may_have_run = True
             if pending.route.kind is not model.Kind.STREAM:
-                usage.began(host, pending, attempt.at)
+                usage.count_begun(host, pending, attempt.at)
             if event.torn:
-                quarantine.note_torn(host, digest, attempt, now)
+                quarantine.note_disconnect(host, digest, attempt, now)
             if target is not None:
                 health.unreached(target, now)
 
 
-def _note_full(target, now):
-    """A server that sheds is full, whatever was thought of it."""
+def _back_off(target, now):
+    """Back off from a server that sheds load, whatever its known load."""
     target.heard_at = now
-    target.suspect_until = max(target.suspect_until, now + FULL_S)
+    target.suspect_until = max(target.suspect_until, now + SHED_BACKOFF_S)
--- a/crocuskeel/core/entry/duties.py
+++ b/crocuskeel/core/entry/duties.py
@@ -1,4 +1,4 @@
-"""What an entry host does for the duties: reports and orders."""
+"""The duties of an entry host: usage reports and orders for engines."""
 
 from crocuskeel.core.duties import model
 from crocuskeel.core.duties import ordering
@@ -15,48 +15,48 @@
 
 REPORT = "usage"
 SCALE = "scale"
-# A call of a duty that failed is made again after this, s, and twice as
-# long each time it fails again, up to the second.
-AGAIN_S = 0.4
-AGAIN_MOST_S = 3.2
+# A failed call of a duty is retried after this delay, s; the delay doubles
+# with each further failure, up to the maximum.
+RETRY_S = 0.4
+MAX_RETRY_S = 3.2
 
 
 def begin(host, now):
-    """Begin the duties that the platform asks for, if any."""
+    """Initialize the state of the duties, if there are any."""
     if host.cfg.duties:
         host.duties = states.new_duties(
             holding.config(host.me.name, host.cfg.lease_s), host.rng, now)
 
 
 def heard(host, event, now):
-    """Take what another host says of the time, and of who leads."""
+    """Update the clock offsets and the leader from another host's state."""
     duties = host.duties
     if duties is None:
         return
     if event.wall is not None:
-        truetime.note(duties.offsets, event.peer.name, event.wall, now)
-    holding.heard(duties, event.leader, now)
+        truetime.add_reading(duties.offsets, event.peer.name, event.wall, now)
+    holding.leader_received(duties, event.leader, now)
 
 
 def step(host, wall, now):
-    """Do what is due; ``wall`` is this host's own time of day, s."""
+    """Do what is due; ``wall`` is this host's own wall clock time, s."""
     duties = host.duties
     if duties is None:
         return []
-    truetime.note(duties.offsets, host.me.name, wall, now)
-    out = usage.tell(host, now)
+    truetime.add_reading(duties.offsets, host.me.name, wall, now)
+    out = usage.send_counts(host, now)
     if holding.is_holder(duties):
-        out += _decide(host, now)
+        out += _update_record(host, now)
     out += holding.step(host, now)
     if holding.may_act(duties, now):
-        out += _act(host, now)
+        out += _start_due_calls(host, now)
     return out
 
 
-def _decide(host, now):
-    """Have decided windows and the tables kept with the next renewal."""
+def _update_record(host, now):
+    """Decide the ended windows and put the record into the next renewal."""
     duties = host.duties
-    wall = truetime.now(duties.offsets, now)
+    wall = truetime.wall_time(duties.offsets, now)
     lease = duties.candidate.lease
     lines = []
     if REPORT in host.cfg.duties:
@@ -69,42 +69,43 @@
                     window in table for table in duties.tables.values()),
                 "fence": lease.fence}))
     if now >= lease.due_at:
-        lease.record = holding.record(duties)
+        lease.record = holding.lease_record(duties)
     return lines
 
 
-def _act(host, now):
-    """Report and order what is due: this host holds the lease."""
+def _start_due_calls(host, now):
+    """Start the reports and orders that are due; the lease is held."""
     duties = host.duties
     calls = []
     if REPORT in host.cfg.duties:
-        wall = truetime.now(duties.offsets, now)
+        wall = truetime.wall_time(duties.offsets, now)
         report = reporting.due(
             duties, host.cfg.report_s, host.cfg.report_due_s, wall,
             _failed_window(duties))
-        if report is not None and _is_free(duties, report, now):
+        if report is not None and _may_start(duties, report, now):
             calls.append(report)
     if SCALE in host.cfg.duties and host.catalog is not None:
         calls += _orders(host, now)
-    return [effect for call in calls for effect in _send(duties, call)]
+    return [effect for call in calls for effect in _start_call(duties, call)]
 
 
 def _failed_window(duties):
-    """Return the window whose report was made last, if it failed."""
-    known = duties.calls.get(model.REPORTS)
-    if known is None or not known.failures:
+    """Return the window of the latest report, if that failed."""
+    latest = duties.calls.get(model.REPORTS)
+    if latest is None or not latest.failures:
         return None
-    return known.call.window
+    return latest.call.window
 
 
-def _is_free(duties, call, now):
-    known = duties.calls.get(call.subject)
-    return known is None or not (known.under_way or known.due_at > now)
+def _may_start(duties, call, now):
+    latest = duties.calls.get(call.subject)
+    return latest is None or not (
+        latest.in_progress or latest.retry_at > now)
 
 
 def _orders(host, now):
-    """Return the orders that are due, of all services with any."""
-    found = []
+    """Return the orders that are due, of all services that have engines."""
+    orders = []
     for service in host.catalog.services.values():
         if service.scaling is None:
             continue
@@ -113,44 +114,45 @@
         if not engines:
             # The list of engines may not be known yet.
             continue
-        shares = [_share(state, now) for state in engines]
+        shares = [_utilization(state, now) for state in engines]
         ordering.sample(host.duties, service.name, shares, now, host.policy)
-        found += ordering.due(host.duties, service.name, service.scaling,
-                              _count(engines), now, host.policy)
-    return found
+        orders += ordering.due(host.duties, service.name, service.scaling,
+                               _count_engines(engines), now, host.policy)
+    return orders
 
 
-def _share(state, now):
-    """Return the share of its time that an engine is in use."""
+def _utilization(state, now):
+    """Return the fraction of its time that an engine is in use."""
     running = serverload.running(state, now) / max(1, state.server.slots)
     return min(1.0, max(state.busy, running))
 
 
-def _count(engines):
+def _count_engines(engines):
     """Return the number of engines by (failure domain, spot)."""
-    found = {}
+    counts = {}
     for state in engines:
         key = state.server.domain, state.server.spot
-        found[key] = found.get(key, 0) + 1
-    return found
+        counts[key] = counts.get(key, 0) + 1
+    return counts
 
 
-def _send(duties, call):
-    known = duties.calls.get(call.subject)
+def _start_call(duties, call):
+    latest = duties.calls.get(call.subject)
     failures = 0
-    if known and (known.call == call or call.subject == model.REPORTS):
-        # Reports take turns; while the platform is away all fail.
-        failures = known.failures
+    if latest and (latest.call == call or call.subject == model.REPORTS):
+        # After a failure the report of another window is sent next; while
+        # the platform is unavailable, all of them fail.
+        failures = latest.failures
     duties.calls[call.subject] = states.Open(
-        call, under_way=True, failures=failures)
+        call, in_progress=True, failures=failures)
     lease = duties.candidate.lease
     until = holding.acts_until(duties)
     line = effects.Note("duty_sent", {
-        "duty": call.subject[0], "fence": lease.fence, **_inputs(call)})
+        "duty": call.subject[0], "fence": lease.fence, **_log_fields(call)})
     return [line, effects.SendDuty(call, lease.fence, until)]
 
 
-def _inputs(call):
+def _log_fields(call):
     if isinstance(call, model.Report):
         return {"window": call.window,
                 "requests": sum(count for _, count in call.counts)}
@@ -159,26 +161,26 @@
 
 
 def answered(host, event, now):
-    """Take the answer to a call of a duty."""
+    """Handle the end of a duty's call."""
     duties = host.duties
     if duties is None:
         return []
-    known = duties.calls.get(event.call.subject)
+    latest = duties.calls.get(event.call.subject)
     line = effects.Note("duty_answered", {
         "duty": event.call.subject[0], "outcome": event.outcome.value,
-        "detail": event.detail, **_inputs(event.call)})
-    if known is None or known.call != event.call:
-        # It was sent before the lease was lost and held again.
+        "detail": event.detail, **_log_fields(event.call)})
+    if latest is None or latest.call != event.call:
+        # It was started before the lease was lost and acquired again.
         return [line]
-    known.under_way = False
+    latest.in_progress = False
     if event.outcome is model.Outcome.FAILED:
-        known.failures += 1
-        known.due_at = now + min(
-            AGAIN_MOST_S, AGAIN_S * 2 ** (known.failures - 1))
+        latest.failures += 1
+        latest.retry_at = now + min(
+            MAX_RETRY_S, RETRY_S * 2 ** (latest.failures - 1))
         return [line]
-    known.failures = 0
+    latest.failures = 0
     if isinstance(event.call, model.Report):
         reporting.answered(duties, event.call, event.outcome)
     else:
-        ordering.answered(duties, known, event.outcome, now)
+        ordering.answered(duties, latest, event.outcome, now)
     return [line]
--- a/crocuskeel/core/entry/ending.py
+++ b/crocuskeel/core/entry/ending.py
@@ -1,32 +1,32 @@
-"""Ends attempts at servers, and requests for good."""
+"""Ends attempts at servers, and requests as a whole."""
 
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import pauses
 
 __all__ = ["BUSY_RETRY_S", "UNAVAILABLE", "cancel_all", "cancel_others",
-           "changed", "find", "finish", "give_up", "live", "note", "refuse",
-           "release"]
+           "close_attempt", "find", "finish", "give_up", "live",
+           "mark_load_changed", "note", "refuse"]
 
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
-# When to come back after a refusal, s: engines free slots within some
-# hundred milliseconds, a host learns its configuration within a second.
+# Retry delay after a refusal, s: engines free slots within a few hundred
+# milliseconds, and a host gets its configuration within a second.
 BUSY_RETRY_S = 0.3
-# A caller waits no more than this share of its time left.
-RETRY_SHARE = 0.33
+# Upper limit of the retry delay, as a share of the caller's time left.
+MAX_RETRY_SHARE = 0.33
 
 
 def live(pending):
-    """Return the attempts under way."""
+    """Return the attempts in progress."""
     return [attempt for attempt in pending.tries if not attempt.over]
 
 
 def give_up(host, pending, reason, now, retry_s=BUSY_RETRY_S):
-    """Answer for good: what a server said, or what is known.
+    """Finish a request with a server's error response or one of our own.
 
-    ``retry_s`` is when to come back if it has not run.
+    ``retry_s`` is the retry delay that is given if it has not run.
     """
     finish(host, pending)
     line = note("gave_up", pending.request, why=reason,
@@ -46,36 +46,36 @@
 
 
 def refuse(key, left_s, reason, retry_s):
-    """Say that a request has not run, and when to come back."""
+    """Respond that a request has not run, with a retry delay."""
     if left_s is not None:
-        retry_s = max(0.0, min(retry_s, left_s * RETRY_SHARE))
+        retry_s = max(0.0, min(retry_s, left_s * MAX_RETRY_SHARE))
     return effects.Answer(key, UNAVAILABLE, reason, retry_s)
 
 
 def cancel_all(host, pending):
-    """End all attempts of a request."""
+    """Cancel all attempts of a request."""
     out = []
     for attempt in live(pending):
         out.append(effects.Cancel(pending.key, attempt.turn))
-        # Once its bytes went out, a server may have run it.
+        # The request was sent, so its server may have run it.
         pending.may_have_run = True
-        release(host, pending, attempt)
+        close_attempt(host, pending, attempt)
     return out
 
 
 def cancel_others(host, pending, winner):
-    """End all attempts but the one that the caller gets."""
+    """Cancel all attempts but the one whose response is forwarded."""
     out = []
     for attempt in live(pending):
         if attempt is winner:
             continue
         out.append(effects.Cancel(pending.key, attempt.turn))
-        release(host, pending, attempt)
+        close_attempt(host, pending, attempt)
     return out
 
 
 def find(host, event):
-    """Return the request and the live attempt of an event."""
+    """Return the request of an event, and its attempt if in progress."""
     pending = host.pending.get(event.key)
     if pending is None or event.turn >= len(pending.tries):
         return pending, None
@@ -85,8 +85,8 @@
     return pending, attempt
 
 
-def release(host, pending, attempt):
-    """Note that an attempt is over."""
+def close_attempt(host, pending, attempt):
+    """Mark an attempt as over and remove it from its server's load."""
     attempt.over = True
     target = host.servers.get(attempt.sid)
     if target is None:
@@ -95,19 +95,19 @@
         target.memory -= attempt.memory
         if pending.route.kind is model.Kind.STREAM:
             pauses.note_over(target, pending.route)
-    changed(host, pending, target)
+    mark_load_changed(host, pending, target)
 
 
-def changed(host, pending, target):
-    """Have other hosts told of an engine's load."""
+def mark_load_changed(host, pending, target):
+    """Have an engine's changed load sent to other hosts."""
     if pending.request.prompt is not None:
         host.changed.add(target.server.sid)
 
 
 def finish(host, pending):
-    """Forget a request."""
+    """Remove a request from the host's state."""
     for attempt in live(pending):
-        release(host, pending, attempt)
+        close_attempt(host, pending, attempt)
     host.held.discard(pending.key)
     host.pending.pop(pending.key, None)
 
--- a/crocuskeel/core/entry/holding.py
+++ b/crocuskeel/core/entry/holding.py
@@ -1,11 +1,11 @@
-"""Who holds the duties: the lease among the hosts that carry callers.
-
-The load that this answers: hosts that are killed, paused, cut off from
-the store or stopped in turn, some at the same moment, beside a platform
-that checks no fencing number. A holder acts only while its lease is
-certain, and what it sends is given up at the lease's end. Others wait for
-the whole span after the last sign of it, which hosts tell each other, so
-that in calm only the holder calls the store.
+"""The lease on the duties, held by one of the hosts that serve callers.
+
+It is designed for hosts that are killed, paused, cut off from the store
+or stopped, also several at the same time, and for a platform that checks
+no fencing token. A holder acts only while its lease is certainly valid,
+and its calls are aborted at the lease's end. Other hosts wait for a whole
+span after the last known renewal. Hosts tell each other of renewals, so
+that in normal operation only the holder calls the store.
 """
 
 from crocuskeel.core.duties import book as books
@@ -19,91 +19,92 @@
 from crocuskeel.core.leadership import events as lease_events
 from crocuskeel.core.leadership import lease as leases
 
-__all__ = ["acts_until", "config", "heard", "is_holder", "lease_read",
-           "lease_written", "may_act", "record", "step", "stop"]
+__all__ = ["acts_until", "config", "is_holder", "leader_received",
+           "lease_read", "lease_record", "lease_written", "may_act", "step",
+           "stop"]
 
-# Shares of the deployment's lease span: with a renewal at each third two
-# may be lost; an eighth, some 0.4 s, covers what the network holds back
-# and clocks that run apart.
+# Shares of the deployment's lease span. With a renewal every third of it,
+# two renewals may be lost. A margin of an eighth, some 0.4 s, covers delays in
+# the network and clocks that run at different rates.
 RENEW_SHARE = 1 / 3
 MARGIN_SHARE = 1 / 8
-# A host that finds the lease free or silent waits so long for each host
-# that goes before it, s: more than a read and a write of the store take.
-TURN_S = 0.5
-# A host that has just begun hears first who holds the lease, s: it takes
-# others two of their datagrams.
-HEAR_S = 1.0
-# A step so much later than the one before shows a pause, s: steps come
-# each 0.3 s and are late by less on a slow host.
+# A host that finds the lease free or expired waits this long for each host
+# ahead of it in the order, s: longer than a read and a write of the store.
+STAGGER_S = 0.5
+# A host that has just started waits this long to learn who holds the
+# lease, s: other hosts send two datagrams in that time.
+DISCOVERY_S = 1.0
+# A step that comes later than this after the previous one indicates a
+# pause, s: steps are 0.3 s apart, and a slow host delays them by less.
 JUMP_S = 1.0
 
 
 def config(host_name, lease_s):
-    """Return the settings of the lease for a span of so many seconds.
+    """Return the settings of a lease whose span is ``lease_s``.
 
-    A host that was the holder rests for a span and what its last call
-    may take: no other holder can act in between and be followed by it
-    within a span.
+    A host that was the holder does not acquire the lease again for a span
+    and a margin, which also covers its last call. So another holder can't
+    act in between and be followed by the first one within a span.
     """
     margin_s = lease_s * MARGIN_SHARE
     return leadership.Config(
         host_name, span_s=lease_s, margin_s=margin_s,
         renew_s=lease_s * RENEW_SHARE, jump_s=JUMP_S, order_s=lease_s,
-        rest_s=lease_s + margin_s)
+        cooldown_s=lease_s + margin_s)
 
 
 def is_holder(duties):
-    """Say whether this host holds the lease, as far as it knows."""
+    """Return whether this host holds the lease, as far as it knows."""
     return duties.candidate.lease.holding and not duties.releasing
 
 
 def may_act(duties, now):
-    """Say whether this host may do the duties now."""
+    """Return whether this host may do the duties now."""
     return is_holder(duties) and leases.fresh(duties.candidate, now)
 
 
 def acts_until(duties):
-    """Return when a call that is made now must have ended."""
+    """Return the time by which a call made now must have ended."""
     return leases.ends_at(duties.candidate)
 
 
-def record(duties):
-    """Return what this holder leaves to the next one."""
+def lease_record(duties):
+    """Return the record that this holder hands over to the next one."""
     return books.write(duties.book, duties.tables)
 
 
 def step(host, now):
-    """Hold the lease, or try to when it is this host's turn."""
+    """Renew the lease, or try to acquire it when it is this host's turn."""
     duties = host.duties
     out = leases.notice_clock(duties.candidate, now)
     lease = duties.candidate.lease
     if duties.candidate.stopping and not lease.unsettled:
-        return _notes(out + _release(duties, now))
+        return _log_records(out + _release(duties, now))
     if lease.holding or lease.unsettled or _is_its_turn(host, now):
         out += leases.step(duties.candidate, now)
-    return _notes(out)
+    return _log_records(out)
 
 
 def _is_its_turn(host, now):
-    """Say whether this host should look at the lease, and take it."""
+    """Return whether this host should read the lease, and acquire it."""
     duties = host.duties
     candidate = duties.candidate
-    if now < candidate.rests_until and candidate.lease.seen_version >= 0:
+    if now < candidate.cooldown_until and candidate.lease.seen_version >= 0:
         return False
-    place = _place(host, now)
-    if place is None:
+    position = _position(host, now)
+    if position is None:
         return False
     if candidate.lease.seen_version < 0:
-        since = duties.begun_at + HEAR_S
+        since = duties.begun_at + DISCOVERY_S
     elif duties.free_at is not None:
         since = duties.free_at
     else:
         since = leases.lapses_at(candidate)
-    return now >= since + place * TURN_S
+    return now >= since + position * STAGGER_S
 
 
-def _place(host, now):
-    """Return this host's place among those that may hold the lease."""
+def _position(host, now):
+    """Return this host's position among those that may hold the lease."""
     names = [peer.name for peer in fleet.carriers(host, now)]
     if host.me.name not in names:
         return None
@@ -111,40 +112,40 @@
 
 
 def lease_read(host, event, now):
-    """Take the lease object as read."""
-    return _took(host, leases.on_read, event, now)
+    """Handle the response to a read of the lease object."""
+    return _handle_result(host, leases.on_read, event, now)
 
 
 def lease_written(host, event, now):
-    """Take the answer to a write of the lease object."""
+    """Handle the response to a write of the lease object."""
     duties = host.duties
     if duties is not None and duties.releasing:
         return _released(duties, event) + telling.tell_lease(host, now)
-    return _took(host, leases.on_written, event, now)
+    return _handle_result(host, leases.on_written, event, now)
 
 
-def _took(host, take, event, now):
+def _handle_result(host, handler, event, now):
     duties = host.duties
     if duties is None:
         return []
     candidate = duties.candidate
     out = leases.notice_clock(candidate, now)
     fence = candidate.lease.fence
-    out += take(candidate, event, now)
+    out += handler(candidate, event, now)
     if candidate.lease.fence != fence:
-        out += _begin_or_end(duties, now)
-    known = duties.leader.version
-    _learn(duties, now)
-    if duties.leader.version != known:
+        out += _holder_changed(duties, now)
+    known_version = duties.leader.version
+    _update_leader(duties, now)
+    if duties.leader.version != known_version:
         out += telling.tell_lease(host, now)
-    return _notes(out)
+    return _log_records(out)
 
 
-def _begin_or_end(duties, now):
-    """Take over what the last holder left, or forget what was held."""
+def _holder_changed(duties, now):
+    """Take over the last holder's record, or drop this holder's state."""
     lease = duties.candidate.lease
     duties.calls = {}
-    duties.book = books.Book()
+    duties.book = books.HandoverState()
     if not lease.holding:
         return []
     try:
@@ -156,36 +157,36 @@
     return []
 
 
-def _learn(duties, now):
-    """Note what this host itself knows of the lease, to tell others."""
+def _update_leader(duties, now):
+    """Record what this host itself knows of the lease, for other hosts."""
     candidate = duties.candidate
     lease = candidate.lease
     if lease.holding:
-        found = states.Leader(
+        leader = states.Leader(
             lease.version, candidate.cfg.host, lease.fence)
     else:
-        found = states.Leader(
+        leader = states.Leader(
             max(lease.seen_version, lease.read_version), lease.holder)
-    _take_leader(duties, found, now)
+    _set_leader(duties, leader, now)
 
 
-def _take_leader(duties, found, now):
-    if found.version <= duties.leader.version:
+def _set_leader(duties, leader, now):
+    if leader.version <= duties.leader.version:
         return
-    duties.leader = found
-    is_free = found.version > 0 and not found.host
+    duties.leader = leader
+    is_free = leader.version > 0 and not leader.host
     duties.free_at = now if is_free else None
 
 
-def heard(duties, told, now):
-    """Take what another host knows of the lease: a state.Leader."""
-    if told.version > duties.leader.version:
-        _take_leader(duties, told, now)
-        leases.hear(duties.candidate, told.version, now)
+def leader_received(duties, leader, now):
+    """Update the state from another host's state.Leader."""
+    if leader.version > duties.leader.version:
+        _set_leader(duties, leader, now)
+        leases.note_version(duties.candidate, leader.version, now)
 
 
 def stop(host, now):
-    """Hold no lease from here on: the host stops as planned."""
+    """Release the lease and acquire it no more: the host is stopping."""
     if host.duties is None:
         return []
     host.duties.candidate.stopping = True
@@ -193,21 +194,21 @@
 
 
 def _release(duties, now):
-    """Free the lease, once no call of a duty is under way."""
+    """Release the lease once no call of a duty is in progress."""
     candidate = duties.candidate
     lease = candidate.lease
     if duties.releasing or lease.open_call or not leases.fresh(
             candidate, now):
         return []
-    if any(known.under_way for known in duties.calls.values()):
+    if any(call.in_progress for call in duties.calls.values()):
         return []
     duties.releasing = True
-    lease.record = record(duties)
+    lease.record = lease_record(duties)
     return [leases.release(candidate, now)]
 
 
 def _released(duties, event):
-    """Tell others that the lease is free, if it is."""
+    """Record that the lease is free if the release took effect."""
     if event.status is lease_events.Status.WRITTEN:
         duties.leader = states.Leader(event.version)
     duties.candidate.lease = leadership.Lease()
@@ -215,8 +216,8 @@
         "status": event.status.value, "version": event.version})]
 
 
-def _notes(found):
-    """Return the effects with records as lines of the log."""
+def _log_records(lease_effs):
+    """Return the effects with Record effects turned into log lines."""
     return [effects.Note(effect.kind, dict(effect.fields))
             if isinstance(effect, lease_effects.Record) else effect
-            for effect in found]
+            for effect in lease_effs]
--- a/crocuskeel/core/entry/lifecycle.py
+++ b/crocuskeel/core/entry/lifecycle.py
@@ -1,21 +1,21 @@
-"""The planned stop of a host: nothing in progress is cut off."""
+"""Graceful shutdown of a host, which lets requests in progress finish."""
 
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import fleet
 from crocuskeel.core.entry import holding
 from crocuskeel.core.entry import telling
 
-__all__ = ["go_on", "stop_asked"]
+__all__ = ["step", "stop_asked"]
 
-# Callers keep an address for its time to live, some three times as long;
-# connections are taken for this many of them after the stop.
-TTLS_KEPT = 3.0
-# The process ends this long before it would be killed, s.
+# Callers cache an address for its time to live, some of them three times
+# as long; connections are accepted for this many TTLs after the stop.
+ACCEPT_TTLS = 3.0
+# The process exits this long before it would be killed, s.
 MARGIN_S = 0.4
 
 
 def stop_asked(host, event, now):
-    """Leave callers' lists, go on serving."""
+    """Begin the shutdown: stop advertising this host, keep serving."""
     if host.stop_at is not None:
         return []
     host.stop_at = now
@@ -24,17 +24,18 @@
             + telling.tell(host, now) + holding.stop(host, now))
 
 
-def go_on(host, now):
-    """Close the door once callers have turned away; exit when empty."""
+def step(host, now):
+    """Close the listener after the address TTLs; exit once idle."""
     if host.stop_at is None or host.exited:
         return []
     out = []
-    kept = min(TTLS_KEPT * host.cfg.address_ttl_s, host.cfg.grace_s / 2)
-    if not host.retired and now >= host.stop_at + kept:
-        host.retired = True
+    accept_s = min(ACCEPT_TTLS * host.cfg.address_ttl_s,
+                   host.cfg.grace_s / 2)
+    if not host.listener_closed and now >= host.stop_at + accept_s:
+        host.listener_closed = True
         out.append(effects.Retire())
-    late = now >= host.stop_at + host.cfg.grace_s - MARGIN_S
-    if late or (host.retired and not host.pending):
+    must_exit = now >= host.stop_at + host.cfg.grace_s - MARGIN_S
+    if must_exit or (host.listener_closed and not host.pending):
         host.exited = True
         out.append(effects.Note("stopped", {
             "pending": len(host.pending)}))
--- a/crocuskeel/core/entry/quarantine.py
+++ b/crocuskeel/core/entry/quarantine.py
@@ -1,55 +1,57 @@
-"""Requests that crash the servers that run them.
+"""Quarantine of requests that crash the servers that run them.
 
-Such a request comes back at any host and would take one server after the
-other. A request is suspected when its connection was torn and the server
-proves gone: it can't be reached, or several connections to it were torn
-together. It is refused once two servers went under it, or one twice; one
-that merely stood beside it would have to stand beside two crashes.
+Such a request is retried through any host and would crash one server
+after another. A crash is attributed to a request if its connection was
+lost and its server is found to be down: the server can't be reached, or
+several connections to it were lost together. The request is refused once
+it crashed two servers, or one server twice; a harmless request would have
+to be in progress during two crashes to be refused.
 
-A server that starts again keeps its id, so crashes are counted by its
-lives (``incarnation``).
+A server that restarts keeps its id, so crashes are counted by its
+incarnation.
 """
 
-__all__ = ["condemned", "ends_in", "learn", "note_alive",
-           "note_gone", "note_torn", "pairs"]
+__all__ = ["condemned", "ends_in", "learn", "note_completed",
+           "note_disconnect", "note_gone", "pairs"]
 
-# A crash tears all connections of a server at nearly the same time, s.
-TOGETHER_S = 0.3
-# How long a torn connection waits for its explanation, s: the entry of a
-# server that went lapses within three of its heartbeats of 1.2 s.
-EXPLAINED_S = 4.0
-# Servers lost under one request before it is refused.
-CRASHES = 2
-KEPT_S = 60.0
-KEPT_MOST = 256
+# A crash ends all connections of a server within this time, s.
+CRASH_SPREAD_S = 0.3
+# For how long a lost connection may still be attributed to a crash, s: the
+# entry of a crashed server lapses within three of its heartbeats of 1.2 s.
+CRASH_CONFIRM_S = 4.0
+# Crashes under one request after which it is refused.
+CRASH_LIMIT = 2
+QUARANTINE_S = 60.0
+MAX_DIGESTS = 256
 
 
-def note_torn(host, digest, attempt, now):
-    """Note a connection that a server ended under a request."""
-    host.torn = [row for row in host.torn if row[0] > now - EXPLAINED_S]
+def note_disconnect(host, digest, attempt, now):
+    """Record that a server ended the connection of a request."""
+    host.torn = [row for row in host.torn if row[0] > now - CRASH_CONFIRM_S]
     host.torn.append((now, attempt.sid, attempt.incarnation, digest))
     together = {row[3] for row in host.torn
-                if row[2] == attempt.incarnation and row[0] > now - TOGETHER_S}
+                if row[2] == attempt.incarnation
+                and row[0] > now - CRASH_SPREAD_S}
     if len(together) > 1:
         note_gone(host, attempt.sid, now)
 
 
 def note_gone(host, sid, now):
-    """Learn that a server is gone: what was torn there was a crash.
+    """Treat the connections recently lost at a server as due to a crash.
 
-    It can't be reached, another host found it refusing, its entry went
-    without notice, or it says that it started again.
+    The server can't be reached, another host reports that it refuses
+    connections, its entry vanished without notice, or it reports a restart.
     """
     for at, torn_sid, incarnation, digest in host.torn:
-        if torn_sid == sid and at > now - EXPLAINED_S:
+        if torn_sid == sid and at > now - CRASH_CONFIRM_S:
             learn(host, digest, incarnation, now)
 
 
-def note_alive(host, incarnation, since):
-    """Learn that a server finished what it began at ``since``.
+def note_completed(host, incarnation, since):
+    """Record that a server completed a request that began at ``since``.
 
-    What was torn there later was an answer that it lost, and no crash:
-    a crash ends all that a server does.
+    Connections lost there since then were not due to a crash, which would
+    have ended that request as well.
     """
     host.torn = [row for row in host.torn
                  if row[2] != incarnation or row[0] < since]
@@ -59,31 +61,32 @@
 
 
 def learn(host, digest, incarnation, now):
-    """Note that a server went under a request, here or elsewhere."""
-    if digest not in host.crashed and len(host.crashed) >= KEPT_MOST:
+    """Record that a server crashed under a request, here or elsewhere."""
+    if digest not in host.crashed and len(host.crashed) >= MAX_DIGESTS:
         host.crashed.pop(next(iter(host.crashed)))
     host.crashed.setdefault(digest, {})[incarnation] = now
 
 
 def condemned(host, digest, now):
-    """Say whether a request must not reach one more server."""
+    """Return whether a request is quarantined."""
     return ends_in(host, digest, now) > 0
 
 
 def ends_in(host, digest, now):
-    """Return for how long a request is still refused, s."""
+    """Return the time left of a request's quarantine, s."""
     times = sorted(host.crashed.get(digest, {}).values(), reverse=True)
-    if len(times) < CRASHES:
+    if len(times) < CRASH_LIMIT:
         return 0.0
-    return max(0.0, times[CRASHES - 1] + KEPT_S - now)
+    return max(0.0, times[CRASH_LIMIT - 1] + QUARANTINE_S - now)
 
 
 def pairs(host, now, span_s):
-    """Return (digest, incarnation) learned in the last ``span_s``.
+    """Return the (digest, incarnation) of crashes in the last ``span_s``.
 
-    Not what was learned just now: the server may prove to be alive.
+    The most recent ones are left out, as the server may yet complete a
+    request and so prove that it has not crashed.
     """
     return tuple((digest, incarnation)
                  for digest, incarnations in host.crashed.items()
                  for incarnation, at in incarnations.items()
-                 if now - span_s < at <= now - TOGETHER_S)
+                 if now - span_s < at <= now - CRASH_SPREAD_S)
--- a/crocuskeel/core/entry/reducer.py
+++ b/crocuskeel/core/entry/reducer.py
@@ -1,4 +1,4 @@
-"""The one reducer of an entry host: an event in, effects out."""
+"""Dispatches each event of an entry host to its handler."""
 
 from crocuskeel.core.duties import model as duties_model
 from crocuskeel.core.entry import attempts
@@ -40,10 +40,10 @@
     backoff.forget(host, now)
     return (registry.expire(host, now) + telling.tell(host, now)
             + duties.step(host, event.wall, now)
-            + lifecycle.go_on(host, now))
+            + lifecycle.step(host, now))
 
 
-ROUTES = {
+HANDLERS = {
     events.Started: _started,
     events.Ticked: _ticked,
     events.StopAsked: lifecycle.stop_asked,
@@ -69,7 +69,7 @@
     events.LoadsDue: telling.loads_due,
     events.LoadHeard: peers.load_heard,
     events.DutyAnswered: duties.answered,
-    duties_model.Usage: usage.take,
+    duties_model.Usage: usage.received,
     lease_events.LeaseRead: holding.lease_read,
     lease_events.LeaseWritten: holding.lease_written,
 }
@@ -78,10 +78,10 @@
 def reduce(host, event, now):
     """Reduce one event into the host's state; return effects in order.
 
-    ``now`` is the runtime's clock, seconds; ``host`` changes in place.
-    Raises :class:`UnknownEvent` for an event without a route.
+    ``now`` is the runtime's clock, s; ``host`` is changed in place.
+    Raises :class:`UnknownEvent` for an event without a handler.
     """
-    handler = ROUTES.get(type(event))
+    handler = HANDLERS.get(type(event))
     if handler is None:
         raise exceptions.UnknownEvent(type(event).__name__)
     out = handler(host, event, now)
--- a/crocuskeel/core/entry/repeating.py
+++ b/crocuskeel/core/entry/repeating.py
@@ -1,4 +1,4 @@
-"""When a request is looked at again, and may get another server."""
+"""When a request is checked again, and may be sent to another server."""
 
 from crocuskeel.core.entry import budget
 from crocuskeel.core.entry import choosing
@@ -6,26 +6,27 @@
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import quarantine
 
-__all__ = ["WORTH_SENDING_S", "may_go_on", "next_check", "stall_s"]
+__all__ = ["MIN_SEND_S", "may_go_on", "next_check", "stall_s"]
 
-# Less than this is left: no server can do anything with it, s.
-WORTH_SENDING_S = 0.02
-# A repeatable call is sent to a second server, too, when this share of
-# its goal is gone, and so early enough to be answered on time.
+# With less time left than this, no server could complete a request, s.
+MIN_SEND_S = 0.02
+# A repeatable call is hedged, that is sent to a second server as well,
+# once this share of its goal has passed: early enough for a response on
+# time.
 HEDGE_SHARE = 0.5
-# A resumable stream without its first event may be moved when this share
-# of its goal is gone, if its engine is silent.
+# A resumable stream without its first event may be moved once this share
+# of its goal has passed, if its engine is silent.
 MOVE_SHARE = 0.45
-# A resumable stream is moved when it pauses for longer than this many
-# of the longest pauses that are on time; s at the least.
+# A resumable stream is moved when it pauses for longer than this multiple
+# of its route's longest allowed pause, and for at least so long, s.
 STALL_GAPS = 1.0
-STALL_LEAST_S = 0.4
-# A request that may not be moved yet is looked at again after this, s.
+MIN_STALL_S = 0.4
+# A request that may not be moved yet is checked again after this, s.
 RECHECK_S = 0.1
 
 
 def next_check(pending, now):
-    """Return when to look at the request again."""
+    """Return when to check the request again."""
     if not pending.route.repeatable:
         return pending.ends_at
     if pending.tries[-1].opened:
@@ -39,28 +40,28 @@
 
 
 def stall_s(pending):
-    """Return the pause after which a stream counts as silent, s."""
-    return max(STALL_LEAST_S, STALL_GAPS * pending.route.gap_s)
+    """Return the pause after which a stream counts as stalled, s."""
+    return max(MIN_STALL_S, STALL_GAPS * pending.route.gap_s)
 
 
 def may_go_on(host, pending, now):
-    """Say whether one more server may get this request."""
+    """Return whether this request may be sent to one more server."""
     if not pending.route.repeatable:
         return False
-    if pending.ends_at - now < WORTH_SENDING_S:
+    if pending.ends_at - now < MIN_SEND_S:
         return False
-    if _counted(host, pending) >= pending.route.tries:
+    if _servers_used(host, pending) >= pending.route.tries:
         return False
     if quarantine.condemned(host, pending.request.digest, now):
         return False
     tried = {attempt.sid for attempt in pending.tries}
-    if not _others(host, pending.service, tried, now):
+    if not _has_untried_server(host, pending.service, tried, now):
         return False
     return budget.may_repeat(host, pending.service, now)
 
 
-def _counted(host, pending):
-    """Return how many servers a request was sent to that still live."""
+def _servers_used(host, pending):
+    """Return how many servers a request was sent to, but for lost ones."""
     lost = sum(1 for attempt in pending.tries
                if attempt.over and attempt.fresh_tokens >= 0
                and _is_lost(host, attempt.sid))
@@ -68,16 +69,17 @@
 
 
 def _is_lost(host, sid):
-    """Say whether a server is known to be gone or out of reach.
+    """Return whether a server is known to be unreachable.
 
-    One that left the list serves on for a while: taken for lost, it let a
-    stream that it had run begin on a third server where two are allowed.
+    A server that was removed from the list still runs its requests for a
+    while. If it counted as lost, a stream that it had run could start on
+    a third server where two are allowed.
     """
     target = host.servers.get(sid)
     return target is not None and target.unreached
 
 
-def _others(host, service, tried, now):
+def _has_untried_server(host, service, tried, now):
     return any(state.server.sid not in tried
                and not leaving.is_leaving(host, state.server)
                and choosing.is_free(host, state, now)
--- a/crocuskeel/core/entry/sending.py
+++ b/crocuskeel/core/entry/sending.py
@@ -1,4 +1,4 @@
-"""Sends requests to servers, or holds or refuses them for want of room."""
+"""Sends requests to servers; holds or refuses them if none has room."""
 
 import math
 
@@ -21,9 +21,9 @@
 
 
 def send(host, pending, now):
-    """Send a request to the best server that it may still go to."""
+    """Send a request to the best server among those not ruled out."""
     left = pending.ends_at - now
-    if left < repeating.WORTH_SENDING_S:
+    if left < repeating.MIN_SEND_S:
         return ending.give_up(host, pending, "time is up", now)
     pending.candidates = candidates.pick(host, pending)
     pending.rank = admission.rank(host, pending, now)
@@ -33,31 +33,31 @@
     if target is None:
         return _wait_for_server(host, pending, tried, now)
     if not admission.admits(host, pending, target, now):
-        full, target = target, _elsewhere(host, pending, now)
+        full, target = target, _other_server(host, pending, now)
         if target is None:
             if now < admission.hold_until(pending):
                 return _hold(host, pending, now)
             return _shed(host, pending, full, now)
-    attempt, source = _begin(host, pending, target, now)
+    attempt, source = _start_attempt(host, pending, target, now)
     order = effects.Send(
         pending.key, attempt.turn, target.server, left, pending.priority,
         pending.workspace, pending.route.kind is model.Kind.STREAM,
         resume=pending.passing is not None,
         fetch_from=source.server.address if source else None)
-    return [order, _line(host, pending, target, attempt, source, now),
+    return [order, _sent_line(host, pending, target, attempt, source, now),
             effects.Timer(pending.key, repeating.next_check(pending, now))]
 
 
-def _line(host, pending, target, attempt, source, now):
-    """Return the log line of a sending, with the inputs that decided it."""
-    said_age_s = min(99, now - target.load_at)
+def _sent_line(host, pending, target, attempt, source, now):
+    """Return the log line of an attempt, with the inputs of the choice."""
+    report_age_s = min(99, now - target.load_at)
     return ending.note(
         "sent", pending.request, turn=attempt.turn,
         server=target.server.sid, service=pending.service,
         mine=len(target.mine), running=serverload.running(target, now),
         ahead=serverload.ahead_tokens(target, now), said=target.load,
-        said_age_s=round(said_age_s, 1), fresh=attempt.fresh_tokens,
-        spill=attempt.spilled_tokens, fetch=attempt.fetched_tokens,
+        said_age_s=round(report_age_s, 1), fresh=attempt.fresh_tokens,
+        spill=attempt.reread_tokens, fetch=attempt.fetched_tokens,
         source=source.server.sid if source else "",
         route=pending.route.name, rank=pending.rank,
         priority=pending.priority,
@@ -67,29 +67,29 @@
 
 
 def _hold(host, pending, now):
-    """Have a request wait here for room at an engine."""
+    """Hold a request at this host until a server has room."""
     host.held.add(pending.key)
-    due = min(pending.ends_at, admission.look_at(host, now))
-    return [effects.Timer(pending.key, due)]
+    due_at = min(pending.ends_at, admission.look_at(host, now))
+    return [effects.Timer(pending.key, due_at)]
 
 
 def _wait_for_server(host, pending, tried, now):
-    """Hold a request that no server takes now, or refuse it."""
+    """Hold a request that no server can take now, or refuse it."""
     if ending.live(pending):
         return [effects.Timer(
             pending.key, repeating.next_check(pending, now))]
     free_s = choosing.free_in(host, pending, tried, now)
     if free_s is None or pending.fallback is not None:
         return ending.give_up(host, pending, "no server", now,
-                              _back_s(host, pending, now))
+                              _retry_after_s(host, pending, now))
     if now + free_s < admission.hold_until(pending):
         return _hold(host, pending, now)
     return ending.give_up(host, pending, "servers limited", now,
-                          _back_s(host, pending, now))
+                          _retry_after_s(host, pending, now))
 
 
-def _back_s(host, pending, now):
-    """Return when to come back to servers that take nothing now, s."""
+def _retry_after_s(host, pending, now):
+    """Return the retry delay for servers that take no requests now, s."""
     free_s = choosing.free_in(host, pending, (), now)
     if not free_s:
         return ending.BUSY_RETRY_S
@@ -97,24 +97,24 @@
     return max(retry_s, free_s) if free_s < math.inf else retry_s
 
 
-def _elsewhere(host, pending, now):
+def _other_server(host, pending, now):
     """Return another server for a request that its best one can't take.
 
-    At once, if its shared parts can be had there without reading; else
-    it waits first for the one that holds them. On a day of high load with
-    70 engines 0.37 of what requests were worth came in so, 0.32 when all
-    waited first.
+    If its shared parts can be fetched there instead of read, the request
+    goes there immediately; otherwise it first waits for the server that
+    holds them. On a day of high load with 70 engines this served requests
+    with 0.37 of the total value, against 0.32 when all waited first.
     """
     if (now < admission.hold_until(pending)
             and not parts.follow(host, pending)):
         return None
-    return _with_room(host, pending, now)
+    return _server_with_room(host, pending, now)
 
 
-def _with_room(host, pending, now):
-    """Return the best server that lets a request in, or None.
+def _server_with_room(host, pending, now):
+    """Return the best server that admits a request, or None.
 
-    Reading shared parts once more costs less than a refusal.
+    Reading shared parts again costs less than a refusal.
     """
     def has_room(state):
         return (admission.may_spill(host, pending, state)
@@ -139,18 +139,18 @@
                           retry_s), line]
 
 
-def _begin(host, pending, target, now):
+def _start_attempt(host, pending, target, now):
     attempt = states.Try(len(pending.tries), target.server.sid,
                          target.server.incarnation, now)
     source = None
     if pending.request.prompt is not None:
-        source = _note_prompt(host, pending, target, attempt, now)
+        source = _record_prompt(host, pending, target, attempt, now)
     host.held.discard(pending.key)
     ratelimits.sent(host, target.server, now)
     floors.note_sent(host, pending, now)
     pending.tries.append(attempt)
     pending.sent += 1
-    pending.reached_out += 1
+    pending.connect_attempts += 1
     if not target.mine:
         target.asked_at = now
     serverload.note_work(host, target)
@@ -158,14 +158,14 @@
     if pending.route.kind is model.Kind.STREAM:
         pauses.note_sent(target, pending.route)
         pauses.heard(target, serverload.ahead_s(target, now), now)
-    ending.changed(host, pending, target)
+    ending.mark_load_changed(host, pending, target)
     if pending.sent > 1:
         budget.repeated(host, pending.service, now)
     return attempt, source
 
 
-def _note_prompt(host, pending, target, attempt, now):
-    """Note what an engine reads, fetches and comes to hold.
+def _record_prompt(host, pending, target, attempt, now):
+    """Record what an engine has to read, fetch and keep in memory.
 
     Returns the server that it is to fetch from, or None.
     """
@@ -175,7 +175,7 @@
     held = parts.held(target, prompt)
     attempt.fresh_tokens = parts.to_read(host, target, pending)
     attempt.fetched_tokens = parts.fetchable(host, pending, held)
-    attempt.spilled_tokens = max(
+    attempt.reread_tokens = max(
         0, pending.elsewhere - held - attempt.fetched_tokens)
     attempt.memory = prompt.tokens + prompt.output
     target.memory += attempt.memory
--- a/crocuskeel/core/entry/state.py
+++ b/crocuskeel/core/entry/state.py
@@ -1,4 +1,4 @@
-"""What an entry host holds. Only the handlers of this package change it."""
+"""State of an entry host; only the handlers of this package change it."""
 
 import collections
 import dataclasses
@@ -18,56 +18,57 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """Bounds of the deployment; seconds, and shares as fractions.
+    """Limits of the deployment; times in seconds, shares as fractions.
 
-    ``repeat_share`` of a service's requests, and ``repeat_slack`` more,
-    may be repeated in any ``repeat_window_s``, over all hosts.
+    In any ``repeat_window_s``, all hosts together may repeat
+    ``repeat_share`` of a service's requests and ``repeat_slack`` more.
     """
 
     grace_s: float = 8.0
-    # How soon an accepted configuration has to be in force.
+    # Time within which an accepted configuration has to be in force.
     apply_s: float = 2.0
     repeat_share: float = 0.2
     repeat_window_s: float = 10.0
     repeat_slack: float = 50.0
     address_ttl_s: float = 1.0
-    # What the platform asks of one host at a time, by name.
+    # Names of the duties that one host at a time does for the platform.
     duties: frozenset = frozenset()
-    # How long a holder of them may rely on its lease.
+    # Span of the lease that the holder of the duties needs.
     lease_s: float = 3.0
-    # Usage is reported for windows of this length, this long after each.
+    # Length of the windows for which usage is reported, and how long after
+    # its window a report is due.
     report_s: float = 5.0
     report_due_s: float = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class Try:
-    """One attempt at a server.
+    """One attempt to have a server run a request.
 
-    ``fresh_tokens`` is what the server had to read of the prompt, or -1
-    once the request is known not to have reached it.
+    ``fresh_tokens`` is how many tokens of the prompt the server had to
+    read, or -1 once the request is known not to have reached it.
     """
 
     turn: int
     sid: str
-    # The life of the server that it was sent to.
+    # Incarnation of the server that it was sent to.
     incarnation: str
     at: float
     fresh_tokens: int = 0
-    # Shared tokens that are read again, though another server holds them.
-    spilled_tokens: int = 0
-    # Those that it was told to fetch from another one instead.
+    # Shared tokens that are read again although another server holds them.
+    reread_tokens: int = 0
+    # Shared tokens that the server was told to fetch from another one.
     fetched_tokens: int = 0
-    # Tokens that it may come to hold at its engine.
+    # Upper bound of the tokens that it occupies in its engine's memory.
     memory: int = 0
-    # Its first event is here: from now on its pauses count.
+    # The first event has arrived; pauses are measured from then on.
     opened: bool = False
     over: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Pending:
-    """A request from arrival to its final answer."""
+    """A request from its arrival to its final response."""
 
     key: int
     request: model.Request
@@ -78,78 +79,82 @@
     at: float
     ends_at: float
     tries: list = dataclasses.field(default_factory=list)
-    # Servers that may have run it, and attempts to reach any.
+    # Number of servers that may have run it, and of attempts to reach one.
     sent: int = 0
-    reached_out: int = 0
+    connect_attempts: int = 0
     may_have_run: bool = False
-    # The turn whose answer the caller gets; its stream's last sign.
+    # The attempt whose response is forwarded to the caller, and when its
+    # stream last made progress.
     passing: int | None = None
     progress_at: float = 0.0
     # The longest pause between two events so far, s.
     pause_s: float = 0.0
-    # Time to read what waited at its engine at its last event, s.
+    # Time to read the prompts queued at its engine as of its last event, s.
     ahead_s: float = 0.0
-    # The servers that were looked at when it was placed last, and the
-    # rank by which it was let in.
+    # The servers considered at its latest placement, and the rank by which
+    # it was admitted.
     candidates: list = dataclasses.field(default_factory=list)
     rank: int = 0
-    # The most of its prompt's shared tokens that one engine has read.
+    # The largest number of its prompt's shared tokens that one engine has
+    # read.
     elsewhere: int = 0
-    # It is in the counts of what engines began.
-    counted: bool = False
-    # A failure that a server answered, kept while another server is tried.
+    # Whether it is included in the usage counts.
+    usage_counted: bool = False
+    # The attempt that got an error response, which is forwarded if no other
+    # server succeeds.
     fallback: int | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class ServerState:
-    """A backend server and what this host has seen of it.
+    """A backend server and what this host has observed of it.
 
-    ``mine`` maps (key, turn) to tokens still to be read; ``others``
-    holds what other hosts say of theirs.
+    ``mine`` maps the (key, turn) of this host's attempts to the tokens
+    still to be read; ``others`` holds the loads reported by other hosts.
     ``parts`` holds the prompt parts sent there by any host, least
     recently used first.
     """
 
     server: model.Server
-    # Its place in the order that all hosts share, in [0, 1).
+    # Position on the hash ring that all hosts share, in [0, 1).
     point: float = 0.0
     mine: dict = dataclasses.field(default_factory=dict)
     others: loads.Loads = dataclasses.field(default_factory=loads.Loads)
-    # Requests there when it last said so itself.
+    # Number of requests there according to its own latest report.
     load: int = 0
     load_at: float = 0.0
     failing: float = 0.0
     judged_at: float = 0.0
     slowness: float = 1.0
     heard_at: float = 0.0
-    # Share of the last seconds in which it had prompts to read.
+    # Share of the last few seconds in which it had prompts to read.
     busy: float = 0.0
-    # Tokens of this host's requests there, read or to be made.
+    # Prompt tokens and maximum output tokens of this host's requests there.
     memory: int = 0
-    # This host's streams there, by (priority, pause that they allow in ms).
+    # Number of this host's streams by (priority, allowed pause in ms).
     gaps: dict = dataclasses.field(default_factory=dict)
-    # The longest pause by reading there, s, as of ``loud_at``.
+    # The longest pause caused by reading prompts, s, as of ``loud_at``.
     loud: float = 0.0
     loud_at: float = 0.0
-    # Since when this host has had a request there without a break.
+    # Since when this host has continuously had a request there.
     asked_at: float = 0.0
     suspect_until: float = 0.0
     strikes: int = 0
     unreached: bool = False
-    # Another server has its address.
+    # Another server responded at its address.
     misdirects: bool = False
     parts: dict = dataclasses.field(
         default_factory=collections.OrderedDict)
     parts_tokens: int = 0
     cold_until: float = 0.0
-    # Set while an entry that lapsed in an outage may still come back.
+    # Set while its store entry, which lapsed in an outage, may still come
+    # back.
     lapses_at: float | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class PeerState:
-    """Another entry host, as last heard of."""
+    """Another entry host, as of its latest message."""
 
     peer: model.Peer
     heard_at: float
@@ -159,13 +164,13 @@
     servers_revision: int = 0
     reads_store: bool = False
     told_at: float = 0.0
-    # When another host last said that this one is ready.
+    # When a third host last reported this one as ready.
     vouched_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """All of an entry host's state."""
+    """The whole state of an entry host."""
 
     cfg: Settings
     rng: random.Random
@@ -173,37 +178,39 @@
     catalog: model.Catalog | None = None
     servers: dict = dataclasses.field(default_factory=dict)
     by_service: dict = dataclasses.field(default_factory=dict)
-    # By service: its servers in the order that all hosts share.
+    # By service: its servers in the order of the shared hash ring.
     rings: dict = dataclasses.field(default_factory=dict)
-    # Ids of servers whose entries lapsed, which are kept for a while.
+    # Ids of servers that are kept for a while after their entries lapsed.
     lapsing: dict = dataclasses.field(default_factory=dict)
-    # By incarnation of a server: the rate limit that it named.
+    # By incarnation of a server: the rate limit that it set.
     rate_limits: dict = dataclasses.field(default_factory=dict)
-    # By incarnation of a server: (its id, since when it is known to leave),
-    # and until when it wants nothing from this host.
+    # By incarnation of a server: (server id, since when it is known to be
+    # shutting down), and until when it asked this host to send nothing.
     leaving: dict = dataclasses.field(default_factory=dict)
     rests: dict = dataclasses.field(default_factory=dict)
-    # Ids of servers with work, or heard of lately.
+    # Ids of servers that have work or were heard of recently.
     working: dict = dataclasses.field(default_factory=dict)
     servers_known: bool = False
     servers_revision: int = 0
     pending: dict = dataclasses.field(default_factory=dict)
-    # What the engines of each service are seen to do.
+    # By service: the pauses of streams observed at its engines.
     paces: dict = dataclasses.field(default_factory=dict)
     peers: dict = dataclasses.field(default_factory=dict)
-    # Hosts that callers are sent to, and until when that holds.
+    # Hosts that serve callers (carriers); the list is recomputed at
+    # ``carriers_until``.
     carriers: list = dataclasses.field(default_factory=list)
     carriers_until: float = 0.0
-    # How many are needed, by what carriers said.
+    # How many carriers are needed, as reported by the carriers.
     wanted: carrying.Wanted = carrying.NOBODY
-    # When the freshest word of a reader was true that reached this host.
+    # Time as of which the newest information from a store reader is valid.
     told_at: float = -math.inf
     # When the list of hosts was read.
     seen_at: float = 0.0
     # By service: times of requests and of repeats within the window.
     arrivals: dict = dataclasses.field(default_factory=dict)
     repeats: dict = dataclasses.field(default_factory=dict)
-    # Quarantine: torn attempts not yet explained, crashes by digest.
+    # Quarantine: disconnected attempts that are not yet known to be due to
+    # a crash, and crashes by request digest.
     torn: list = dataclasses.field(default_factory=list)
     crashed: dict = dataclasses.field(default_factory=dict)
     store_lost_at: float | None = None
@@ -212,38 +219,38 @@
     # Since when a peer knows a newer configuration or list of servers.
     catalog_behind_at: float | None = None
     servers_behind_at: float | None = None
-    # Engines whose load changed and was not told yet.
+    # Engines whose changed load was not yet sent to other hosts.
     changed: set = dataclasses.field(default_factory=set)
-    # When this was told last, and whether a time to tell it is set.
+    # When loads were last sent, and whether the next sending is scheduled.
     told_load_at: float = 0.0
     load_is_due: bool = False
-    # When hosts were told last that something newer is known.
+    # When other hosts were last notified of newer configuration or servers.
     told_news_at: float = 0.0
-    # Servers that took no connection, not told yet.
+    # Servers that refused a connection, not yet reported to other hosts.
     refusing: set = dataclasses.field(default_factory=set)
-    # By service and class: what came and was let in lately.
+    # By service and class: requests that recently arrived and were admitted.
     served: dict = dataclasses.field(default_factory=dict)
-    # Requests that wait here for room.
+    # Requests held here until a server has room.
     held: set = dataclasses.field(default_factory=set)
-    # (server id, part, tokens) sent lately, with when.
+    # Recently sent (server id, part, tokens), each with its time.
     placed: collections.deque = dataclasses.field(
         default_factory=collections.deque)
-    # What the platform asks of one host at a time; None if nothing.
+    # State of the duties for the platform; None if there are none.
     duties: state.Duties | None = None
-    # How engines are ordered, as the operator set it.
+    # The operator's policy for ordering engines.
     policy: capacity.Policy = capacity.Policy()
     stop_at: float | None = None
-    retired: bool = False
+    listener_closed: bool = False
     exited: bool = False
 
 
 def new_host(cfg, rng, policy=capacity.Policy()):
-    """Return the state of a host that knows nothing yet."""
+    """Return the initial state of a host."""
     return Host(cfg=cfg, rng=rng, policy=policy)
 
 
 def new_server(server, now):
-    """Return the state of a server that was just heard of."""
+    """Return the state of a newly discovered server."""
     return ServerState(server=server, heard_at=now,
                        point=routing.unit_hash(server.sid, "ring"),
                        cold_until=now + server.cold_s)
--- a/crocuskeel/core/leadership/__init__.py
+++ b/crocuskeel/core/leadership/__init__.py
@@ -1,8 +1,8 @@
-"""One holder at a time, by a lease that lies in a versioned object.
+"""Leader election by a lease that is kept in a versioned object.
 
 The functions of :mod:`~crocuskeel.core.leadership.lease` take the state
-of one process that may hold it, a :class:`Candidate`, and return effects.
-The control program and the entry hosts both hold their lease this way.
+of one process that may hold the lease, a :class:`Candidate`, and return
+effects. Both the control program and the entry hosts use them.
 """
 
 from crocuskeel.core.leadership.state import Candidate
--- a/crocuskeel/core/leadership/effects.py
+++ b/crocuskeel/core/leadership/effects.py
@@ -1,4 +1,4 @@
-"""What a candidate asks of its runtime."""
+"""Effects of a candidate, which its runtime carries out."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Conditional update; ``version`` 0 creates. Never repeated."""
+    """Update the object if at ``version``; 0 creates it. Never repeated."""
 
     nonce: str
     number: int
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One event of the time line; ``fields`` are names and values."""
+    """Record an event; ``fields`` holds (name, value) pairs."""
 
     kind: str
     fields: tuple[tuple[str, str | int | float | bool], ...] = ()
--- a/crocuskeel/core/leadership/events.py
+++ b/crocuskeel/core/leadership/events.py
@@ -1,4 +1,4 @@
-"""What a candidate hears of the lease object."""
+"""Events about the lease object that a candidate handles."""
 
 import dataclasses
 import enum
@@ -9,8 +9,8 @@
 class Status(enum.StrEnum):
     """Results of calls to the store.
 
-    UNAVAILABLE: known not to have happened. UNKNOWN: a write that may
-    have taken effect, or may do so later.
+    UNAVAILABLE: the call is known not to have taken effect. UNKNOWN: the
+    write may have taken effect, or may do so later.
     """
 
     FOUND = "found"
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRead:
-    """The answer to ``ReadLease``."""
+    """The response to ``ReadLease``."""
 
     status: Status
     version: int = 0
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseWritten:
-    """The answer to the ``WriteLease`` of that nonce and number."""
+    """The response to the ``WriteLease`` of that nonce and number."""
 
     nonce: str
     number: int
--- a/crocuskeel/core/leadership/lease.py
+++ b/crocuskeel/core/leadership/lease.py
@@ -1,17 +1,18 @@
 """The lease: one object of the store, renewed by its holder.
 
-The fencing number is the object's version right after the acquisition,
-and stays so through all renewals. Versions only grow, and an acquisition
-is a conditional update of the newest version: so the number is higher
-than every version that any earlier holder saw.
-
-The object also carries a record of the holder's own, which the next one
-takes over: as each write is conditional, records follow one another.
-
-Clocks of hosts are never compared. The holder counts its span from
-before it sent a write; a candidate counts from after it read that
-write's version. So the holder's span ends first, and ``margin_s``, once
-on either side, covers clocks that run at different rates.
+The fencing token is the object's version right after the acquisition,
+and stays the same through all renewals. Versions only grow, and an
+acquisition is a conditional update of the newest version, so the token
+is higher than every version that any earlier holder saw.
+
+The object also contains a record of the holder, which the next holder
+takes over. As each write is conditional, no record is lost or replaced
+by one that is based on an older record.
+
+Clocks of hosts are never compared. The holder measures its span from
+before it sent a write; a candidate measures from after it read that
+write's version. So the holder's span ends first, and ``margin_s``,
+applied on both sides, covers clocks that run at different rates.
 """
 
 import dataclasses
@@ -23,7 +24,7 @@
 from crocuskeel.core.leadership import events
 from crocuskeel.core.leadership import state as states
 
-__all__ = ["ends_at", "fresh", "hear", "lapses_at", "notice_clock",
+__all__ = ["ends_at", "fresh", "lapses_at", "note_version", "notice_clock",
            "on_read", "on_written", "release", "seen_fence", "step",
            "step_down"]
 
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Stored:
-    """The lease object; ``nonce`` is empty once it was released."""
+    """The lease object; ``nonce`` is empty after a release."""
 
     holder: str
     nonce: str
@@ -56,27 +57,27 @@
             float(doc["span_s"]), float(doc["order_s"]),
             doc.get("record"))
     except (KeyError, TypeError, ValueError):
-        # Whoever wrote this may believe in its lease: wait long.
+        # The writer of this may act as the holder: assume a long span.
         return _Stored("?", "?", 0, _UNKNOWN_SPAN_S, _UNKNOWN_SPAN_S)
 
 
 def fresh(state, now):
-    """Say whether this process may act as the holder now."""
+    """Return whether this process may act as the holder now."""
     lease = state.lease
     return (lease.holding and lease.confirmed_at >= lease.doubted_at
             and now < ends_at(state))
 
 
 def ends_at(state):
-    """Return until when the holder may act, unless it renews."""
+    """Return until when the holder may act unless it renews the lease."""
     cfg = state.cfg
     return state.lease.confirmed_at + cfg.span_s - cfg.margin_s
 
 
-def hear(state, version, now):
-    """Take another process's word for the version of the object.
+def note_version(state, version, now):
+    """Record a version of the object that another process reports.
 
-    The write that gave it this version was sent before that was told, so
+    The write that created this version was sent before the report, so
     its holder's span ends no later than a span after now.
     """
     lease = state.lease
@@ -86,18 +87,18 @@
 
 
 def lapses_at(state):
-    """Return when the holder's span is over that was seen last."""
+    """Return when the span of the last observed holder is over."""
     lease, cfg = state.lease, state.cfg
     return lease.seen_at + max(cfg.span_s, lease.span_s) + cfg.margin_s
 
 
 def notice_clock(state, now):
-    """See a pause before anything else is done, and doubt the lease.
+    """Detect a pause of this process and stop relying on the lease.
 
-    A holder that was paused wakes still believing. Its lease may look
-    unexpired when the pause was short, or when the clock stood still
-    for part of it: until a renewal sent after it is confirmed, no order
-    goes out.
+    It has to be called before anything else. After a pause, a holder's
+    lease may seem valid because the pause was short, or because the clock
+    stood still for part of it. No order is sent until a renewal that was
+    sent after the pause is confirmed.
     """
     last, state.last_step = state.last_step, now
     if last is None or 0 <= now - last <= state.cfg.jump_s:
@@ -110,9 +111,9 @@
 
 
 def step(state, now):
-    """Make the next call of the lease, if one is due."""
+    """Read, acquire or renew the lease if that is due."""
     lease = state.lease
-    effs = _note_lapse(state, now)
+    effs = _detect_lapse(state, now)
     if lease.open_call or now < lease.due_at:
         return effs
     lease.due_at = now + state.cfg.renew_s
@@ -122,7 +123,7 @@
     return effs + [_renewal(state, now)]
 
 
-def _note_lapse(state, now):
+def _detect_lapse(state, now):
     lease = state.lease
     lapsed = lease.holding and not fresh(state, now)
     changed, lease.lapsed = lapsed != lease.lapsed, lapsed
@@ -139,8 +140,8 @@
 
 def _write(state, holder, nonce, now):
     lease, cfg = state.lease, state.cfg
-    # A repeat of an acquisition has the same number: whichever of the
-    # two took effect, its span counts from the first sending.
+    # A repeated acquisition has the same number: whichever of the two
+    # writes took effect, the span is measured from the first sending.
     sent = lease.sent.setdefault(
         lease.number, states.Sent(now, lease.record))
     body = _encode(_Stored(
@@ -150,17 +151,17 @@
 
 
 def release(state, now):
-    """Return the write that frees the lease at a planned stop."""
+    """Return the write that releases the lease at a graceful shutdown."""
     lease = state.lease
     lease.open_call = True
     lease.number += 1
     return _write(state, "", "", now)
 
 
-# Answers.
+# Responses of the store.
 
 def on_read(state, event, now):
-    """Take the object's version, and who holds the lease."""
+    """Handle a read: update the known version and holder of the lease."""
     lease = state.lease
     lease.open_call = False
     if event.status not in (Status.FOUND, Status.NOT_FOUND):
@@ -168,11 +169,11 @@
     stored = _Stored("", "", 0, 0.0, 0.0)
     if event.status is Status.FOUND:
         stored = _decode(event.body)
-    mine = lease.nonce and stored.nonce == lease.nonce
-    if mine and stored.renewals in lease.sent:
+    is_own = lease.nonce and stored.nonce == lease.nonce
+    if is_own and stored.renewals in lease.sent:
         return _confirm(state, event.version, stored.renewals, now)
     if lease.holding:
-        # The own nonce is gone: another holder, or a removed object.
+        # Another process acquired the lease, or the object was removed.
         return _lose(state, "lease_lost", now) + _observe(
             state, event.version, stored, now)
     return _observe(state, event.version, stored, now)
@@ -189,12 +190,12 @@
         lease.span_s = max(cfg.span_s, stored.span_s)
         lease.order_s = max(cfg.order_s, stored.order_s)
         lease.record = stored.record
-        # An own write on an older version can no longer take effect.
+        # A write of our own to an older version can't take effect any more.
         lease.nonce = ""
     released = version > 0 and not stored.nonce
     if not released and now < lapses_at(state):
         return []
-    if state.stopping or now < state.rests_until:
+    if state.stopping or now < state.cooldown_until:
         return []
     return _acquire(state, version, now)
 
@@ -211,7 +212,7 @@
 
 
 def on_written(state, event, now):
-    """Take the answer of an acquisition, renewal or release."""
+    """Handle the response to an acquisition, renewal or release."""
     lease = state.lease
     lease.open_call = False
     if event.nonce != lease.nonce:
@@ -220,8 +221,9 @@
         return _confirm(state, event.version, event.number, now)
     if event.status is Status.UNAVAILABLE:
         return []
-    # Refused or lost: only the object itself tells who holds it. An
-    # own write whose answer was lost shows there by its nonce.
+    # The write was refused, or its response was lost: read the object to
+    # find out who holds the lease. If our write took effect, the object
+    # contains our nonce.
     lease.unsettled = True
     lease.due_at = now
     return []
@@ -232,10 +234,10 @@
     lease.version = version
     lease.unsettled = False
     lease.confirmed_at = lease.sent[number].at
-    lease.kept = lease.sent[number].record
+    lease.committed_record = lease.sent[number].record
     lease.number = max(lease.number, number)
-    for old in [each for each in lease.sent if each < number]:
-        del lease.sent[old]
+    for older in [each for each in lease.sent if each < number]:
+        del lease.sent[older]
     if lease.holding:
         return []
     lease.holding = True
@@ -245,21 +247,21 @@
     return [_record("lease_acquired", ("fence", version))]
 
 
-# Losing.
+# Loss of the lease.
 
 def seen_fence(state, fence, now):
-    """Step down where an engine has seen a newer holder's number."""
+    """Step down if an engine has seen the token of a newer holder."""
     if state.lease.holding and fence > state.lease.fence:
         return step_down(state, fence, now)
     return []
 
 
 def step_down(state, fence, now):
-    """Stop being the holder: an engine refused the fencing number.
+    """Stop acting as the holder because an engine refused the token.
 
-    The lease object is watched from here on like anybody's: if it is
-    still the own one, it is acquired anew after its whole span, which
-    gives a higher number.
+    From here on the lease object is treated like that of another holder.
+    If it still contains our own lease, that is acquired again once its
+    whole span is over, which gives a higher token.
     """
     return _lose(state, "lease_stepped_down", now, ("seen", fence))
 
@@ -268,7 +270,7 @@
     lease = state.lease
     fence = lease.fence
     state.lease = states.Lease(open_call=lease.open_call, due_at=now)
-    state.rests_until = now + state.cfg.rest_s
+    state.cooldown_until = now + state.cfg.cooldown_s
     return [_record(kind, ("fence", fence), *fields)]
 
 
--- a/crocuskeel/core/leadership/state.py
+++ b/crocuskeel/core/leadership/state.py
@@ -1,7 +1,7 @@
 """State of a process that may hold the lease.
 
-All times are seconds of this process's own clock, which goes on while
-the process or its host stands still.
+All times are seconds of this process's own clock, which continues while
+the process or its host is suspended.
 """
 
 import dataclasses
@@ -15,13 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Config:
-    """Settings of the lease; spans in seconds.
-
-    ``span_s`` is the lease's, ``margin_s`` what clocks may run apart
-    over a span and what the network may hold an order back. ``order_s``
-    bounds one order. A step later than ``jump_s`` after the one before
-    counts as a pause. A process that lost the lease, or that began, does
-    not acquire it for ``rest_s``.
+    """Settings of the lease; times in seconds.
+
+    ``span_s`` is the span of the lease. ``margin_s`` covers the drift of
+    clocks over a span and the delay of an order in the network.
+    ``order_s`` is the maximum duration of an order. A step that comes
+    later than ``jump_s`` after the previous one indicates a pause. A
+    process that lost the lease, or has just started, does not acquire it
+    for ``cooldown_s``.
     """
 
     host: str
@@ -30,12 +31,12 @@
     renew_s: float = 4.0
     jump_s: float = 2.0
     order_s: float = 5.0
-    rest_s: float = 0.0
+    cooldown_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sent:
-    """An own write: when it was sent first, and the record in it."""
+    """A write of this process: when it was first sent, and its record."""
 
     at: float
     record: typing.Any = None
@@ -46,16 +47,16 @@
     """What this process knows of the lease.
 
     ``fence`` is the object's version after the acquisition, ``version``
-    after the newest write known. ``sent`` has the own writes by number;
-    ``confirmed_at`` is the sending time of the newest
-    one known to have taken effect, which counts from ``doubted_at`` on
-    only. ``seen_version`` was first seen at ``seen_at``; -1: nothing
-    seen; ``read_version`` was read from the object itself. ``holder``,
-    ``span_s`` and ``order_s`` are those of the present or last other
-    holder.
-
-    ``record`` is what the holder wants kept in the object for the next
-    one, a JSON value; ``kept`` is what is known to be there.
+    that after the newest known write. ``sent`` holds the writes of this
+    process by number. ``confirmed_at`` is the sending time of the newest
+    one known to have taken effect; it is ignored if it is earlier than
+    ``doubted_at``. ``seen_version`` was first seen at ``seen_at``, -1 if
+    none was seen; ``read_version`` was read from the object itself.
+    ``holder``, ``span_s`` and ``order_s`` are those of the current or
+    latest other holder.
+
+    ``record`` is a JSON value that the holder stores in the object for
+    the next one; ``committed_record`` is known to be stored there.
     """
 
     holding: bool = False
@@ -75,7 +76,7 @@
     span_s: float = 0.0
     order_s: float = 0.0
     record: typing.Any = None
-    kept: typing.Any = None
+    committed_record: typing.Any = None
     open_call: bool = False
     unsettled: bool = False
     due_at: float = NEVER
@@ -85,13 +86,14 @@
 class Candidate:
     """A process that may hold the lease.
 
-    ``rng`` is a ``random.Random`` that no other process shares: nonces
-    come from it. The lease is not acquired before ``rests_until``.
+    ``rng`` is a ``random.Random`` that no other process shares, as nonces
+    are drawn from it. The lease is not acquired before
+    ``cooldown_until``.
     """
 
     cfg: Config
     rng: random.Random
     lease: Lease = dataclasses.field(default_factory=Lease)
     last_step: float | None = None
-    rests_until: float = NEVER
+    cooldown_until: float = NEVER
     stopping: bool = False
--- a/tests/duties/test_holding.py
+++ b/tests/duties/test_holding.py
@@ -1,4 +1,4 @@
-"""Who does the duties: killed, paused, cut off and stopped holders."""
+"""Tests of the duties' lease: killed, paused, cut off, stopped holders."""
 
 import random
 import unittest
@@ -6,15 +6,15 @@
 from crocuskeel.core.duties import model as duties_model
 from tests.duties import world as worlds
 
-# A lease's span, what the network may hold back on either side, the turns
-# of the hosts before, and the last renewal.
+# The span of a lease, the margins on both sides, the waiting time for hosts
+# that are ahead in the order, and the age of the last renewal.
 TAKEOVER_S = 6.5
 
 
-def led(busy=False, **kwargs):
-    """Return a world in which somebody holds the lease and reports.
+def world_with_holder(busy=False, **kwargs):
+    """Return a world in which a host holds the lease and sends reports.
 
-    ``busy``: its orders are turned down and made again every 1.5 s.
+    ``busy``: its orders are refused, so it repeats them every 1.5 s.
     """
     world = worlds.World(scaling=worlds.scaling(),
                          engines=worlds.engines(), **kwargs)
@@ -23,20 +23,20 @@
     return world
 
 
-class HoldingTest(unittest.TestCase):
-    """Each story must leave one holder, and nothing wrong."""
+class LeaseHolderTest(unittest.TestCase):
+    """After each sequence of faults one holder acts, without conflicts."""
 
     def _check(self, world, first):
-        self.assertEqual([], worlds.faults_of_one(world))
-        later = {each.host for each in world.arrivals
-                 if each.fence > first.fence}
-        return later
+        self.assertEqual([], worlds.platform_faults(world))
+        later_holders = {each.host for each in world.arrivals
+                         if each.fence > first.fence}
+        return later_holders
 
     def _last(self, world):
         return world.arrivals[-1]
 
-    def test_in_calm_one_host_acts_and_only_it_calls_the_store(self):
-        world = led()
+    def test_without_faults_only_one_host_acts_and_calls_the_store(self):
+        world = world_with_holder()
         first = self._last(world)
         before = world.version
         world.run(30)
@@ -45,13 +45,13 @@
         self.assertEqual(
             {first.host}, {each.host for each in world.arrivals})
 
-    def test_a_killed_holder_is_followed_within_a_window(self):
-        # Reports stop coming: the holder's process is killed and comes
-        # back at once or later, knowing nothing. Cause: nobody takes over,
-        # or the new process goes on where it stood.
+    def test_a_killed_holder_is_replaced_within_a_window(self):
+        # Guards against missing reports after the holder's process is
+        # killed and restarts without state, immediately or later, which
+        # occur if no host takes over or the new process acts as the holder.
         for down_s in (0.2, 20.0):
             with self.subTest(down_s=down_s):
-                world = led()
+                world = world_with_holder()
                 first = self._last(world)
                 world.kill(first.host, down_s)
                 world.run(TAKEOVER_S)
@@ -61,8 +61,8 @@
                 world.run(10)
                 self.assertEqual(1, len(self._check(world, first)))
 
-    def test_a_planned_stop_hands_over_at_once(self):
-        world = led()
+    def test_a_graceful_shutdown_hands_over_at_once(self):
+        world = world_with_holder()
         first = self._last(world)
         world.stop(first.host)
         world.run(2.0)
@@ -71,10 +71,10 @@
         self.assertEqual(1, len(self._check(world, first)))
 
     def test_hosts_are_stopped_in_turn(self):
-        # Two hosts act in the order A, B, A within a second: A stops and
-        # hands over, is back, B stops and hands over. Cause: a host that
-        # just acted takes the lease again because it is free.
-        world = led()
+        # Guards against hosts that act in the order A, B, A within a
+        # second: A stops, hands over to B and restarts, then B stops. This
+        # occurs if a host that has just acted acquires the free lease.
+        world = world_with_holder()
         for _ in range(8):
             name = world.holder()
             if name is not None:
@@ -83,17 +83,17 @@
                 world.kill(name, 0.1)
             world.run(0.6)
         world.run(10)
-        self.assertEqual([], worlds.faults_of_one(world))
+        self.assertEqual([], worlds.platform_faults(world))
 
     def test_a_paused_holder_wakes_still_believing(self):
-        # An old number arrives after a newer one: the holder stands still
-        # for longer than its lease, with calls decided and not yet sent,
-        # and goes on where it stood. Cause: the lease is checked when a
-        # call is decided and not when it is written.
+        # Guards against a call with an old fencing token after one with a
+        # newer token. It occurs if the holder is paused for longer than
+        # its lease between deciding on a call and sending it, and the
+        # lease is checked at the decision but not when the call is written.
         for pause_s in (0.4, 1.0, 2.7, 3.5, 6.0, 12.0):
             for moment in (0.0, 0.1, 0.2, 0.3):
                 with self.subTest(pause_s=pause_s, moment=moment):
-                    world = led(busy=True)
+                    world = world_with_holder(busy=True)
                     first = self._last(world)
                     world.run(moment)
                     world.pause(first.host, pause_s)
@@ -103,39 +103,39 @@
     def test_a_pause_between_a_decision_and_its_sending(self):
         for pause_s in (2.0, 4.0, 8.0):
             with self.subTest(pause_s=pause_s):
-                world = led(busy=True)
+                world = world_with_holder(busy=True)
                 first = self._last(world)
                 world.pause_at_send_s = pause_s
                 world.run(20)
                 self._check(world, first)
 
-    def test_a_holder_that_the_store_turns_away_is_followed(self):
-        # The store serves all hosts but the holder: orders and reports
+    def test_a_holder_cut_off_from_the_store_is_replaced(self):
+        # The store serves all hosts but the holder. Orders and reports
         # must come from another host, and not from both.
-        world = led(busy=True)
+        world = world_with_holder(busy=True)
         first = self._last(world)
         world.hosts[first.host].store = "out"
         world.run(15)
         self.assertEqual(1, len(self._check(world, first)))
 
-    def test_writes_that_are_lost_or_done_late(self):
+    def test_writes_that_are_lost_or_late(self):
         for fault in ("lost", "late"):
             for seed in range(4):
                 with self.subTest(fault=fault, seed=seed):
-                    world = led(seed=seed)
+                    world = world_with_holder(seed=seed)
                     for host in world.hosts.values():
                         host.store = fault
                     world.run(6)
                     for host in world.hosts.values():
                         host.store = "well"
                     world.run(12)
-                    self.assertEqual([], worlds.faults_of_one(world))
+                    self.assertEqual([], worlds.platform_faults(world))
                     self.assertIsNotNone(world.holder())
 
     def test_slow_calls_end_with_the_lease(self):
-        # The platform is slow, and the holder is cut off from the store:
-        # what it sent last must not arrive after the next holder's.
-        world = led()
+        # The platform is slow, and the holder is cut off from the store.
+        # Its last calls must not arrive after those of the next holder.
+        world = world_with_holder()
         first = self._last(world)
         for host in world.hosts.values():
             host.cloud = "slow"
@@ -143,15 +143,16 @@
         world.run(20)
         self.assertEqual(1, len(self._check(world, first)))
 
-    def test_a_report_that_is_turned_down_keeps_no_other_back(self):
-        # The platform takes no report of one window. Each later one came
-        # a minute late, when that window was given up: ten were missing.
-        world = led()
+    def test_a_refused_report_delays_no_other(self):
+        # The platform refuses the report of one window. Each later report
+        # came a minute late, when that window was given up: ten were
+        # missing.
+        world = world_with_holder()
         first = max(world.reports())
         refused = first + 2
         world.refused_windows = {refused}
         world.run(8 * worlds.REPORT_S)
-        self.assertEqual([], worlds.faults_of_one(world))
+        self.assertEqual([], worlds.platform_faults(world))
         reported = set(world.reports())
         self.assertGreaterEqual(max(reported), first + 7)
         self.assertEqual({refused}, {*range(first, max(reported))} - reported)
@@ -160,11 +161,11 @@
         self.assertIn(refused, world.reports())
 
     def test_all_hosts_are_killed_at_once(self):
-        world = led()
+        world = world_with_holder()
         for name in world.hosts:
             world.kill(name, 1.0)
         world.run(20)
-        self.assertEqual([], worlds.faults_of_one(world))
+        self.assertEqual([], worlds.platform_faults(world))
         reported = world.reports()
         self.assertEqual(list(range(min(reported), max(reported) + 1)),
                          sorted(reported))
@@ -172,17 +173,17 @@
     def test_any_mix_of_faults(self):
         for seed in range(24):
             with self.subTest(seed=seed):
-                world = led(busy=seed % 2 == 0, seed=seed)
-                self._trouble(world, random.Random(seed))
-                self.assertEqual([], worlds.faults_of_one(world))
+                world = world_with_holder(busy=seed % 2 == 0, seed=seed)
+                self._inject_faults(world, random.Random(seed))
+                self.assertEqual([], worlds.platform_faults(world))
                 for host in world.hosts.values():
                     host.store = host.cloud = "well"
                 seen = len(world.arrivals)
                 world.run(16)
-                self.assertEqual([], worlds.faults_of_one(world))
+                self.assertEqual([], worlds.platform_faults(world))
                 self.assertGreater(len(world.arrivals), seen)
 
-    def _trouble(self, world, rng):
+    def _inject_faults(self, world, rng):
         for _ in range(12):
             name = rng.choice([world.holder() or "h0", *world.hosts])
             host = world.hosts[name]
@@ -207,19 +208,20 @@
 
 
 class OrderTest(unittest.TestCase):
-    """What the holder orders."""
+    """The engines that the holder orders."""
 
-    def test_spot_engines_are_asked_for_in_each_domain(self):
-        world = led()
+    def test_spot_engines_are_ordered_in_each_domain(self):
+        world = world_with_holder()
         asked = {(each.domain, each.spot): each.count
                  for each in world.calls
                  if isinstance(each, duties_model.Order)}
-        # Nine engines that are taken to be full, used to two fifths each.
+        # Nine engines, assumed to be fully used, at a planned utilization
+        # of two fifths.
         self.assertEqual({("perth-a", True): 8, ("perth-b", True): 7,
                           ("bunbury", True): 8}, asked)
 
-    def test_none_to_be_had_is_asked_again_and_nothing_is_given_up(self):
-        # No spot engine is to be had: the regular ones must stay.
+    def test_unavailable_engines_are_ordered_again_and_none_given_up(self):
+        # No spot engines are available, so the regular ones must stay.
         world = worlds.World(scaling=worlds.scaling(),
                              engines=worlds.engines())
         world.refuses_scale = True
--- a/tests/duties/world.py
+++ b/tests/duties/world.py
@@ -1,8 +1,8 @@
-"""A small world for the duties: hosts, a store, and who takes the calls.
+"""A simulation of hosts with duties, their store and the platform.
 
-All hosts run the real reducer on one virtual clock, which goes on while a
-host stands still. Faults are the caller's choice: of a host's way to the
-store and to the platform, of the host, and of the answers.
+All hosts run the real reducer on one virtual clock, which continues while
+a host is paused. Tests inject faults into a host, its connections to the
+store and to the platform, and their responses.
 """
 
 import dataclasses
@@ -27,19 +27,20 @@
 REPORT_S = 5.0
 TICK_S = 0.3
 STEP_S = 0.05
-# One way between two processes, s, and the longest that a call waits.
-WAY_S = 0.002
-CALL_S = 1.0
+# One-way delay between two processes, and the timeout of a call, s.
+DELAY_S = 0.002
+TIMEOUT_S = 1.0
 DUTIES = frozenset({"usage", "scale"})
 
 
 @dataclasses.dataclass
 class Host:
-    """One host; ``store`` and ``cloud`` say what becomes of its calls.
+    """A host; ``store`` and ``cloud`` determine the fate of its calls.
 
-    ``well``, ``out`` (no answer), ``lost`` (done, no answer) or, of the
-    store's writes, ``late`` (done 2 s later if its condition holds).
-    ``skew`` is what its time of day is wrong by, s.
+    ``well``: carried out. ``out``: no response. ``lost``: carried out,
+    but the response is lost. ``late``, for writes to the store: carried
+    out 2 s later if the condition still holds. ``slow``, for calls to the
+    platform: delayed. ``skew`` is the error of the host's wall clock, s.
     """
 
     name: str
@@ -55,27 +56,27 @@
 
 
 class World:
-    """Hosts h0, h1, ... that all may carry callers."""
+    """Hosts h0, h1, ... all of which may serve callers."""
 
     def __init__(self, hosts=5, seed=1, scaling=None, engines=()):
         self.rng = random.Random(seed)
-        # No step falls on the end of a window.
+        # No step coincides with the end of a window.
         self.now = 1000.017
-        # Of the true time of day, s since 1970.
+        # Offset of the true wall clock time, s since 1970.
         self.epoch = 1_700_000_000.0
         self.version = 100
         self.lease = None
         self.arrivals = []
-        # The same as the hosts decided them.
+        # The hosts' call of each arrival.
         self.calls = []
         self.refuses_scale = False
-        # Windows whose reports the platform turns down.
+        # Windows whose reports the platform refuses.
         self.refused_windows = set()
-        # A host stands still for so long right after it decided on a call.
+        # The next host that decides on a call is paused for this long.
         self.pause_at_send_s = 0.0
-        self.truth = {}
+        self.true_counts = {}
         self.queue = []
-        self.order = 0
+        self.queued_count = 0
         self.scaling = scaling
         self.engines = tuple(engines)
         self.hosts = {f"h{number}": Host(f"h{number}")
@@ -84,7 +85,7 @@
             self._boot(host)
 
     def wall(self):
-        """Return the true time of day."""
+        """Return the true wall clock time."""
         return self.epoch + self.now
 
     def _boot(self, host):
@@ -107,33 +108,33 @@
         self.feed(host, events.ServersListed(self.engines, 5))
 
     def feed(self, host, event):
-        """Feed an event to a host and carry its effects out."""
+        """Feed an event to a host and carry out its effects."""
         for effect in entry.reduce(host.core, event, self.now):
             self._carry_out(host, effect)
 
     def at(self, delay, action):
-        """Have an action done after some seconds."""
-        self.order += 1
+        """Schedule an action after ``delay`` seconds."""
+        self.queued_count += 1
         heapq.heappush(
-            self.queue, (self.now + delay, self.order, action))
+            self.queue, (self.now + delay, self.queued_count, action))
 
     def run(self, seconds, each_step=None):
-        """Let time go on."""
-        ends = self.now + seconds
-        while self.now < ends:
+        """Advance the clock, calling ``each_step`` at each step."""
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.now += STEP_S
             if each_step is not None:
                 each_step(self)
-            self._due_actions()
+            self._run_due_actions()
             for host in self.hosts.values():
                 self._tick(host)
 
-    def _due_actions(self):
-        ends = self.now
-        while self.queue and self.queue[0][0] <= ends:
+    def _run_due_actions(self):
+        end_at = self.now
+        while self.queue and self.queue[0][0] <= end_at:
             self.now, _, action = heapq.heappop(self.queue)
             action()
-        self.now = ends
+        self.now = end_at
 
     def _tick(self, host):
         if host.dead or host.paused or self.now < host.tick_at:
@@ -154,51 +155,52 @@
                 if self.pause_at_send_s:
                     self.pause(host.name, self.pause_at_send_s)
                     self.pause_at_send_s = 0.0
-                self.at(WAY_S, lambda: self._send(host, boot, effect))
+                self.at(DELAY_S, lambda: self._send_call(host, boot, effect))
             case effects.Note():
                 host.lines.append((effect.event, effect.fields))
 
     def _tell(self, host, effect):
         other = self.hosts.get(effect.peer.name)
-        self.at(WAY_S, lambda: self._later(other, other.boot, effect.event))
+        self.at(DELAY_S,
+                lambda: self._deliver(other, other.boot, effect.event))
 
-    def _later(self, host, boot, event):
-        """Feed an event, unless its host is gone; a paused one waits."""
+    def _deliver(self, host, boot, event):
+        """Feed an event to its host, after a pause; drop it if killed."""
         if host.boot != boot or host.dead:
             return
         if host.paused:
-            self.at(STEP_S, lambda: self._later(host, boot, event))
+            self.at(STEP_S, lambda: self._deliver(host, boot, event))
             return
         self.feed(host, event)
 
     def _answer(self, host, delay, event):
         boot = host.boot
-        self.at(delay, lambda: self._later(host, boot, event))
+        self.at(delay, lambda: self._deliver(host, boot, event))
 
     def _read(self, host):
         if host.store != "well":
-            self._answer(host, CALL_S, lease_events.LeaseRead(
+            self._answer(host, TIMEOUT_S, lease_events.LeaseRead(
                 Status.UNAVAILABLE))
             return
         if self.lease is None:
             event = lease_events.LeaseRead(Status.NOT_FOUND)
         else:
             event = lease_events.LeaseRead(Status.FOUND, *self.lease)
-        self._answer(host, 2 * WAY_S, event)
+        self._answer(host, 2 * DELAY_S, event)
 
     def _write(self, host, effect):
-        def answer(status, version=0, delay=2 * WAY_S):
+        def answer(status, version=0, delay=2 * DELAY_S):
             self._answer(host, delay, lease_events.LeaseWritten(
                 effect.nonce, effect.number, status, version))
 
         if host.store == "out":
-            answer(Status.UNKNOWN, delay=CALL_S)
+            answer(Status.UNKNOWN, delay=TIMEOUT_S)
         elif host.store == "late":
             self.at(2.0, lambda: self._apply(effect))
-            answer(Status.UNKNOWN, delay=CALL_S)
+            answer(Status.UNKNOWN, delay=TIMEOUT_S)
         elif host.store == "lost":
             self._apply(effect)
-            answer(Status.UNKNOWN, delay=CALL_S)
+            answer(Status.UNKNOWN, delay=TIMEOUT_S)
         elif self._apply(effect):
             answer(Status.WRITTEN, self.version)
         else:
@@ -213,36 +215,36 @@
         self.lease = self.version, effect.body
         return True
 
-    def _send(self, host, boot, effect):
-        """Connect and write, as the runtime does: not once it is late."""
+    def _send_call(self, host, boot, effect):
+        """Send a call unless it is too late, as the runtime does."""
         if host.boot != boot or host.dead:
             return
         if host.paused:
-            self.at(STEP_S, lambda: self._send(host, boot, effect))
+            self.at(STEP_S, lambda: self._send_call(host, boot, effect))
             return
         if self.now >= effect.until:
             self._duty_answer(host, effect, Outcome.FAILED, 0.0)
             return
-        # What is not there at the end of the lease is dropped: the
-        # runtime resets the connection, which a paused one can't.
-        delay = WAY_S
+        # A call that has not arrived at the end of the lease is dropped:
+        # the runtime resets the connection, unless the host is paused.
+        delay = DELAY_S
         if host.cloud == "slow":
             delay = 0.8
-        limit = min(CALL_S, effect.until - self.now)
+        limit = min(TIMEOUT_S, effect.until - self.now)
         if host.cloud == "out" or delay >= limit:
             self._duty_answer(host, effect, Outcome.FAILED, limit)
             return
         if self._is_refused(effect.call):
-            self._duty_answer(host, effect, Outcome.FAILED, delay + WAY_S)
+            self._duty_answer(host, effect, Outcome.FAILED, delay + DELAY_S)
             return
-        self.at(delay, lambda: self._take(host, effect))
+        self.at(delay, lambda: self._record_arrival(host, effect))
         outcome = Outcome.DONE
         if (self.refuses_scale
                 and isinstance(effect.call, duties_model.Order)):
             outcome = Outcome.UNAVAILABLE
         if host.cloud == "lost":
             outcome = Outcome.FAILED
-        self._duty_answer(host, effect, outcome, delay + WAY_S)
+        self._duty_answer(host, effect, outcome, delay + DELAY_S)
 
     def _is_refused(self, call):
         return (isinstance(call, duties_model.Report)
@@ -252,7 +254,7 @@
         self._answer(host, delay, events.DutyAnswered(
             effect.call, outcome))
 
-    def _take(self, host, effect):
+    def _record_arrival(self, host, effect):
         call = effect.call
         window = counts = None
         if isinstance(call, duties_model.Report):
@@ -265,7 +267,7 @@
     # Faults.
 
     def kill(self, name, down_s=1.0):
-        """Kill a host's process; it starts again after some seconds."""
+        """Kill a host's process; it restarts after ``down_s``."""
         host = self.hosts[name]
         host.dead = True
         host.paused = False
@@ -277,60 +279,60 @@
         self.at(down_s, start)
 
     def stop(self, name):
-        """Ask a host to stop as planned."""
+        """Ask a host to shut down gracefully."""
         self.feed(self.hosts[name], events.StopAsked())
 
     def pause(self, name, seconds):
-        """Have a host stand still."""
+        """Pause a host's process."""
         host = self.hosts[name]
         host.paused = True
 
-        def wake():
+        def resume():
             host.paused = False
 
-        self.at(seconds, wake)
+        self.at(seconds, resume)
 
     def holder(self):
-        """Return the host that the lease's object names, or None."""
+        """Return the holder according to the lease object, or None."""
         return self.stored()["holder"] or None if self.lease else None
 
     def stored(self):
-        """Return the lease's object."""
+        """Return the decoded lease object."""
         return json.loads(self.lease[1])
 
     def begin_request(self, name, workspace="hire"):
-        """Have an engine begin a request of a host."""
+        """Have an engine begin a request that a host received."""
         host = self.hosts[name]
         if host.dead or host.paused:
             return
         pending = dataclasses.replace(
             support.pending(support.stream(), now=self.now),
             workspace=workspace)
-        usage.began(host.core, pending, self.now)
+        usage.count_begun(host.core, pending, self.now)
         window = int(self.wall() // REPORT_S)
-        row = self.truth.setdefault(window, {})
-        row[workspace] = row.get(workspace, 0) + 1
+        counts = self.true_counts.setdefault(window, {})
+        counts[workspace] = counts.get(workspace, 0) + 1
 
     def reports(self):
-        """Return the counts of each window as the platform has them."""
+        """Return the counts of each window as the platform received them."""
         return {each.window: dict(each.counts) for each in self.arrivals
                 if each.window is not None}
 
 
-def faults_of_one(world):
-    """Return what the platform would find wrong, as texts."""
+def platform_faults(world):
+    """Return the faults that the platform would find, as strings."""
     return cloud.faults_of_one(world.arrivals, LEASE_S)
 
 
 def scaling(**kwargs):
-    """Return bounds of engines in three failure domains."""
+    """Return a scaling of engines in three failure domains."""
     values = {"least": 1, "most": 20, "boot_s": 4.0, "spot_price": 0.2,
               "prices": {"perth-a": 0.8, "perth-b": 1.2, "bunbury": 1.0}}
     return model.Scaling(**{**values, **kwargs})
 
 
 def engines(count=3, domains=("perth-a", "perth-b", "bunbury")):
-    """Return so many engines in each failure domain."""
+    """Return ``count`` engines in each failure domain."""
     return tuple(
         support.server(f"{domain}-{number}", "engines", domain=domain)
         for domain in domains for number in range(count))
