--- a/crocuskeel/core/entry/model.py
+++ b/crocuskeel/core/entry/model.py
@@ -127,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service; ``connections`` is the maximum per server, 0 for none.
+    """A service; ``connections`` is the limit per server, 0 if unlimited.
 
     ``scaling`` is None where no engines can be ordered.
     """
--- a/crocuskeel/core/leadership/lease.py
+++ b/crocuskeel/core/leadership/lease.py
@@ -111,7 +111,7 @@
 
 
 def step(state, now):
-    """Read, acquire or renew the lease if that is due."""
+    """Read or renew the lease if that is due."""
     lease = state.lease
     effs = _detect_lapse(state, now)
     if lease.open_call or now < lease.due_at:
