--- a/crocuskeel/programs/arguments.py
+++ b/crocuskeel/programs/arguments.py
@@ -1,4 +1,4 @@
-"""The command line that programs with a settings file share."""
+"""Command-line arguments shared by programs with a settings file."""
 
 import argparse
 import sys
@@ -9,7 +9,7 @@
 
 
 def new_parser(prog, description):
-    """Return a parser that asks for a settings file."""
+    """Return a parser with the option for a settings file."""
     parser = argparse.ArgumentParser(prog=prog, description=description)
     parser.add_argument(
         "--settings", required=True, metavar="FILE",
@@ -18,9 +18,10 @@
 
 
 def read_settings(path, read, errors):
-    """Return what ``read(path)`` does, or None with a line on stderr.
+    """Return the result of ``read(path)``, or print its error.
 
-    ``errors`` is the exception, or several, that a bad file raises.
+    ``errors`` is the exception class, or a tuple, for an invalid file; None
+    is returned then.
     """
     try:
         return read(path)
--- a/crocuskeel/programs/checks.py
+++ b/crocuskeel/programs/checks.py
@@ -1,4 +1,4 @@
-"""Faults of our own files of JSON with comments, each with id and hint."""
+"""Errors in settings files of JSON with comments, with ids and hints."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """What is wrong with a file, and how to mend it."""
+    """An error in a file, with a hint on how to correct it."""
 
     id: str
     text: str
@@ -18,7 +18,7 @@
 
 
 class BadFile(Exception):
-    """A file that can't be used; ``faults`` are all that were found."""
+    """A file is invalid; ``faults`` lists every error."""
 
     def __init__(self, faults):
         super().__init__("; ".join(map(str, faults)))
@@ -26,20 +26,20 @@
 
 
 def read_object(text, area, error=BadFile):
-    """Return the object that a text holds.
+    """Parse a JSON object with comments.
 
-    Raises ``error``, a BadFile, with the fault AREA.E001 or AREA.E002.
+    Raises ``error``, a BadFile, with the error AREA.E001 or AREA.E002.
     """
-    # Only who gives a file needs the library.
+    # The library is needed only if a file is given.
     import json5
 
     try:
         found = json5.loads(text)
     except (ValueError, RecursionError) as exc:
         raise error([Fault(
-            f"{area}.E001", f"not JSON with comments: {exc}",
+            f"{area}.E001", f"invalid JSON with comments: {exc}",
             "check commas and brackets")]) from exc
     if not isinstance(found, dict):
         raise error([Fault(
-            f"{area}.E002", "not an object", "write { ... }")])
+            f"{area}.E002", "top level is not an object", "write { ... }")])
     return found
--- a/crocuskeel/programs/control.py
+++ b/crocuskeel/programs/control.py
@@ -1,4 +1,4 @@
-"""crocuskeel-control: gives engines their orders, under a lease."""
+"""crocuskeel-control: manages engines while it holds a lease."""
 
 import signal
 import sys
@@ -16,12 +16,12 @@
     """Return the parser of the command line."""
     return arguments.new_parser(
         "crocuskeel-control",
-        "Brings engines to what the settings want. May run on several "
-        "entry hosts; one of them is active.")
+        "Brings engines to the state in the settings. May run on several "
+        "entry hosts, one of which is active.")
 
 
 def main(argv=None):
-    """Run until a planned stop is complete; return the exit code."""
+    """Run until a requested shutdown completes; return the exit code."""
     args = new_parser().parse_args(argv)
     cfg = arguments.read_settings(
         args.settings, settings.read, exceptions.BadSettingsFile)
--- a/crocuskeel/programs/ctl.py
+++ b/crocuskeel/programs/ctl.py
@@ -1,4 +1,4 @@
-"""``crocuskeelctl``: the operators' command."""
+"""``crocuskeelctl``: the command-line client for operators."""
 
 import os
 import pathlib
@@ -11,10 +11,10 @@
 
 
 def main(argv=None):
-    """Run the command; ends the process with its exit code."""
+    """Run the command and exit with its code."""
     reactors.install()
-    # Klein and Twisted's task install the default reactor when they are
-    # imported, so all that imports them comes after ours.
+    # Importing Klein or Twisted's task installs the default reactor, so
+    # modules that import them are imported after ours is installed.
     from crocuskeel import ctl
     from twisted.internet import task
 
--- a/crocuskeel/programs/daemon.py
+++ b/crocuskeel/programs/daemon.py
@@ -13,7 +13,7 @@
 __all__ = ["main", "new_parser", "serve"]
 
 _GC_THRESHOLDS = (10_000, 20, 20)
-_EXIT_START = 1
+_EXIT_START_FAILED = 1
 
 
 def new_parser():
@@ -54,26 +54,26 @@
     codes = [0]
     ctx.on_exit = ctx.reactor.stop
     started = defer.Deferred.fromCoroutine(program.start(ctx))
-    started.addCallbacks(_settle_memory, _could_not_start,
+    started.addCallbacks(_freeze_startup_objects, _start_failed,
                          errbackArgs=(ctx.reactor, codes))
     ctx.reactor.run(installSignalHandlers=False)
     return codes[0]
 
 
-def _settle_memory(_):
-    # Collecting all generations walks every module: a pause of 16 ms
-    # for all streams. What was loaded by the start stays anyway, and
-    # requests leave too few cycles to look for them so often.
+def _freeze_startup_objects(_):
+    # A collection of all generations walks every module, which pauses all
+    # streams for 16 ms. Objects from the start stay alive anyway, and requests
+    # create too few cycles to collect them that often.
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
 
 
-def _could_not_start(fail, reactor, codes):
+def _start_failed(failure, reactor, codes):
     from loguru import logger
 
-    logger.error("could not start: {}", fail.getErrorMessage())
-    codes[0] = _EXIT_START
+    logger.error("could not start: {}", failure.getErrorMessage())
+    codes[0] = _EXIT_START_FAILED
     reactor.callLater(0, reactor.stop)
 
 
--- a/crocuskeel/programs/reactors.py
+++ b/crocuskeel/programs/reactors.py
@@ -1,4 +1,4 @@
-"""The reactor that our programs run on."""
+"""The reactor that the programs run on."""
 
 import asyncio
 
@@ -10,18 +10,17 @@
 def install():
     """Install the asyncio reactor; return it and its loop.
 
-    To be called before klein, treq or twisted.internet.task is
-    imported: these install the default reactor. grpclib runs on
-    asyncio, so both share one loop.
+    Call it before klein, treq or twisted.internet.task is imported, as
+    these install the default reactor. grpclib runs on asyncio, so both
+    share one loop.
     """
     loop = asyncio.new_event_loop()
-    # Servers and tasks made before the reactor runs take the current
-    # loop.
+    # Servers and tasks that are created before the reactor runs use the
+    # current loop.
     asyncio.set_event_loop(loop)
     asyncioreactor.install(loop)
     from twisted.internet import reactor
-    # Twisted's seconds are the wall clock's: set back by an hour, it
-    # would hold every deadline for an hour and keep a lapsed lease
-    # looking fresh.
+    # Twisted's clock is the wall clock. If that were set back by an hour, it
+    # would delay every timeout by an hour and keep an expired lease valid.
     reactor.seconds = loop.time
     return reactor, loop
