--- a/crocuskeel/gateway/callers.py
+++ b/crocuskeel/gateway/callers.py
@@ -1,37 +1,37 @@
-"""HTTP/1.1 of callers: requests in, each with its one answer out."""
+"""HTTP/1.1 server for callers."""
 
 import itertools
 
 from crocuskeel.gateway import connections
-from crocuskeel.gateway import dialect
+from crocuskeel.gateway import header_codec
 from crocuskeel.gateway import sockets
 import h11
 from twisted.internet import protocol
 
 __all__ = ["CallerConnection", "Exchange", "new_listener"]
 
-# Bytes that a caller may send ahead of its answer, on top of a request.
-AHEAD_MOST = 1 << 16
-# A caller that takes its answer this slowly is let go: bytes waiting.
-UNSENT_MOST = 1 << 20
-# After an early answer the rest of a request is read this long, s: a
-# close with unread bytes resets the connection and loses the answer.
+# Bytes of pipelined requests that a caller may send before its answer ends.
+MAX_PIPELINED_BYTES = 1 << 16
+# Unsent bytes of an answer at which a slow caller is disconnected.
+MAX_UNSENT_BYTES = 1 << 20
+# After an early answer the rest of a request is read for this long, s: a
+# close with unread bytes would reset the connection and lose the answer.
 LINGER_S = 1.0
-_numbers = itertools.count()
+_exchange_keys = itertools.count()
 
 
 class Exchange:
     """One request of a caller and its answer.
 
-    ``attempts`` maps a turn to its connection to a server. ``last_event``
-    is the id of the last event that the caller was sent.
+    ``attempts`` maps a turn to its attempt at a server. ``last_event`` is
+    the id of the last event that was sent to the caller.
     """
 
     __slots__ = ("attempts", "begun", "body", "conn", "head", "key",
                  "last_event", "over", "request", "timer")
 
     def __init__(self, conn, head, body):
-        self.key = next(_numbers)
+        self.key = next(_exchange_keys)
         self.conn = conn
         self.head = head
         self.body = body
@@ -43,7 +43,7 @@
         self.over = False
 
     def answer(self, status, headers, body):
-        """Send a whole answer; only the first one counts."""
+        """Send a complete answer, unless one has begun."""
         if self.over or self.begun:
             return
         self.over = True
@@ -51,7 +51,7 @@
         self.conn.send_answer(status, headers, body)
 
     def begin(self, status, headers):
-        """Begin an answer whose length is not known."""
+        """Begin an answer of unknown length."""
         if self.begun or self.over:
             return
         self.begun = True
@@ -64,13 +64,13 @@
             self.conn.send_data(data)
 
     def end(self):
-        """End the answer as complete."""
+        """Complete the answer."""
         if not self.over:
             self.over = True
             self.conn.send_end()
 
     def cut(self):
-        """End the answer so that it can't look complete."""
+        """Reset the connection, so that the answer can't seem complete."""
         if not self.over:
             self.over = True
             self.conn.transport.abortConnection()
@@ -79,8 +79,8 @@
 class CallerConnection(protocol.Protocol):
     """A caller's connection.
 
-    ``handler`` has ``arrived(exchange)``,
-    ``left(exchange)``, ``refused(status, why)`` and ``limits()``.
+    ``handler`` has ``arrived(exchange)``, ``left(exchange)``,
+    ``refused(status, why)`` and ``limits()``.
     """
 
     def __init__(self, reactor, handler, listener):
@@ -93,22 +93,22 @@
         self.exchange = None
         self.lingering = False
         self.timer = None
-        self.ahead = 0
-        self._reset()
+        self.pipelined = 0
+        self._reset_request()
 
-    def _reset(self):
+    def _reset_request(self):
         self.request = None
         self.body = []
         self.size = 0
 
     def connectionMade(self):
-        sockets.tune(self.transport)
+        sockets.configure(self.transport)
         self.listener.open.add(self)
-        self._wait(self.limits.idle_s, self._idle_over)
+        self._set_timer(self.limits.idle_s, self._idle_timed_out)
 
     def connectionLost(self, reason):
         self.listener.open.discard(self)
-        self._stop_waiting()
+        self._cancel_timer()
         exchange, self.exchange = self.exchange, None
         if exchange is not None and not exchange.over:
             exchange.over = True
@@ -118,75 +118,75 @@
         if self.lingering:
             return
         if self.exchange is not None:
-            self.ahead += len(data)
-            if self.ahead > AHEAD_MOST:
+            self.pipelined += len(data)
+            if self.pipelined > MAX_PIPELINED_BYTES:
                 self.transport.abortConnection()
                 return
         elif self.request is None:
-            self._wait(self.limits.head_s, self._head_late)
+            self._set_timer(self.limits.head_s, self._head_timed_out)
         self.h11.receive_data(data)
-        self._pump()
+        self._process_events()
 
-    def _pump(self):
+    def _process_events(self):
         while self.exchange is None and not self.lingering:
             try:
                 event = connections.next_event(self.h11)
             except h11.RemoteProtocolError as exc:
-                self._refuse(exc.error_status_hint, str(exc))
+                self._reject(exc.error_status_hint, str(exc))
                 return
             if event is None:
                 return
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event):
+    def _handle_event(self, event):
         match event:
             case h11.Request():
-                self._begin(event)
+                self._start_request(event)
             case h11.Data():
-                self._collect(event.data)
+                self._collect_body(event.data)
             case h11.EndOfMessage():
-                self._arrive()
+                self._deliver_request()
             case h11.ConnectionClosed():
                 self.transport.loseConnection()
                 self.lingering = True
 
-    def _begin(self, event):
+    def _start_request(self, event):
         headers = tuple(event.headers.raw_items())
-        self.request = dialect.Head(headers, event.method, event.target)
-        if self._is_ambiguous():
-            self._refuse(400, "two framings of one body")
+        self.request = header_codec.Head(headers, event.method, event.target)
+        if self._has_ambiguous_length():
+            self._reject(400, "both Content-Length and Transfer-Encoding")
             return
         declared = self.request.get(b"content-length")
         if declared and int(declared) > self.limits.body_bytes:
-            self._refuse(413, "body too large")
+            self._reject(413, "body too large")
             return
-        self._wait(self.limits.idle_s, self._idle_over)
+        self._set_timer(self.limits.idle_s, self._idle_timed_out)
         if self.h11.they_are_waiting_for_100_continue:
             self._send(h11.InformationalResponse(
                 status_code=100, headers=[]))
 
-    def _is_ambiguous(self):
-        # Two framings of one body are how a second request is smuggled
-        # past one reader: the next server may read the other one.
+    def _has_ambiguous_length(self):
+        # Servers may disagree on which header frames the body, which allows
+        # to smuggle a second request past one of them.
         return (self.request.get(b"content-length") is not None
                 and self.request.get(b"transfer-encoding") is not None)
 
-    def _collect(self, data):
+    def _collect_body(self, data):
         self.size += len(data)
         if self.size > self.limits.body_bytes:
-            self._refuse(413, "body too large")
+            self._reject(413, "body too large")
             return
         self.body.append(bytes(data))
 
-    def _arrive(self):
-        self._stop_waiting()
-        self.ahead = 0
+    def _deliver_request(self):
+        self._cancel_timer()
+        self.pipelined = 0
         self.exchange = Exchange(self, self.request, b"".join(self.body))
-        self._reset()
+        self._reset_request()
         self.handler.arrived(self.exchange)
 
-    def _refuse(self, status, why):
-        """Answer a request that can't be read, and close."""
+    def _reject(self, status, why):
+        """Reject a malformed or late request, and close."""
         self.handler.refused(status, why)
         if self.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._send(h11.Response(status_code=status, headers=[
@@ -197,34 +197,34 @@
     def _linger(self):
         self.lingering = True
         self.transport.loseWriteConnection()
-        self._wait(LINGER_S, self.transport.abortConnection)
+        self._set_timer(LINGER_S, self.transport.abortConnection)
 
-    def _wait(self, span, then):
-        self._stop_waiting()
-        self.timer = self.reactor.callLater(span, then)
+    def _set_timer(self, delay_s, callback):
+        self._cancel_timer()
+        self.timer = self.reactor.callLater(delay_s, callback)
 
-    def _stop_waiting(self):
+    def _cancel_timer(self):
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
 
-    def _head_late(self):
-        self._refuse(408, "head took too long")
+    def _head_timed_out(self):
+        self._reject(408, "timeout while reading the request head")
 
-    def _idle_over(self):
+    def _idle_timed_out(self):
         if self.request is not None:
-            self._refuse(408, "body took too long")
+            self._reject(408, "timeout while reading the request body")
             return
         self.lingering = True
         self.transport.loseConnection()
 
     def is_idle(self):
-        """Say whether no request is being read or answered here."""
+        """Return whether no request is being read or answered."""
         return (self.exchange is None and self.request is None
                 and not self.lingering)
 
     def close_idle(self):
-        """Close if idle; else after the answer under way."""
+        """Close if idle; otherwise after the current answer."""
         if self.is_idle():
             self.lingering = True
             self.transport.loseConnection()
@@ -238,17 +238,17 @@
     def send_data(self, data):
         """Send a piece of an answer."""
         self._send(h11.Data(data=data))
-        # A caller that stopped reading must not fill this host's memory.
-        if sockets.unsent(self.transport) > UNSENT_MOST:
+        # A caller that stops reading must not exhaust this host's memory.
+        if sockets.unsent_bytes(self.transport) > MAX_UNSENT_BYTES:
             self.transport.abortConnection()
 
     def send_end(self):
-        """End an answer; go on with the next request, if any."""
+        """End an answer and process the next request, if any."""
         self._send(h11.EndOfMessage())
-        self._next()
+        self._finish_answer()
 
     def send_answer(self, status, headers, body):
-        """Send a whole answer."""
+        """Send a complete answer."""
         if self.listener.closing:
             headers = [*headers, (b"Connection", b"close")]
         parts = [self.h11.send(h11.Response(
@@ -257,23 +257,23 @@
             parts.append(self.h11.send(h11.Data(data=body)))
         parts.append(self.h11.send(h11.EndOfMessage()))
         sockets.write(self.transport, b"".join(parts))
-        self._next()
+        self._finish_answer()
 
-    def _next(self):
+    def _finish_answer(self):
         self.exchange = None
         if self.h11.our_state is not h11.DONE:
             self._linger()
             return
         self.h11.start_next_cycle()
-        self._wait(self.limits.idle_s, self._idle_over)
-        self.reactor.callLater(0, self._pump)
+        self._set_timer(self.limits.idle_s, self._idle_timed_out)
+        self.reactor.callLater(0, self._process_events)
 
     def _send(self, event):
         sockets.write(self.transport, self.h11.send(event))
 
 
 class _Listener(protocol.Factory):
-    """Open connections of one listening port."""
+    """Factory that tracks the open connections of a listening port."""
 
     noisy = False
 
@@ -287,7 +287,7 @@
         return CallerConnection(self.reactor, self.handler, self)
 
     def close_idle(self):
-        """Close idle connections, and others after their answers."""
+        """Close idle connections now, others after their answers."""
         self.closing = True
         for conn in list(self.open):
             conn.close_idle()
--- a/crocuskeel/gateway/calls.py
+++ b/crocuskeel/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Single HTTP/1.1 calls: of the store and of other hosts."""
+"""Single HTTP/1.1 calls to the store and to other hosts."""
 
 import dataclasses
 
@@ -8,23 +8,23 @@
 
 __all__ = ["Reply", "call"]
 
-CONNECT_S = 1.0
-BODY_MOST = 8 << 20
+CONNECT_TIMEOUT_S = 1.0
+MAX_BODY_BYTES = 8 << 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer to a call."""
+    """The complete answer to a call."""
 
     status: int
     body: bytes
 
 
 class _Call:
-    """One call; ``asked`` is (method, target, headers, body)."""
+    """One call; ``request_parts`` is (method, target, headers, body)."""
 
-    def __init__(self, asked, done):
-        self.asked = asked
+    def __init__(self, request_parts, done):
+        self.request_parts = request_parts
         self.done = done
         self.connection = None
         self.status = 0
@@ -32,32 +32,32 @@
         self.size = 0
 
     def request(self):
-        """Return what to send."""
-        return self.asked
+        """Return the parts of the request."""
+        return self.request_parts
 
-    def took_head(self, status, headers):
-        """Note the status."""
+    def head_received(self, status, headers):
+        """Store the status."""
         self.status = status
 
-    def took_data(self, data):
+    def data_received(self, data):
         """Collect a piece of the answer."""
         self.size += len(data)
-        if self.size > BODY_MOST:
-            self.give_up("answer too large")
+        if self.size > MAX_BODY_BYTES:
+            self.abort("answer too large")
             return
         self.body.append(data)
 
-    def took_end(self):
-        """Hand over the whole answer."""
+    def end_received(self):
+        """Deliver the complete answer."""
         self.connection.close()
         self.done.callback(Reply(self.status, b"".join(self.body)))
 
     def failed(self, failure, detail):
-        """No whole answer comes."""
+        """Report that the call failed."""
         self.done.errback(exceptions.CallFailed(detail))
 
-    def give_up(self, why):
-        """End the call as failed, unless it is over."""
+    def abort(self, why):
+        """Fail the call, unless it has ended."""
         self.connection.fail(connections.Failure.BROKEN, why)
 
 
@@ -65,10 +65,10 @@
          headers=None, until=None):
     """Make one call; return a Deferred of its Reply.
 
-    ``address`` is (ip, port); ``headers`` go after the Host header of
-    the address, in place of it if they have one. Nothing is sent from
-    ``until`` on, by the reactor's clock. Fails with CallFailed if no whole
-    answer came within ``timeout_s``; the call may have been carried out.
+    ``address`` is (ip, port). ``headers`` follow a Host header of the address,
+    unless they contain one. From ``until`` on, by the reactor's clock, nothing
+    is sent. Fails with CallFailed if no complete answer arrives within
+    ``timeout_s``; the call may have been carried out.
     """
     headers = list(headers or ())
     if all(name != b"Host" for name, _ in headers):
@@ -78,20 +78,20 @@
     if body:
         headers += [(b"Content-Type", b"application/json"),
                     (b"Content-Length", b"%d" % len(body))]
-    done = defer.Deferred(lambda _: making.connection.close())
-    making = _Call((method, target, headers, body), done)
+    done = defer.Deferred(lambda _: pending.connection.close())
+    pending = _Call((method, target, headers, body), done)
 
-    def is_late():
+    def is_expired():
         return until is not None and reactor.seconds() >= until
 
-    making.connection = connections.connect(
-        reactor, address, making, CONNECT_S, is_late)
-    timer = reactor.callLater(timeout_s, making.give_up, "timeout")
-    done.addBoth(_settle, timer)
+    pending.connection = connections.connect(
+        reactor, address, pending, CONNECT_TIMEOUT_S, is_expired)
+    timer = reactor.callLater(timeout_s, pending.abort, "timeout")
+    done.addBoth(_cancel_timer, timer)
     return done
 
 
-def _settle(result, timer):
+def _cancel_timer(result, timer):
     if timer.active():
         timer.cancel()
     return result
--- a/crocuskeel/gateway/connections.py
+++ b/crocuskeel/gateway/connections.py
@@ -1,11 +1,11 @@
-"""HTTP/1.1 as a client: one request on a connection of its own.
+"""HTTP/1.1 client with one request per connection.
 
-What is asked, and what is made of the answer, is for a handler to say:
+A handler supplies the request and processes the answer:
 
 - ``request()`` returns (method, target, headers, body);
-- ``took_head(status, headers)``, ``took_data(data)`` and ``took_end()``
-  get the answer as it comes;
-- ``failed(failure, detail)`` says that no more of it comes.
+- ``head_received(status, headers)``, ``data_received(data)`` and
+  ``end_received()`` are called with the parts of the answer;
+- ``failed(failure, detail)`` is called if the answer ends early.
 """
 
 import enum
@@ -20,22 +20,22 @@
 
 
 class Failure(enum.Enum):
-    """Why an answer is not whole."""
+    """Why an answer is incomplete."""
 
-    # No connection could be had; nothing was sent.
+    # No connection was established; nothing was sent.
     UNREACHED = "unreached"
-    # The same, and the other host says that nothing listens there.
+    # The same; the host actively refused the connection.
     REFUSED = "refused"
-    # The connection ended before the answer did.
+    # The connection ended before the answer was complete.
     BROKEN = "broken"
-    # What came is no HTTP.
+    # The answer is not valid HTTP.
     GARBLED = "garbled"
 
 
 def next_event(conn):
-    """Return the next event of an h11 connection, None until more comes.
+    """Return the next event of an h11 connection, or None for lack of data.
 
-    Raises h11.RemoteProtocolError for bytes that are no HTTP.
+    Raises h11.RemoteProtocolError for bytes that are not valid HTTP.
     """
     event = conn.next_event()
     if event is h11.NEED_DATA or event is h11.PAUSED:
@@ -53,26 +53,26 @@
 
 
 class Connection(protocol.Protocol):
-    """One request and its answer; nothing comes after ``close``."""
+    """A request and its answer; ``close`` ends all calls of the handler."""
 
-    def __init__(self, handler, is_late=None):
+    def __init__(self, handler, is_expired=None):
         self.handler = handler
-        self.is_late = is_late
+        self.is_expired = is_expired
         self.connector = None
         self.h11 = h11.Connection(h11.CLIENT)
         self.has_head = False
         self.over = False
 
     def connectionMade(self):
-        sockets.tune(self.transport)
+        sockets.configure(self.transport)
         if self.over:
             self.transport.abortConnection()
             return
-        if self.is_late is not None:
-            sockets.drop_at_end(self.transport)
-            if self.is_late():
-                # The process stood still since the call was decided.
-                self.fail(Failure.UNREACHED, "too late to send")
+        if self.is_expired is not None:
+            sockets.reset_on_close(self.transport)
+            if self.is_expired():
+                # The process was paused after the call was requested.
+                self.fail(Failure.UNREACHED, "deadline passed before sending")
                 return
         sockets.write(self.transport,
                       encode(self.h11, *self.handler.request()))
@@ -80,19 +80,19 @@
     def dataReceived(self, data):
         if not self.over:
             self.h11.receive_data(data)
-            self._pump()
+            self._process_events()
 
     def connectionLost(self, reason):
         if self.over:
             return
-        # A clean close ends an answer without a length; a reset means
-        # that its rest was lost.
+        # A clean close ends an answer without a length; after a reset its
+        # end is lost.
         if reason.check(error.ConnectionDone) and self.has_head:
             self.h11.receive_data(b"")
-            self._pump()
+            self._process_events()
         self.fail(Failure.BROKEN, reason.type.__name__)
 
-    def _pump(self):
+    def _process_events(self):
         while not self.over:
             try:
                 event = next_event(self.h11)
@@ -101,38 +101,38 @@
                 return
             if event is None:
                 return
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event):
+    def _handle_event(self, event):
         match event:
             case h11.Response():
                 self.has_head = True
-                self.handler.took_head(
+                self.handler.head_received(
                     event.status_code, tuple(event.headers.raw_items()))
             case h11.Data():
-                self.handler.took_data(bytes(event.data))
+                self.handler.data_received(bytes(event.data))
             case h11.EndOfMessage():
-                self.handler.took_end()
+                self.handler.end_received()
             case h11.ConnectionClosed():
-                self.fail(Failure.BROKEN, "closed")
+                self.fail(Failure.BROKEN, "connection closed")
 
     def fail(self, failure, detail):
-        """End with a failure, unless it is over."""
+        """Close and report a failure, unless already closed."""
         if not self.over:
             self.close()
             self.handler.failed(failure, detail)
 
     def close(self):
-        """End it; the other side notices the close."""
+        """Abort the connection."""
         self.over = True
         if self.transport is not None:
             self.transport.abortConnection()
         elif self.connector is not None:
-            # Nothing happens if the connection has failed already.
+            # This has no effect if the connection has already failed.
             self.connector.disconnect()
 
 
-class _Dialer(protocol.ClientFactory):
+class _ConnectionFactory(protocol.ClientFactory):
     noisy = False
 
     def __init__(self, connection):
@@ -148,12 +148,12 @@
         self.connection.fail(failure, reason.type.__name__)
 
 
-def connect(reactor, address, handler, timeout_s, is_late=None):
+def connect(reactor, address, handler, timeout_s, is_expired=None):
     """Connect to (ip, port) for one request; return the Connection.
 
-    ``is_late()``, if given, says that it must not be sent any more.
+    ``is_expired()``, if given, returns whether it is too late to send.
     """
-    connection = Connection(handler, is_late)
+    connection = Connection(handler, is_expired)
     connection.connector = reactor.connectTCP(
-        *address, _Dialer(connection), timeout=timeout_s)
+        *address, _ConnectionFactory(connection), timeout=timeout_s)
     return connection
--- a/crocuskeel/gateway/exceptions.py
+++ b/crocuskeel/gateway/exceptions.py
@@ -4,8 +4,8 @@
 
 
 class GatewayError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class CallFailed(GatewayError):
-    """A call got no whole answer; it may have been carried out."""
+    """A call got no complete answer; it may have been carried out."""
--- a/crocuskeel/gateway/gossip.py
+++ b/crocuskeel/gateway/gossip.py
@@ -1,9 +1,9 @@
-"""Datagrams between entry hosts: each host's state, some bytes long.
+"""Datagrams between entry hosts, with the state of the sender.
 
-While hosts are upgraded one after the other, some still run the version
-before. A state of that version has fewer fields and is understood; a host
-that sent one gets states of its version until it sends a newer one.
-Fields that a later version adds at the end are passed over.
+During a rolling upgrade some hosts still run the previous version. Its
+states have fewer fields and are understood; a host that sent one receives
+states of its version until it sends a newer one. Fields that a later version
+appends are ignored.
 """
 
 from crocuskeel.core import duties
@@ -13,99 +13,99 @@
 import msgpack
 from twisted.internet import protocol
 
-__all__ = ["Gossip", "decode", "encode", "encode_former"]
-
-# First in a datagram with counts, and in one with what servers name; a
-# host's own name or peer stands there in the others.
-USAGE = 0
-HINTS = 1
-# Fields of a state after its peer: in the version before, and now.
-FORMER_FIELDS = 10
-FIELDS = 13
-
-
-def encode(heard):
-    """Return the datagram of an event that one host tells another."""
-    if isinstance(heard, events.LoadHeard):
-        return msgpack.packb((heard.name, heard.loads, heard.refused))
-    if isinstance(heard, duties.Usage):
-        return msgpack.packb((USAGE, heard.name, heard.boot, heard.rows))
-    if isinstance(heard, events.HintsHeard):
-        return msgpack.packb((HINTS, heard.name, heard.rate_limits,
-                              heard.servers_leaving))
+__all__ = ["Gossip", "decode", "encode", "encode_previous"]
+
+# First field of a datagram with counts, and of one with hints of servers; the
+# first field of other datagrams is a host's name or peer.
+USAGE_MARK = 0
+HINTS_MARK = 1
+# Number of fields of a state after its peer: previous and current version.
+PREVIOUS_FIELDS = 10
+STATE_FIELDS = 13
+
+
+def encode(event):
+    """Return the datagram of an event for another host."""
+    if isinstance(event, events.LoadHeard):
+        return msgpack.packb((event.name, event.loads, event.refused))
+    if isinstance(event, duties.Usage):
+        return msgpack.packb((USAGE_MARK, event.name, event.boot, event.rows))
+    if isinstance(event, events.HintsHeard):
+        return msgpack.packb((HINTS_MARK, event.name, event.rate_limits,
+                              event.servers_leaving))
     return msgpack.packb((
-        *_former_fields(heard), heard.wall,
-        (heard.leader.version, heard.leader.host, heard.leader.fence),
-        (heard.wanted.carriers, heard.wanted.at), heard.rate_limits,
-        heard.servers_leaving))
+        *_previous_fields(event), event.wall,
+        (event.leader.version, event.leader.host, event.leader.fence),
+        (event.wanted.carriers, event.wanted.at), event.rate_limits,
+        event.servers_leaving))
 
 
-def encode_former(heard):
-    """Return the datagram as the version before reads it, or None.
+def encode_previous(event):
+    """Return the datagram in the format of the previous version, or None.
 
-    That version knows of no duties, and so of no counts, and of no rates.
+    That version has no duties, and so no counts, and no rate limits.
     """
-    if isinstance(heard, duties.Usage | events.HintsHeard):
+    if isinstance(event, duties.Usage | events.HintsHeard):
         return None
-    if isinstance(heard, events.Heard):
-        return msgpack.packb(_former_fields(heard))
-    return encode(heard)
+    if isinstance(event, events.Heard):
+        return msgpack.packb(_previous_fields(event))
+    return encode(event)
 
 
-def _former_fields(heard):
-    peer = heard.peer
+def _previous_fields(event):
+    peer = event.peer
     return (
         (peer.name, peer.boot, peer.domain, peer.front, peer.control,
          peer.gossip, peer.capacity),
-        heard.ready, heard.leaving, heard.catalog_revision,
-        heard.servers_revision, heard.crashed, heard.loads, heard.parts,
-        heard.reads_store, heard.carriers, heard.informed_s)
+        event.ready, event.leaving, event.catalog_revision,
+        event.servers_revision, event.crashed, event.loads, event.parts,
+        event.reads_store, event.carriers, event.informed_s)
 
 
 def decode(data):
-    """Return the event of a datagram; raises ValueError."""
-    return _event(_fields(data))
+    """Return the event of a datagram; raises ValueError if invalid."""
+    return _decode_fields(_unpack(data))
 
 
-def _fields(data):
+def _unpack(data):
     try:
         fields = msgpack.unpackb(data, use_list=False)
     except (TypeError, ValueError, msgpack.UnpackException) as exc:
-        raise ValueError(f"no datagram of a host: {exc}") from exc
+        raise ValueError(f"invalid datagram: {exc}") from exc
     if not isinstance(fields, tuple) or not fields:
-        raise ValueError("no datagram of a host")
+        raise ValueError("invalid datagram")
     return fields
 
 
-def _event(fields):
+def _decode_fields(fields):
     try:
         first, *rest = fields
-        if first == USAGE:
+        if first == USAGE_MARK:
             return duties.Usage(*rest)
-        if first == HINTS:
+        if first == HINTS_MARK:
             name, limits, leaving = rest
             return events.HintsHeard(
                 name, _rate_limits(limits), _servers_leaving(leaving))
         if isinstance(first, str):
             loads, refused = rest
             return events.LoadHeard(first, loads, refused)
-        return _state(first, rest)
+        return _decode_state(first, rest)
     except (TypeError, ValueError) as exc:
-        raise ValueError(f"no datagram of a host: {exc}") from exc
+        raise ValueError(f"invalid datagram: {exc}") from exc
 
 
-def _state(peer, rest):
+def _decode_state(peer, rest):
     name, boot, domain, front, control, gossip, capacity = peer
     sender = model.Peer(
         name, boot, domain, front, control, gossip, capacity)
-    if len(rest) == FORMER_FIELDS:
+    if len(rest) == PREVIOUS_FIELDS:
         return events.Heard(sender, *rest)
-    *former, wall, leader, wanted = rest[:FIELDS]
-    if len(former) != FORMER_FIELDS:
-        raise ValueError(f"{len(rest)} fields")
-    # A host of the version before ends its state here.
-    limits, leaving = (*rest[FIELDS:], (), ())[:2]
-    return events.Heard(sender, *former, wall, duties.Leader(*leader),
+    *previous, wall, leader, wanted = rest[:STATE_FIELDS]
+    if len(previous) != PREVIOUS_FIELDS:
+        raise ValueError(f"state has {len(rest)} fields")
+    # A state of the version without rate limits ends here.
+    limits, leaving = (*rest[STATE_FIELDS:], (), ())[:2]
+    return events.Heard(sender, *previous, wall, duties.Leader(*leader),
                         carrying.Wanted(*wanted), _rate_limits(limits),
                         _servers_leaving(leaving))
 
@@ -114,9 +114,9 @@
     """Check rows of (incarnation, rate or None, age in ms)."""
     for incarnation, rate, age_ms in rows:
         if not isinstance(incarnation, str):
-            raise ValueError(f"server {incarnation!r}")
+            raise ValueError(f"invalid incarnation {incarnation!r}")
         if min(0.0 if rate is None else rate, age_ms) < 0:
-            raise ValueError(f"rate {rate!r}, {age_ms!r} ms ago")
+            raise ValueError(f"invalid rate {rate!r} or age {age_ms!r} ms")
     return rows
 
 
@@ -124,52 +124,53 @@
     """Check rows of (server id, incarnation)."""
     for sid, incarnation in rows:
         if not isinstance(sid, str) or not isinstance(incarnation, str):
-            raise ValueError(f"server {sid!r}, {incarnation!r}")
+            raise ValueError(f"invalid server {sid!r} or incarnation "
+                             f"{incarnation!r}")
     return rows
 
 
 class Gossip(protocol.DatagramProtocol):
-    """Sends and takes hosts' states.
+    """Sends and receives states of hosts, also of the previous version.
 
-    ``former`` names the hosts of the version before.
+    ``previous_version_hosts`` holds names of hosts that run that version.
     """
 
     def __init__(self, gateway):
         self.gateway = gateway
-        self.former = set()
-        # What was told last: it goes to up to twelve hosts, one by one.
-        self.told = None
-        self.data = b""
+        self.previous_version_hosts = set()
+        # The last event and its encoding: an event goes to up to twelve hosts.
+        self.last_event = None
+        self.last_datagram = b""
 
     def datagramReceived(self, datagram, addr):
         try:
-            fields = _fields(datagram)
-            event = _event(fields)
+            fields = _unpack(datagram)
+            event = _decode_fields(fields)
         except ValueError as exc:
             self.gateway.log("datagram_refused", {"why": str(exc)})
             return
         if isinstance(event, events.Heard):
-            self._learn(event.peer.name,
-                        len(fields) == 1 + FORMER_FIELDS)
+            self._note_version(event.peer.name,
+                               len(fields) == 1 + PREVIOUS_FIELDS)
         self.gateway.feed(event)
 
-    def _learn(self, name, former):
-        if former:
-            self.former.add(name)
+    def _note_version(self, name, is_previous):
+        if is_previous:
+            self.previous_version_hosts.add(name)
         else:
-            self.former.discard(name)
+            self.previous_version_hosts.discard(name)
 
     def tell(self, effect):
-        """Send what this host tells to one peer."""
-        if effect.peer.name in self.former:
-            data = encode_former(effect.event)
+        """Send an event to a peer."""
+        if effect.peer.name in self.previous_version_hosts:
+            data = encode_previous(effect.event)
         else:
-            data = self._encoded(effect.event)
+            data = self._encode_cached(effect.event)
         if data is not None:
             self.transport.write(data, effect.peer.gossip)
 
-    def _encoded(self, event):
-        if event is not self.told:
-            self.told = event
-            self.data = encode(event)
-        return self.data
+    def _encode_cached(self, event):
+        if event is not self.last_event:
+            self.last_event = event
+            self.last_datagram = encode(event)
+        return self.last_datagram
--- /dev/null
+++ b/crocuskeel/gateway/header_codec.py
@@ -0,0 +1,67 @@
+"""Interface to the headers of a deployment."""
+
+import dataclasses
+import enum
+import typing
+
+__all__ = ["Head", "HeaderCodec", "Verdict"]
+
+
+class Verdict(enum.Enum):
+    """Classification of a server's answer by its head."""
+
+    ANSWER = "answer"
+    # The server says that it did not run the request.
+    NOT_RUN = "not_run"
+    # Another server uses the address.
+    MISDIRECTED = "misdirected"
+    # The answer to an earlier request on this connection.
+    WRONG_REQUEST = "foreign"
+    # A working server sends no such answer.
+    GARBLED = "garbled"
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Head:
+    """The head of a message: ``headers`` as (name, value) in bytes.
+
+    ``method`` and ``target`` are a request's, ``status`` an answer's.
+    """
+
+    headers: tuple
+    method: bytes = b""
+    target: bytes = b""
+    status: int = 0
+
+    def get(self, name):
+        """Return the first value of a header, or None.
+
+        ``name`` is in lowercase.
+        """
+        for key, value in self.headers:
+            if key.lower() == name:
+                return value
+        return None
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class HeaderCodec:
+    """Functions that parse and write the headers of a deployment.
+
+    ``read_request(head, body)`` returns a model.Request, or raises ValueError
+    with the reason for a response 400. ``server_headers(head, send,
+    last_event)`` returns the headers of a request to a server, without the
+    framing. ``classify(request, head)`` returns a Verdict, ``load(head)``
+    (running, waiting, slots) or None, and ``hints(head)`` a model.Hints.
+    ``stamped(head)`` returns whether an answer carries a server's stamp.
+    ``answer_headers(head, keep_stamp)`` returns the headers of an answer to
+    the caller.
+    """
+
+    read_request: typing.Callable
+    server_headers: typing.Callable
+    classify: typing.Callable
+    load: typing.Callable
+    hints: typing.Callable
+    stamped: typing.Callable
+    answer_headers: typing.Callable
--- a/crocuskeel/gateway/logs.py
+++ b/crocuskeel/gateway/logs.py
@@ -1,4 +1,4 @@
-"""JSON lines on standard output, bounded and never waited for."""
+"""JSON log lines on standard output, rate-limited and non-blocking."""
 
 import collections
 import json
@@ -8,38 +8,39 @@
 
 __all__ = ["new_log"]
 
-FLUSH_S = 0.1
-# Lines that wait for a reader of standard output; more are left out and
-# counted, so that a pipe that nobody reads holds nothing up.
-WAITING_MOST = 4000
-# Lines a second that are written, on average and at once.
-LINES_S = 400.0
+FLUSH_INTERVAL_S = 0.1
+# Maximum number of lines that wait for the reader of standard output. Further
+# lines are dropped and counted, so that an unread pipe can't block the
+# process.
+MAX_WAITING_LINES = 4000
+# Limits on the written lines: average rate per second, and burst.
+LINES_PER_S = 400.0
 LINES_BURST = 1500.0
 
 
 class _Log:
-    """Lines on their way to a file descriptor."""
+    """Buffers and writes lines to a file descriptor."""
 
     def __init__(self, reactor, fd, host):
         self.reactor = reactor
         self.fd = fd
         self.host = host
         self.lines = collections.deque()
-        self.rest = b""
-        self.left_out = 0
+        self.unwritten = b""
+        self.dropped = 0
         self.tokens = LINES_BURST
-        self.filled_at = reactor.seconds()
-        self.flushing = False
+        self.refilled_at = reactor.seconds()
+        self.flush_scheduled = False
 
     def write(self, event, fields):
-        """Take one line; ``fields`` must not change later."""
-        if not self._has_room():
-            self.left_out += 1
+        """Queue a line; ``fields`` must not change later."""
+        if not self._take_token():
+            self.dropped += 1
             return
         logger.bind(event=event, fields=fields).info(event)
 
     def sink(self, message):
-        """Take a record from loguru."""
+        """Handle a record of loguru."""
         record = message.record
         extra = record["extra"]
         row = {"t": round(self.reactor.seconds(), 4),
@@ -47,41 +48,41 @@
                "event": extra.get("event", record["message"]),
                **extra.get("fields", {})}
         self.lines.append(json.dumps(row, default=str).encode() + b"\n")
-        if not self.flushing:
-            self.flushing = True
-            self.reactor.callLater(FLUSH_S, self.flush)
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
+            self.reactor.callLater(FLUSH_INTERVAL_S, self.flush)
 
-    def _has_room(self):
+    def _take_token(self):
         now = self.reactor.seconds()
         self.tokens = min(LINES_BURST, self.tokens
-                          + (now - self.filled_at) * LINES_S)
-        self.filled_at = now
-        if self.tokens < 1 or len(self.lines) >= WAITING_MOST:
+                          + (now - self.refilled_at) * LINES_PER_S)
+        self.refilled_at = now
+        if self.tokens < 1 or len(self.lines) >= MAX_WAITING_LINES:
             return False
         self.tokens -= 1
         return True
 
     def flush(self):
-        """Write what the descriptor takes at once."""
-        self.flushing = False
-        if self.left_out and self._has_room():
-            count, self.left_out = self.left_out, 0
+        """Write as much as the descriptor accepts without blocking."""
+        self.flush_scheduled = False
+        if self.dropped and self._take_token():
+            count, self.dropped = self.dropped, 0
             logger.bind(event="lines_left_out",
                         fields={"count": count}).info("lines_left_out")
-        data = self.rest + b"".join(self.lines)
+        data = self.unwritten + b"".join(self.lines)
         self.lines.clear()
         try:
             done = os.write(self.fd, data)
         except BlockingIOError:
             done = 0
-        self.rest = data[done:]
-        if self.rest and not self.flushing:
-            self.flushing = True
-            self.reactor.callLater(FLUSH_S, self.flush)
+        self.unwritten = data[done:]
+        if self.unwritten and not self.flush_scheduled:
+            self.flush_scheduled = True
+            self.reactor.callLater(FLUSH_INTERVAL_S, self.flush)
 
 
 def new_log(reactor, fd, host):
-    """Return ``log(event, fields)`` that writes to a descriptor."""
+    """Return the functions ``log(event, fields)`` and ``flush()``."""
     os.set_blocking(fd, False)
     log = _Log(reactor, fd, host)
     logger.remove()
--- a/crocuskeel/gateway/loop.py
+++ b/crocuskeel/gateway/loop.py
@@ -1,4 +1,4 @@
-"""Events into the core, its effects out."""
+"""Feeds events to the core and carries out its effects."""
 
 import json
 import time
@@ -12,58 +12,58 @@
 
 __all__ = ["Gateway", "new_gateway"]
 
-# Hosts tell their state this often, s: one that dies is out of callers'
-# lists after four of these.
-TICK_S = 0.3
-JSON = (b"Content-Type", b"application/json")
+# Interval at which hosts send their state, s: a host that dies is removed from
+# callers' lists after four of them.
+TICK_INTERVAL_S = 0.3
+JSON_HEADER = (b"Content-Type", b"application/json")
 
 
 class Gateway:
-    """An entry host at work. ``log(event, fields)`` writes a line.
+    """An entry host. ``log(event, fields)`` writes a log line.
 
-    ``wall()`` is the time of day, s. ``fetch(peer)`` reads a peer's
-    configuration; ``duties(effect)`` carries out the effects of the duties;
-    ``on_retire`` and ``on_exit`` end listening and the process.
+    ``wall()`` returns the time of day, s. ``fetch(peer)`` reads a peer's
+    configuration. ``duty_executor(effect)`` carries out effects of duties.
+    ``on_retire`` stops listening, and ``on_exit`` ends the process.
     """
 
-    def __init__(self, reactor, host, dialect, log, wall):
+    def __init__(self, reactor, host, codec, log, wall):
         self.reactor = reactor
         self.wall = wall
         self.host = host
-        self.dialect = dialect
+        self.codec = codec
         self.log = log
         self.exchanges = {}
         self.gossip = None
         self.fetch = None
-        self.duties = None
+        self.duty_executor = None
         self.on_retire = None
         self.on_exit = None
 
     def start(self, me):
-        """Begin to tick."""
+        """Start the core and the periodic tick."""
         self.feed(events.Started(me))
         self.tick()
 
     def tick(self):
-        """Tell the core that time passes."""
-        self.reactor.callLater(TICK_S, self.tick)
+        """Feed a tick to the core and schedule the next one."""
+        self.reactor.callLater(TICK_INTERVAL_S, self.tick)
         self.feed(events.Ticked(self.wall()))
 
     def feed(self, event):
-        """Reduce one event and carry out its effects, in order."""
+        """Feed an event to the core and carry out its effects in order."""
         now = self.reactor.seconds()
         for effect in entry.reduce(self.host, event, now):
-            PERFORM[type(effect)](self, effect)
+            EFFECT_HANDLERS[type(effect)](self, effect)
 
     def limits(self):
-        """Return the limits on what callers send."""
+        """Return the limits on requests of callers."""
         catalog = self.host.catalog
         return catalog.limits if catalog else DEFAULT_LIMITS
 
     def arrived(self, exchange):
-        """A caller's whole request is here."""
+        """Handle a complete request of a caller."""
         try:
-            exchange.request = self.dialect.read_request(
+            exchange.request = self.codec.read_request(
                 exchange.head, exchange.body)
         except ValueError as exc:
             self.log("bad_request", {"why": str(exc)})
@@ -73,16 +73,16 @@
         self.feed(events.Arrived(exchange.key, exchange.request))
 
     def left(self, exchange):
-        """The caller's connection ended before its answer."""
+        """Handle a caller that disconnected before its answer ended."""
         self.feed(events.CallerLeft(exchange.key))
         self.forget(exchange)
 
     def refused(self, status, why):
-        """A request could not be read."""
+        """Log a request that could not be parsed."""
         self.log("unreadable", {"status": status, "why": why})
 
     def forget(self, exchange):
-        """Let go of all that an exchange holds."""
+        """Release the timer and attempts of an exchange."""
         self.exchanges.pop(exchange.key, None)
         if exchange.timer is not None and exchange.timer.active():
             exchange.timer.cancel()
@@ -91,11 +91,11 @@
                 attempt.cancel()
 
     def addresses(self):
-        """Return the front addresses that callers may use."""
+        """Return the addresses that callers may connect to."""
         return fleet.addresses(self.host, self.reactor.seconds())
 
     def is_ready(self):
-        """Say whether this host takes callers."""
+        """Return whether this host accepts callers."""
         return fleet.is_ready(self.host)
 
 
@@ -105,7 +105,7 @@
 def _send(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
-        exchange.attempts[effect.turn] = servers.begin(
+        exchange.attempts[effect.turn] = servers.start_attempt(
             gateway, exchange, effect)
 
 
@@ -133,7 +133,7 @@
 
 
 def _answer(exchange, status, reason, retry_s):
-    headers = [JSON]
+    headers = [JSON_HEADER]
     if retry_s is not None:
         headers.append((b"Retry-After", b"%.3f" % retry_s))
     exchange.answer(status, headers,
@@ -180,15 +180,15 @@
     gateway.on_exit()
 
 
-def _duty(gateway, effect):
-    gateway.duties(effect)
+def _execute_duty(gateway, effect):
+    gateway.duty_executor(effect)
 
 
 def _note(gateway, effect):
     gateway.log(effect.event, effect.fields)
 
 
-PERFORM = {
+EFFECT_HANDLERS = {
     effects.Send: _send,
     effects.Cancel: _cancel,
     effects.PassOn: _pass_on,
@@ -201,12 +201,12 @@
     effects.Retire: _retire,
     effects.Exit: _exit,
     effects.Note: _note,
-    effects.SendDuty: _duty,
-    lease_effects.ReadLease: _duty,
-    lease_effects.WriteLease: _duty,
+    effects.SendDuty: _execute_duty,
+    lease_effects.ReadLease: _execute_duty,
+    lease_effects.WriteLease: _execute_duty,
 }
 
 
-def new_gateway(reactor, host, dialect, log, wall=time.time):
-    """Return a gateway that listens nowhere yet."""
-    return Gateway(reactor, host, dialect, log, wall)
+def new_gateway(reactor, host, codec, log, wall=time.time):
+    """Return a gateway that doesn't listen yet."""
+    return Gateway(reactor, host, codec, log, wall)
--- a/crocuskeel/gateway/metrics.py
+++ b/crocuskeel/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a host: as text, and to statsd if asked."""
+"""Metrics of a host: in the Prometheus text format, and to statsd."""
 
 from crocuskeel.core.duties import demand
 from crocuskeel.core.entry import ratelimits
@@ -8,13 +8,14 @@
 __all__ = ["new_metrics"]
 
 PREFIX = "crocuskeel.entry"
-# Upper bounds, s: around the goals of calls (0.1 to 0.4) and of first
-# tokens (1.2 to 2.5).
-BOUNDS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.6, 2.0, 2.5, 4.0, 8.0)
+# Bounds of the buckets, s: around the targets of calls (0.1 to 0.4) and of
+# first tokens (1.2 to 2.5).
+HISTOGRAM_BUCKETS_S = (
+    0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.6, 2.0, 2.5, 4.0, 8.0)
 
 
-class _Paces:
-    """What the host has learned of each service's engines, when read."""
+class _PauseCollector:
+    """Collects the estimated pauses of each service's engines."""
 
     def __init__(self, host):
         self.host = host
@@ -35,8 +36,8 @@
         yield samples
 
 
-class _Classes:
-    """What was let in of each class of prompts lately, when read."""
+class _ClassCollector:
+    """Collects the recent share of admitted requests by class."""
 
     def __init__(self, host):
         self.host = host
@@ -54,8 +55,8 @@
         yield shares
 
 
-class _Duties:
-    """What the host knows of the platform's duties, when read."""
+class _DutyCollector:
+    """Collects the state of the platform's duties."""
 
     def __init__(self, host):
         self.host = host
@@ -96,28 +97,28 @@
         yield needed
 
 
-class _Unheard:
-    """For how long the store gave no answer, when read.
+class _LastAnswerAgeCollector:
+    """Collects the time since the store last answered.
 
-    ``unheard_s()`` returns seconds by kind of object.
+    ``last_answer_age_s()`` returns that time in seconds by kind of object.
     """
 
-    def __init__(self, unheard_s):
-        self.unheard_s = unheard_s
+    def __init__(self, last_answer_age_s):
+        self.last_answer_age_s = last_answer_age_s
 
     def collect(self):
         """Yield the family of metrics."""
-        unheard = core.GaugeMetricFamily(
+        age = core.GaugeMetricFamily(
             "crocuskeel_store_unheard_seconds",
             "Time since the store last answered, by kind of object.",
             labels=["kind"])
-        for kind, span_s in self.unheard_s().items():
-            unheard.add_metric([kind], span_s)
-        yield unheard
+        for kind, span_s in self.last_answer_age_s().items():
+            age.add_metric([kind], span_s)
+        yield age
 
 
 class _Metrics:
-    """Counts what the log tells, also lines that it leaves out.
+    """Counts log events, including lines that the log drops.
 
     ``statsd`` is a client with ``incr`` and ``timing``, or None.
     """
@@ -125,19 +126,19 @@
     def __init__(self, host, statsd):
         self.statsd = statsd
         self.registry = prometheus_client.CollectorRegistry()
-        self.lines = prometheus_client.Counter(
+        self.decisions = prometheus_client.Counter(
             "crocuskeel_decisions", "Decisions and changes, by kind.",
             ["kind"], registry=self.registry)
-        self.refused = prometheus_client.Counter(
+        self.given_up = prometheus_client.Counter(
             "crocuskeel_given_up", "Requests given up, by reason.",
             ["reason"], registry=self.registry)
         self.tokens = prometheus_client.Counter(
             "crocuskeel_prompt_tokens",
             "Tokens of prompts sent to engines, by what these do of them.",
             ["how"], registry=self.registry)
-        self.whole = self._histogram(
+        self.served_s = self._histogram(
             "crocuskeel_served_seconds", "Arrival to the whole answer.")
-        self.first = self._histogram(
+        self.first_event_s = self._histogram(
             "crocuskeel_first_event_seconds",
             "Sending to a stream's first event.")
         self._gauge("crocuskeel_pending", "Requests in progress.",
@@ -151,44 +152,44 @@
                     "Revision of the configuration in force.",
                     lambda: host.catalog.revision if host.catalog else 0)
 
-        self.registry.register(_Paces(host))
-        self.registry.register(_Classes(host))
-        self.registry.register(_Duties(host))
+        self.registry.register(_PauseCollector(host))
+        self.registry.register(_ClassCollector(host))
+        self.registry.register(_DutyCollector(host))
 
     def _histogram(self, name, text):
         return prometheus_client.Histogram(
-            name, text, buckets=BOUNDS_S, registry=self.registry)
+            name, text, buckets=HISTOGRAM_BUCKETS_S, registry=self.registry)
 
     def _gauge(self, name, text, read):
         gauge = prometheus_client.Gauge(
             name, text, registry=self.registry)
         gauge.set_function(read)
 
-    def show_unheard(self, unheard_s):
-        """Show what ``unheard_s()`` returns: seconds by kind."""
-        self.registry.register(_Unheard(unheard_s))
+    def register_last_answer_age(self, last_answer_age_s):
+        """Add the metric of the time since the store last answered."""
+        self.registry.register(_LastAnswerAgeCollector(last_answer_age_s))
 
-    def note(self, event, fields):
-        """Count one line of the log."""
-        self.lines.labels(event).inc()
+    def count(self, event, fields):
+        """Count a log event."""
+        self.decisions.labels(event).inc()
         if event == "served":
-            self.whole.observe(fields["took_s"])
+            self.served_s.observe(fields["took_s"])
         elif event == "opened":
-            self.first.observe(fields["after_s"])
+            self.first_event_s.observe(fields["after_s"])
         elif event == "gave_up":
-            self.refused.labels(fields["why"]).inc()
+            self.given_up.labels(fields["why"]).inc()
         elif event == "sent":
             self._count_tokens(fields)
         if self.statsd is not None:
-            self._send(event, fields)
+            self._send_to_statsd(event, fields)
 
     def _count_tokens(self, fields):
         self.tokens.labels("read").inc(fields["fresh"])
         self.tokens.labels("fetched").inc(fields["fetch"])
         self.tokens.labels("read_again").inc(fields["spill"])
 
-    def _send(self, event, fields):
-        """Send the same to statsd, by UDP: nothing waits for it."""
+    def _send_to_statsd(self, event, fields):
+        """Send the event to statsd by UDP, which does not block."""
         self.statsd.incr(f"decision.{event}")
         if event == "served":
             self.statsd.timing("served", fields["took_s"] * 1000)
@@ -196,18 +197,18 @@
             self.statsd.timing("first_event", fields["after_s"] * 1000)
 
     def text(self):
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
 
 def new_metrics(host, statsd_address=None):
-    """Return metrics of an entry host's state.
+    """Return the metrics of an entry host.
 
-    ``statsd_address`` is an (ip, port) to send to, or None.
+    ``statsd_address`` is the (ip, port) of a statsd server, or None.
     """
     client = None
     if statsd_address is not None:
-        # Only who sends to it needs the library.
+        # The library is needed only with statsd.
         import statsd
         client = statsd.StatsClient(*statsd_address, PREFIX)
     return _Metrics(host, client)
--- a/crocuskeel/gateway/servers.py
+++ b/crocuskeel/gateway/servers.py
@@ -1,21 +1,22 @@
-"""HTTP/1.1 towards backend servers: one attempt, one connection."""
+"""HTTP/1.1 client of backend servers: one connection per attempt."""
 
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import model
 from crocuskeel.gateway import connections
-from crocuskeel.gateway import dialect
-from crocuskeel.gateway import events_split
-
-__all__ = ["Attempt", "begin"]
-
-# Servers are at most some milliseconds away; one that takes no
-# connection in this time is cut off or dark, s.
-CONNECT_S = 0.3
-# A plain answer is held until it is whole, up to this size, bytes: only
-# then is it known to be complete.
-ANSWER_MOST = 4 << 20
-# Heads that are certain to be the server's own.
-VOUCHED_FOR = (dialect.Verdict.ANSWER, dialect.Verdict.NOT_RUN)
+from crocuskeel.gateway import event_stream
+from crocuskeel.gateway import header_codec
+
+__all__ = ["Attempt", "start_attempt"]
+
+# Servers are at most some milliseconds away; one that accepts no connection
+# within this time is unreachable or down, s.
+CONNECT_TIMEOUT_S = 0.3
+# An answer that is not a stream is buffered up to this size, bytes: it is
+# passed on only once it is known to be complete.
+MAX_ANSWER_BYTES = 4 << 20
+# Verdicts on heads that were certainly sent by the server itself.
+AUTHENTIC_VERDICTS = (header_codec.Verdict.ANSWER,
+                      header_codec.Verdict.NOT_RUN)
 OUTCOMES = {
     connections.Failure.UNREACHED: model.Outcome.UNREACHED,
     connections.Failure.REFUSED: model.Outcome.REFUSED,
@@ -25,7 +26,7 @@
 
 
 class Attempt:
-    """One attempt at a server. ``gateway`` takes events of the core."""
+    """One attempt at a server; feeds its events to ``gateway``."""
 
     def __init__(self, gateway, exchange, send):
         self.gateway = gateway
@@ -38,20 +39,20 @@
         self.events = []
         self.body = []
         self.size = 0
-        self.passing = False
+        self.forwarding = False
         self.opened = False
         self.last_event = exchange.last_event
 
     @property
     def over(self):
-        """Whether nothing more comes of it."""
+        """Whether the attempt has ended."""
         return self.connection.over
 
     def request(self):
-        """Return what to send."""
+        """Return the parts of the request."""
         exchange = self.exchange
         head = exchange.head
-        headers = self.gateway.dialect.server_headers(
+        headers = self.gateway.codec.server_headers(
             head, self.send, exchange.last_event)
         if exchange.body or head.method != b"GET":
             headers.append((b"Content-Length",
@@ -59,54 +60,55 @@
         return head.method, head.target, headers, exchange.body
 
     def failed(self, failure, detail):
-        """The connection failed."""
+        """Report a failed connection."""
         self._report(OUTCOMES[failure], detail,
                      torn=failure is connections.Failure.BROKEN)
 
-    def took_head(self, status, headers):
-        """Judge an answer by its head."""
-        head = dialect.Head(headers, status=status)
-        verdict = self.gateway.dialect.judge(self.exchange.request, head)
-        if verdict in VOUCHED_FOR:
+    def head_received(self, status, headers):
+        """Classify an answer by its head."""
+        head = header_codec.Head(headers, status=status)
+        verdict = self.gateway.codec.classify(self.exchange.request, head)
+        if verdict in AUTHENTIC_VERDICTS:
             self.gateway.feed(events.HintsSeen(
                 self.exchange.key, self.turn,
-                self.gateway.dialect.hints(head)))
+                self.gateway.codec.hints(head)))
         match verdict:
-            case dialect.Verdict.NOT_RUN:
+            case header_codec.Verdict.NOT_RUN:
                 self._fail(model.Outcome.NOT_RUN, str(head.status))
-            case dialect.Verdict.MISDIRECTED:
+            case header_codec.Verdict.MISDIRECTED:
                 self._fail(model.Outcome.MISDIRECTED, str(head.status))
-            case dialect.Verdict.FOREIGN | dialect.Verdict.GARBLED:
+            case (header_codec.Verdict.WRONG_REQUEST
+                  | header_codec.Verdict.GARBLED):
                 self._fail(model.Outcome.GARBLED, verdict.value)
-            case dialect.Verdict.ANSWER:
+            case header_codec.Verdict.ANSWER:
                 self.head = head
                 if self.send.stream and head.status == 200:
-                    self.splitter = events_split.Splitter()
+                    self.splitter = event_stream.EventSplitter()
 
-    def took_data(self, data):
-        """Take a piece of the answer."""
+    def data_received(self, data):
+        """Process a piece of the answer."""
         if self.splitter is None:
-            self._collect(data)
+            self._collect_body(data)
             return
         try:
             found = self.splitter.feed(data)
         except ValueError as exc:
             self._fail(model.Outcome.GARBLED, str(exc))
             return
-        if found and self._are_next(found):
-            self._take_events(found)
+        if found and self._ids_increase(found):
+            self._handle_events(found)
 
-    def _collect(self, data):
+    def _collect_body(self, data):
         self.size += len(data)
-        if self.size > ANSWER_MOST:
+        if self.size > MAX_ANSWER_BYTES:
             self._fail(model.Outcome.GARBLED, "answer too large")
             return
         self.body.append(data)
 
-    def _are_next(self, found):
-        """Check that ids go on from the last one; a stream may resume."""
+    def _ids_increase(self, found):
+        """Check that event ids increase, also in a resumed stream."""
         for event in found:
-            number = events_split.event_id(event)
+            number = event_stream.event_id(event)
             if number is None:
                 continue
             if self.last_event is not None and number <= self.last_event:
@@ -115,15 +117,15 @@
             self.last_event = number
         return True
 
-    def _take_events(self, found):
+    def _handle_events(self, found):
         self.events += found
         if not self.opened:
             self.opened = True
             self.gateway.feed(events.Opened(
                 self.exchange.key, self.turn,
-                self.gateway.dialect.load(self.head)))
+                self.gateway.codec.load(self.head)))
             return
-        if self.passing:
+        if self.forwarding:
             self._flush()
         self.gateway.feed(events.Progressed(self.exchange.key, self.turn))
 
@@ -133,17 +135,17 @@
             self.exchange.last_event = self.last_event
             self.exchange.pass_on(data)
 
-    def took_end(self):
-        """Take the end of the answer."""
+    def end_received(self):
+        """Process the end of the answer."""
         if self.splitter is None:
             self.connection.close()
             self.gateway.feed(events.Answered(
                 self.exchange.key, self.turn, self.head.status,
-                self.gateway.dialect.load(self.head),
-                self.gateway.dialect.stamped(self.head)))
+                self.gateway.codec.load(self.head),
+                self.gateway.codec.stamped(self.head)))
             return
-        if self.splitter.rest or not self.opened:
-            self._fail(model.Outcome.GARBLED, "ends within an event")
+        if self.splitter.partial or not self.opened:
+            self._fail(model.Outcome.GARBLED, "stream ended within an event")
             return
         self.connection.close()
         self.gateway.feed(events.Ended(self.exchange.key, self.turn))
@@ -151,9 +153,9 @@
         self.gateway.forget(self.exchange)
 
     def pass_on(self):
-        """Let the caller have this answer, now and as it comes."""
-        self.passing = True
-        headers = self.gateway.dialect.answer_headers(self.head, True)
+        """Forward this answer to the caller, now and as it arrives."""
+        self.forwarding = True
+        headers = self.gateway.codec.answer_headers(self.head, True)
         if self.splitter is None:
             self.exchange.answer(self.head.status, headers,
                                  b"".join(self.body))
@@ -162,7 +164,7 @@
         self._flush()
 
     def cancel(self):
-        """End the attempt; its server notices the close."""
+        """End the attempt by aborting its connection."""
         self.connection.close()
 
     def _fail(self, outcome, detail):
@@ -174,9 +176,9 @@
             self.exchange.key, self.turn, outcome, detail, torn))
 
 
-def begin(gateway, exchange, send):
+def start_attempt(gateway, exchange, send):
     """Connect to the server of a Send effect; return the Attempt."""
     attempt = Attempt(gateway, exchange, send)
     attempt.connection = connections.connect(
-        gateway.reactor, send.server.address, attempt, CONNECT_S)
+        gateway.reactor, send.server.address, attempt, CONNECT_TIMEOUT_S)
     return attempt
--- a/crocuskeel/platform/__init__.py
+++ b/crocuskeel/platform/__init__.py
@@ -1,15 +1,15 @@
-"""The adapter to the platform: its settings, store and headers.
+"""Adapter to the platform: its settings file, store and headers.
 
-All names of the platform's wire stand here and nowhere else. They are
-decoded once into :mod:`crocuskeel.core.entry.model`.
+This package alone knows the names of the platform's protocols. It decodes
+them into the types of :mod:`crocuskeel.core.entry.model`.
 """
 
-from crocuskeel.platform.boot import Boot
-from crocuskeel.platform.boot import read_boot
-from crocuskeel.platform.exceptions import BadBoot
-from crocuskeel.platform.exceptions import BadObject
+from crocuskeel.platform.boot import BootSettings
+from crocuskeel.platform.boot import parse_boot_settings
+from crocuskeel.platform.exceptions import BootSettingsError
+from crocuskeel.platform.exceptions import InvalidObjectError
 from crocuskeel.platform.exceptions import PlatformError
-from crocuskeel.platform.headers import new_dialect
+from crocuskeel.platform.headers import new_header_codec
 
-__all__ = ["BadBoot", "BadObject", "Boot", "PlatformError", "new_dialect",
-           "read_boot"]
+__all__ = ["BootSettings", "BootSettingsError", "InvalidObjectError",
+           "PlatformError", "new_header_codec", "parse_boot_settings"]
--- a/crocuskeel/platform/assembly.py
+++ b/crocuskeel/platform/assembly.py
@@ -1,4 +1,4 @@
-"""Puts an entry host together on the platform."""
+"""Builds and starts an entry host on the platform."""
 
 import json
 import random
@@ -13,94 +13,99 @@
 from crocuskeel.gateway import loop
 from crocuskeel.gateway import metrics
 from crocuskeel.platform import duties
-from crocuskeel.platform import faces
-from crocuskeel.platform import following
+from crocuskeel.platform import endpoints
 from crocuskeel.platform import headers
 from crocuskeel.platform import reloading
 from crocuskeel.platform import store as stores
+from crocuskeel.platform import store_watcher
 from twisted.internet import defer
 
 __all__ = ["start"]
 
-# Reading a peer's snapshot: a configuration of some hundred kilobytes, s.
-SNAPSHOT_S = 1.0
-BACKLOG = 512
-# Where metrics are served, as the deploy file names it; below the ports
-# that the platform gives out.
+# Time limit for fetching a peer's snapshot, s: it holds a configuration of
+# some hundred kilobytes.
+SNAPSHOT_TIMEOUT_S = 1.0
+LISTEN_BACKLOG = 512
+# Port on which metrics are served; the deploy file names it too. It lies below
+# the port range that the platform assigns.
 METRICS_PORT = 9464
 
 
 def start(reactor, boot, path, log, on_exit, policy,
           statsd_address=None):
-    """Listen and follow the store; return (gateway, reloader).
+    """Listen and watch the store; return (gateway, reloader).
 
-    ``path`` is that of the settings file, which may change; ``policy``
-    says how engines are ordered; ``statsd_address`` is an (ip, port) that
-    metrics go to as well.
+    ``path`` is the path of the settings file, which may change; ``policy``
+    is the capacity policy; ``statsd_address`` is an (ip, port) that also
+    receives metrics.
     """
-    # The generator only breaks ties and spreads retries; hosts must not
-    # do so alike.
+    # Random numbers only break ties and spread retries, so each host needs
+    # a different seed.
     seed = f"{boot.host}:{random.SystemRandom().getrandbits(32)}"
     rng = random.Random(seed)
     host = entry.new_host(boot.settings, rng, policy)
-    counts = metrics.new_metrics(host, statsd_address)
+    host_metrics = metrics.new_metrics(host, statsd_address)
 
-    def note(event, fields):
-        counts.note(event, fields)
+    def log_and_count(event, fields):
+        host_metrics.count(event, fields)
         log(event, fields)
 
-    gateway = loop.new_gateway(reactor, host, headers.new_dialect(), note)
+    gateway = loop.new_gateway(
+        reactor, host, headers.new_header_codec(), log_and_count)
     store = stores.new_store(reactor, boot.store)
-    gateway.duties = duties.new_duties(reactor, gateway, store, boot)
-    follower = following.new_follower(reactor, gateway, store)
-    counts.show_unheard(follower.unheard_s)
-    _listen(reactor, boot, gateway, follower, counts)
-    gateway.fetch = _fetcher(reactor, gateway, follower)
+    gateway.duty_executor = duties.new_duty_executor(
+        reactor, gateway, store, boot)
+    watcher = store_watcher.new_watcher(reactor, gateway, store)
+    host_metrics.register_last_answer_age(watcher.last_answer_age_s)
+    _listen(reactor, boot, gateway, watcher, host_metrics)
+    gateway.fetch = _new_snapshot_fetcher(reactor, gateway, watcher)
     gateway.on_exit = on_exit
-    gateway.start(_me(boot, rng))
-    follower.start()
+    gateway.start(_own_peer(boot, rng))
+    watcher.start()
     _ask_seeds(boot, gateway)
     reloader = reloading.new_reloader(reactor, path, boot, gateway, store)
     reloader.start()
     return gateway, reloader
 
 
-def _me(boot, rng):
+def _own_peer(boot, rng):
     return model.Peer(
         boot.host, rng.getrandbits(32), boot.domain,
         f"{boot.front[0]}:{boot.front[1]}", boot.control, boot.gossip,
         boot.cores)
 
 
-def _listen(reactor, boot, gateway, follower, counts):
-    front = callers.new_listener(reactor, gateway)
-    port = reactor.listenTCP(boot.front[1], front, BACKLOG, boot.front[0])
-    face = faces.new_face(reactor, gateway, follower, counts)
+def _listen(reactor, boot, gateway, watcher, host_metrics):
+    caller_listener = callers.new_listener(reactor, gateway)
+    port = reactor.listenTCP(boot.front[1], caller_listener, LISTEN_BACKLOG,
+                             boot.front[0])
+    endpoint_listener = endpoints.new_endpoints(
+        reactor, gateway, watcher, host_metrics)
     for ip, number in {boot.ready, boot.directory, boot.control,
                        (boot.ip, METRICS_PORT)}:
-        reactor.listenTCP(number, face, BACKLOG, ip)
+        reactor.listenTCP(number, endpoint_listener, LISTEN_BACKLOG, ip)
     gateway.gossip = gossip.Gossip(gateway)
     reactor.listenUDP(boot.gossip[1], gateway.gossip, boot.gossip[0])
 
-    def retire():
+    def stop_accepting():
         port.stopListening()
-        front.close_idle()
+        caller_listener.close_idle()
 
-    gateway.on_retire = retire
+    gateway.on_retire = stop_accepting
 
 
-def _fetcher(reactor, gateway, follower):
+def _new_snapshot_fetcher(reactor, gateway, watcher):
     async def fetch(address, name):
         try:
             catalog = gateway.host.catalog
-            known = catalog.revision if catalog else 0
+            known_revision = catalog.revision if catalog else 0
             reply = await calls.call(
                 reactor, address, b"GET",
-                f"{faces.SNAPSHOT}?known={known}"
-                f"&servers={follower.revision}".encode(), SNAPSHOT_S)
+                f"{endpoints.SNAPSHOT_PATH}?known={known_revision}"
+                f"&servers={watcher.revision}".encode(), SNAPSHOT_TIMEOUT_S)
             if reply.status != 200:
                 return
-            follower.take_snapshot(json.loads(zlib.decompress(reply.body)))
+            watcher.apply_snapshot(json.loads(zlib.decompress(reply.body)))
         except (gateway_exceptions.CallFailed, ValueError, KeyError,
                 zlib.error) as exc:
             gateway.log("no_snapshot", {"peer": name, "why": str(exc)})
@@ -113,7 +118,7 @@
 
 
 def _ask_seeds(boot, gateway):
-    """Ask other hosts at once: the store may be away at a start."""
+    """Fetch snapshots from the seeds, as the store may be unreachable."""
     for seed in boot.seeds:
         if seed != boot.control:
             defer.Deferred.fromCoroutine(
--- a/crocuskeel/platform/boot.py
+++ b/crocuskeel/platform/boot.py
@@ -1,16 +1,16 @@
-"""The settings file that the platform gives a process: lines a.b=value."""
+"""Parser of the settings file from the platform: lines name=value."""
 
 import dataclasses
 
 from crocuskeel.core import entry
 from crocuskeel.platform import exceptions
 
-__all__ = ["Boot", "read_boot"]
+__all__ = ["BootSettings", "parse_boot_settings"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Boot:
-    """A process's addresses, as (ip, port), and its bounds."""
+class BootSettings:
+    """Addresses of a process, as (ip, port), and its limits."""
 
     host: str
     domain: str
@@ -21,7 +21,7 @@
     gossip: tuple
     ip: str
     store: tuple
-    # Where duties are reported and engines ordered; None without duties.
+    # Address for usage reports and engine orders; None without duties.
     cloud: tuple | None
     seeds: tuple
     cores: float
@@ -29,49 +29,53 @@
     settings: entry.Settings
 
 
-# Fields without which a process can't run.
-NEEDED = ("Node", "Zone", "Ip", "Listen.Front", "Listen.Ready",
-          "Listen.Control", "Listen.Dir", "PortRange", "Platform.Addr")
+# Fields that a process needs to start.
+REQUIRED_FIELDS = (
+    "Node", "Zone", "Ip", "Listen.Front", "Listen.Ready",
+    "Listen.Control", "Listen.Dir", "PortRange", "Platform.Addr")
 
 
-def read_boot(text):
-    """Return the Boot of a file's text; raises BadBoot with all faults."""
-    fields, faults = _fields(text)
-    faults += [f"{name}: missing; the platform sets it"
-               for name in NEEDED if name not in fields]
+def parse_boot_settings(text):
+    """Return the BootSettings that a file's text holds.
+
+    Raises BootSettingsError with all errors that were found.
+    """
+    fields, faults = _parse_fields(text)
+    faults += [f"{name}: required field is missing; the platform sets it"
+               for name in REQUIRED_FIELDS if name not in fields]
     if faults:
-        raise exceptions.BadBoot(faults)
-    reader = _Reader(fields)
-    boot = _boot(fields, reader)
+        raise exceptions.BootSettingsError(faults)
+    reader = _FieldReader(fields)
+    boot = _build(fields, reader)
     if reader.faults:
-        raise exceptions.BadBoot(reader.faults)
+        raise exceptions.BootSettingsError(reader.faults)
     return boot
 
 
-def _fields(text):
+def _parse_fields(text):
     fields = {}
     faults = []
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
         if not line or line.startswith("#"):
             continue
-        name, mark, value = line.partition("=")
-        if not mark:
-            faults.append(f"line {number}: not of the form name=value")
+        name, separator, value = line.partition("=")
+        if not separator:
+            faults.append(f"line {number}: expected name=value")
             continue
         fields[name.strip()] = value.strip()
     return fields, faults
 
 
-class _Reader:
-    """Reads values of fields and collects what is wrong with them."""
+class _FieldReader:
+    """Converts field values and collects the errors."""
 
     def __init__(self, fields):
         self.fields = fields
         self.faults = []
 
     def number(self, name, default):
-        """Return a number, or the default if the field isn't there."""
+        """Return the field as a number, or the default if it is missing."""
         text = self.fields.get(name, "")
         if not text:
             return default
@@ -82,31 +86,30 @@
             return default
 
     def address(self, name, text=None):
-        """Return (ip, port) of a field, or of a text out of it."""
+        """Return (ip, port) from the field, or from ``text`` if given."""
         text = self.fields.get(name, "") if text is None else text
         ip, _, port = text.rpartition(":")
         if not ip or not port.isdigit():
-            self.faults.append(f"{name}: {text!r} is not of the form "
-                               "IP:PORT")
+            self.faults.append(f"{name}: {text!r} is not IP:PORT")
             return ("", 0)
         return (ip, int(port))
 
     def ports(self, name):
-        """Return the ports of a field FIRST,LAST."""
+        """Return the first and last port of a range FIRST,LAST."""
         first, _, last = self.fields[name].partition(",")
         if not first.isdigit() or not last.isdigit():
-            self.faults.append(f"{name}: {self.fields[name]!r} is not of "
-                               "the form FIRST,LAST")
+            self.faults.append(f"{name}: {self.fields[name]!r} is not "
+                               "FIRST,LAST")
             return (0, 0)
         return (int(first), int(last))
 
 
-def _boot(fields, reader):
+def _build(fields, reader):
     ports = reader.ports("PortRange")
-    share = reader.number("Limits.CpuShare", 1.0)
+    cpu_share = reader.number("Limits.CpuShare", 1.0)
     cores = reader.number("Limits.Cores", 1.0)
     seeds = [text for text in fields.get("Seeds", "").split(",") if text]
-    return Boot(
+    return BootSettings(
         host=fields["Node"], domain=fields["Zone"],
         front=reader.address("Listen.Front"),
         ready=reader.address("Listen.Ready"),
@@ -114,21 +117,21 @@
         control=reader.address("Listen.Control"),
         gossip=(fields["Ip"], ports[0]), ip=fields["Ip"],
         store=reader.address("Platform.Addr"),
-        cloud=(reader.address("Cloud.Addr") if _duties(fields) else None),
+        cloud=(reader.address("Cloud.Addr") if _duty_names(fields) else None),
         seeds=tuple(reader.address("Seeds", seed) for seed in seeds),
-        # The platform's Cores says how many times as fast one is.
-        cores=share * cores,
+        # Limits.Cores is the speed of a core relative to a standard one.
+        cores=cpu_share * cores,
         memory_mb=int(reader.number("Limits.MemoryMb", 256)),
-        settings=_settings(reader, _duties(fields)))
+        settings=_entry_settings(reader, _duty_names(fields)))
 
 
-def _duties(fields):
-    """Return the duties that the platform asks of one host at a time."""
+def _duty_names(fields):
+    """Return the duties of which the platform wants one holder each."""
     names = fields.get("Cloud.Duties", "").split(",")
     return frozenset(name for name in names if name)
 
 
-def _settings(reader, duties):
+def _entry_settings(reader, duties):
     default = entry.Settings()
     return entry.Settings(
         grace_s=reader.number("Bounds.GraceS", default.grace_s),
--- a/crocuskeel/platform/duties.py
+++ b/crocuskeel/platform/duties.py
@@ -1,7 +1,7 @@
-"""Duties that one host holds at a time, in the platform's words.
+"""Carries out leader-only duties through the platform's interfaces.
 
-The lease is an object of the system's own kind in the store. Reports of
-usage and orders of engines are calls to another address.
+The lease is an object of a kind of our own in the store. Usage reports and
+engine orders are HTTP calls to a separate address.
 """
 
 import json
@@ -17,25 +17,26 @@
 from crocuskeel.platform import exceptions
 from twisted.internet import defer
 
-__all__ = ["new_duties"]
+__all__ = ["new_duty_executor"]
 
-LEASES = "crocuskeel-leases"
+LEASE_KIND = "crocuskeel-leases"
 LEASE_NAME = "duties"
-# A read or write of the lease that takes longer is given up, s: the next
-# renewal is due by then. The store answers in 4 ms, slow in some hundred.
-LEASE_CALL_S = 1.0
-# A duty's call that takes longer is made again, s.
-CALL_S = 1.0
+# Timeout of a read or write of the lease, s: the next renewal is due by then.
+# The store answers in 4 ms, and in some hundred milliseconds when it is slow.
+LEASE_TIMEOUT_S = 1.0
+# Timeout of a call of a duty, s; the call is repeated after it.
+CALL_TIMEOUT_S = 1.0
 OK = 200
 CONFLICT = 409
-# Sent with each call: who holds the duty, and the number of its lease.
-HOLDER = b"X-Crocuskeel-Duty-Holder"
-FENCE = b"X-Crocuskeel-Fence-Token"
+# Headers of each call: the host that holds the duty, and the fencing token of
+# its lease.
+HOLDER_HEADER = b"X-Crocuskeel-Duty-Holder"
+FENCE_HEADER = b"X-Crocuskeel-Fence-Token"
 Status = lease_events.Status
 
 
-class Duties:
-    """Carries out effects of the duties; ``address`` is (ip, port)."""
+class DutyExecutor:
+    """Executes effects of duties; ``address`` is (ip, port)."""
 
     def __init__(self, reactor, gateway, store, boot):
         self.reactor = reactor
@@ -45,36 +46,36 @@
         self.host_name = boot.host
 
     def __call__(self, effect):
-        """Begin to carry out an effect; its answer is fed as an event."""
-        perform = PERFORM[type(effect)]
+        """Start an effect; its result is fed to the gateway as an event."""
+        perform = EFFECT_HANDLERS[type(effect)]
         defer.Deferred.fromCoroutine(
-            perform(self, effect)).addErrback(self._died)
+            perform(self, effect)).addErrback(self._log_crash)
 
-    def _died(self, failure):
+    def _log_crash(self, failure):
         self.gateway.log("duty_died", {
             "why": failure.getErrorMessage(),
             "where": failure.getBriefTraceback()})
 
     async def read_lease(self, effect):
-        """Read the lease's object."""
+        """Read the lease from the store."""
         try:
-            found = await self.store.read(LEASES, LEASE_NAME)
+            found = await self.store.read(LEASE_KIND, LEASE_NAME)
         except exceptions.StoreError as exc:
             self.gateway.log("lease_not_read", {"why": str(exc)})
             event = lease_events.LeaseRead(Status.UNAVAILABLE)
         else:
-            event = _lease(found)
+            event = _lease_event(found)
         self.gateway.feed(event)
 
     async def write_lease(self, effect):
-        """Write the lease's object once, on its condition."""
+        """Write the lease once, if its version is still the expected one."""
         status, version = Status.WRITTEN, 0
         try:
             version = await self.store.write(
-                LEASES, LEASE_NAME, json.loads(effect.body),
-                effect.version, LEASE_CALL_S)
+                LEASE_KIND, LEASE_NAME, json.loads(effect.body),
+                effect.version, LEASE_TIMEOUT_S)
         except exceptions.StoreError as exc:
-            # Only an answer says that nothing was done.
+            # Without an answer the write may have taken effect.
             status = Status.UNAVAILABLE if exc.status else Status.UNKNOWN
             self.gateway.log("lease_not_written", {
                 "why": str(exc), "status": status.value})
@@ -84,23 +85,23 @@
             effect.nonce, effect.number, status, version))
 
     async def send(self, effect):
-        """Make a call of a duty, unless its lease has ended."""
+        """Make a call of a duty, unless its lease has expired."""
         outcome, detail = await self._call(effect)
         self.gateway.feed(
             events.DutyAnswered(effect.call, outcome, detail))
 
     async def _call(self, effect):
         path, body = ENCODERS[type(effect.call)](effect.call)
-        headers = [(HOLDER, self.host_name.encode()),
-                   (FENCE, b"%d" % effect.fence)]
-        left_s = effect.until - self.reactor.seconds()
-        if left_s <= 0 or self.address is None:
+        headers = [(HOLDER_HEADER, self.host_name.encode()),
+                   (FENCE_HEADER, b"%d" % effect.fence)]
+        remaining_s = effect.until - self.reactor.seconds()
+        if remaining_s <= 0 or self.address is None:
             return model.Outcome.FAILED, "not sent"
         try:
             reply = await calls.call(
                 self.reactor, self.address, b"POST", path,
-                min(CALL_S, left_s), json.dumps(body).encode(), headers,
-                effect.until)
+                min(CALL_TIMEOUT_S, remaining_s), json.dumps(body).encode(),
+                headers, effect.until)
         except gateway_exceptions.CallFailed as exc:
             return model.Outcome.FAILED, str(exc)
         if reply.status == CONFLICT and isinstance(
@@ -111,7 +112,7 @@
         return model.Outcome.DONE, ""
 
 
-def _lease(found):
+def _lease_event(found):
     if found is None:
         return lease_events.LeaseRead(Status.NOT_FOUND)
     return lease_events.LeaseRead(
@@ -119,11 +120,11 @@
         json.dumps(found.get("Spec")).encode())
 
 
-def _report(call):
+def _encode_report(call):
     return b"/usage", {"Window": call.window, "Counts": dict(call.counts)}
 
 
-def _order(call):
+def _encode_order(call):
     body = {"Service": call.service, "Zone": call.domain,
             "Desired": call.count}
     if call.spot:
@@ -131,15 +132,15 @@
     return b"/scale", body
 
 
-ENCODERS = {duties.Report: _report, duties.Order: _order}
+ENCODERS = {duties.Report: _encode_report, duties.Order: _encode_order}
 
-PERFORM = {
-    lease_effects.ReadLease: Duties.read_lease,
-    lease_effects.WriteLease: Duties.write_lease,
-    effects.SendDuty: Duties.send,
+EFFECT_HANDLERS = {
+    lease_effects.ReadLease: DutyExecutor.read_lease,
+    lease_effects.WriteLease: DutyExecutor.write_lease,
+    effects.SendDuty: DutyExecutor.send,
 }
 
 
-def new_duties(reactor, gateway, store, boot):
-    """Return what carries out duties, by the settings of a process."""
-    return Duties(reactor, gateway, store, boot)
+def new_duty_executor(reactor, gateway, store, boot):
+    """Return a DutyExecutor for the settings of a process."""
+    return DutyExecutor(reactor, gateway, store, boot)
--- a/crocuskeel/platform/exceptions.py
+++ b/crocuskeel/platform/exceptions.py
@@ -1,26 +1,27 @@
-"""Errors of the adapter."""
+"""Errors of the platform adapter."""
 
-__all__ = ["BadBoot", "BadObject", "PlatformError", "StoreError"]
+__all__ = ["BootSettingsError", "InvalidObjectError", "PlatformError",
+           "StoreError"]
 
 
 class PlatformError(Exception):
-    """Base of the adapter's errors."""
+    """Base class of the errors of the platform adapter."""
 
 
-class BadBoot(PlatformError):
-    """The settings file can't be used; ``faults`` lists every reason."""
+class BootSettingsError(PlatformError):
+    """The settings file is invalid; ``faults`` lists every error."""
 
     def __init__(self, faults):
         super().__init__("; ".join(faults))
         self.faults = tuple(faults)
 
 
-class BadObject(PlatformError):
-    """An object of the store is not of the expected form."""
+class InvalidObjectError(PlatformError):
+    """An object of the store does not have the expected fields."""
 
 
 class StoreError(PlatformError):
-    """The store did not answer as asked; ``status`` is 0 without one."""
+    """A call to the store failed; ``status`` is 0 without an answer."""
 
     def __init__(self, status, why):
         super().__init__(f"{why} ({status})" if status else why)
--- a/crocuskeel/platform/headers.py
+++ b/crocuskeel/platform/headers.py
@@ -1,68 +1,69 @@
-"""Headers of callers and backend servers, decoded once."""
+"""Decodes and writes headers of callers and backend servers."""
 
 import hashlib
 import math
 
 from crocuskeel.core.entry import model
-from crocuskeel.gateway import dialect
+from crocuskeel.gateway import header_codec
 
-__all__ = ["new_dialect"]
+__all__ = ["new_header_codec"]
 
-RID = b"X-Crocuskeel-Request-Id"
+REQUEST_ID = b"X-Crocuskeel-Request-Id"
 DEADLINE = b"X-Crocuskeel-Deadline-Ms"
 EXPECT_SERVER = b"X-Crocuskeel-Expect-Instance"
 WORKSPACE = b"X-Crocuskeel-Tenant"
 PRIORITY = b"X-Crocuskeel-Req-Priority"
-STAMP = b"X-Crocuskeel-Server-Stamp"
+SERVER_STAMP = b"X-Crocuskeel-Server-Stamp"
 LAST_EVENT = b"Last-Event-Id"
-# Where the engine gets what another one holds of the prompt.
-FETCH = b"Kv-Fetch"
+# Address of the engine that holds the KV cache of a part of the prompt.
+KV_FETCH = b"Kv-Fetch"
 
-_RID = RID.lower()
-_STAMP = STAMP.lower()
+_REQUEST_ID = REQUEST_ID.lower()
+_SERVER_STAMP = SERVER_STAMP.lower()
 _NOT_RUN = b"x-crocuskeel-not-run"
 _LOAD = b"x-crocuskeel-server-load"
-# Requests a second that the engine takes from all hosts together.
+# Requests per second that the engine accepts from all hosts together.
 _RATE_LIMIT = b"server-limit"
-# "1" in all answers of an engine that leaves.
+# "1" in all answers of an engine that is shutting down.
 _LEAVING = b"server-leaving"
-# In a refusal: the engine wants nothing from this host for so many s.
-_REST = b"retry-after"
+# In a refusal: seconds for which the engine wants no request of this host.
+_RETRY_AFTER = b"retry-after"
 _TOKENS = b"x-crocuskeel-token-count"
-# Parts of the prompt with their tokens; the name says hash.
+# Parts of the prompt and their tokens, as name:tokens. The header's name says
+# hash, as the names are hashes.
 _PARTS = b"x-crocuskeel-prefix-hash"
 
-# Headers that concern one connection only (RFC 9110, 7.6.1), and framing,
-# which each connection does anew.
-HOP = frozenset((
+# Hop-by-hop headers (RFC 9110, 7.6.1), and those of the framing, which each
+# connection sets itself.
+HOP_BY_HOP = frozenset((
     b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer",
     b"transfer-encoding", b"upgrade", b"content-length", b"expect",
     b"proxy-authenticate", b"proxy-authorization"))
-# What only this system may tell a server: a caller that sets one of
-# these would choose its server, its rank, or another's memory.
-OURS = frozenset((
+# Headers that only this system may send to a server: a caller that sets one
+# could choose its server, its priority, or another caller's cached data.
+RESERVED = frozenset((
     b"authorization", DEADLINE.lower(), EXPECT_SERVER.lower(),
     WORKSPACE.lower(), PRIORITY.lower(), b"x-crocuskeel-expect-version",
     b"x-crocuskeel-pin-ms", b"x-crocuskeel-hold",
-    b"x-crocuskeel-kv-backup", FETCH.lower(), b"kv-from"))
+    b"x-crocuskeel-kv-backup", KV_FETCH.lower(), b"kv-from"))
 
 MISDIRECTED = 421
 REFUSALS = (429, 503)
-URGENCY_LEAST = 9
+MAX_PRIORITY = 9
 
 
-def new_dialect():
-    """Return the platform's Dialect."""
-    return dialect.Dialect(
+def new_header_codec():
+    """Return the platform's HeaderCodec."""
+    return header_codec.HeaderCodec(
         read_request=_read_request, server_headers=_server_headers,
-        judge=_judge, load=_load, hints=_hints, stamped=_stamped,
-        answer_headers=_answer_headers)
+        classify=_classify, load=_server_load, hints=_server_hints,
+        stamped=_is_stamped, answer_headers=_answer_headers)
 
 
 def _read_request(head, body):
     host = (head.get(b"host") or b"").decode("latin-1")
     return model.Request(
-        rid=(head.get(_RID) or b"").decode("latin-1"),
+        rid=(head.get(_REQUEST_ID) or b"").decode("latin-1"),
         method=head.method.decode("latin-1"),
         host=host.partition(":")[0].lower(),
         path=head.target.decode("latin-1"),
@@ -94,10 +95,10 @@
         return None
     parts = (head.get(_PARTS) or b"").decode("latin-1")
     return model.Prompt(
-        tuple(_parts(parts)), int(counts[0]), int(counts[1]))
+        tuple(_parse_parts(parts)), int(counts[0]), int(counts[1]))
 
 
-def _parts(text):
+def _parse_parts(text):
     for row in text.split(","):
         name, _, tokens = row.strip().partition(":")
         if name and tokens.isdigit():
@@ -105,7 +106,7 @@
 
 
 def _digest(head, body):
-    """Return what a request that crashes servers is known by."""
+    """Return the digest that identifies requests that crash servers."""
     digest = hashlib.blake2b(digest_size=8)
     for part in (head.method, head.target,
                  head.get(b"authorization") or b"", body):
@@ -114,19 +115,19 @@
     return digest.hexdigest()
 
 
-def _kept(head, left_out):
-    named = (head.get(b"connection") or b"").lower().split(b",")
-    listed = {name.strip() for name in named}
+def _filter_headers(head, excluded):
+    connection_header = (head.get(b"connection") or b"").lower().split(b",")
+    hop_by_hop = {name.strip() for name in connection_header}
     return [(name, value) for name, value in head.headers
-            if name.lower() not in left_out
-            and name.lower() not in listed]
+            if name.lower() not in excluded
+            and name.lower() not in hop_by_hop]
 
 
 def _server_headers(head, send, last_event):
-    left_out = HOP | OURS
+    excluded = HOP_BY_HOP | RESERVED
     if send.resume and last_event is not None:
-        left_out = left_out | {LAST_EVENT.lower()}
-    headers = _kept(head, left_out)
+        excluded = excluded | {LAST_EVENT.lower()}
+    headers = _filter_headers(head, excluded)
     if send.resume and last_event is not None:
         headers.append((LAST_EVENT, b"%d" % last_event))
     headers.append((DEADLINE, b"%d" % int(send.budget_s * 1000)))
@@ -134,32 +135,32 @@
     if send.workspace:
         headers.append((WORKSPACE, send.workspace.encode()))
     if send.fetch_from is not None:
-        headers.append((FETCH, "{}:{}".format(*send.fetch_from).encode()))
-    urgency = min(URGENCY_LEAST, max(0, send.priority))
-    headers.append((PRIORITY, b"%d" % urgency))
+        headers.append((KV_FETCH, "{}:{}".format(*send.fetch_from).encode()))
+    priority = min(MAX_PRIORITY, max(0, send.priority))
+    headers.append((PRIORITY, b"%d" % priority))
     return headers
 
 
-def _judge(request, head):
+def _classify(request, head):
     if head.get(_NOT_RUN) is not None:
-        return dialect.Verdict.NOT_RUN
+        return header_codec.Verdict.NOT_RUN
     if head.status == MISDIRECTED:
-        return dialect.Verdict.MISDIRECTED
-    rid = head.get(_RID)
+        return header_codec.Verdict.MISDIRECTED
+    rid = head.get(_REQUEST_ID)
     if rid is not None and rid.decode("latin-1") != request.rid:
-        return dialect.Verdict.FOREIGN
+        return header_codec.Verdict.WRONG_REQUEST
     if head.get(b"content-encoding") is not None:
-        return dialect.Verdict.GARBLED
-    if head.status < 300 and (rid is None or not _stamped(head)):
-        return dialect.Verdict.GARBLED
-    return dialect.Verdict.ANSWER
+        return header_codec.Verdict.GARBLED
+    if head.status < 300 and (rid is None or not _is_stamped(head)):
+        return header_codec.Verdict.GARBLED
+    return header_codec.Verdict.ANSWER
 
 
-def _stamped(head):
-    return head.get(_STAMP) is not None
+def _is_stamped(head):
+    return head.get(_SERVER_STAMP) is not None
 
 
-def _load(head):
+def _server_load(head):
     text = (head.get(_LOAD) or b"").decode("latin-1")
     counts = [part.strip() for part in text.split(",")]
     if len(counts) != 3 or not all(map(str.isdigit, counts)):
@@ -167,16 +168,16 @@
     return tuple(map(int, counts))
 
 
-def _hints(head):
+def _server_hints(head):
     rest_s = None
     if head.status in REFUSALS:
-        rest_s = _number(head.get(_REST))
+        rest_s = _number(head.get(_RETRY_AFTER))
     return model.Hints(_number(head.get(_RATE_LIMIT)),
                        (head.get(_LEAVING) or b"").strip() == b"1", rest_s)
 
 
 def _number(value):
-    """Return a header's number, None if it is no finite one from zero."""
+    """Return a header's value as a finite number >= 0, or None."""
     try:
         number = float(value or b"")
     except ValueError:
@@ -185,5 +186,5 @@
 
 
 def _answer_headers(head, keep_stamp):
-    left_out = HOP if keep_stamp else HOP | {_STAMP}
-    return _kept(head, left_out)
+    excluded = HOP_BY_HOP if keep_stamp else HOP_BY_HOP | {_SERVER_STAMP}
+    return _filter_headers(head, excluded)
--- a/crocuskeel/platform/objects.py
+++ b/crocuskeel/platform/objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store, decoded into the core's types."""
+"""Decodes objects of the platform's store into the core's types."""
 
 import ipaddress
 
@@ -10,30 +10,31 @@
 
 READY = "ready"
 DRAINING = "draining"
-# Counts fit the store's 64 bits; ports fit 16.
-COUNT_MOST = 2 ** 63 - 1
-PORT_MOST = 65535
-PORT_DIGITS = 5
-# A host that started again is at the same address: its entry is written
-# once, and its datagrams tell which boot it is.
+# Counts fit the 64-bit integers of the store, ports 16 bits.
+MAX_COUNT = 2 ** 63 - 1
+MAX_PORT = 65535
+MAX_PORT_DIGITS = 5
+# A host that restarts keeps its address and its entry, which is written once;
+# the boot number comes with its datagrams.
 UNKNOWN_BOOT = 0
 
 
 def name(obj):
-    """Return an object's name; raises BadObject if it has none."""
+    """Return an object's name; raises InvalidObjectError if it has none."""
     try:
         found = obj["Meta"]["Name"]
     except (KeyError, TypeError) as exc:
-        raise exceptions.BadObject(f"no name: {exc!r}") from exc
+        raise exceptions.InvalidObjectError(
+            f"object has no name: {exc!r}") from exc
     if not _is_text(found):
-        raise exceptions.BadObject("no name")
+        raise exceptions.InvalidObjectError("object has no name")
     return found
 
 
 def catalog(obj):
-    """Return the Catalog of the configuration's object.
+    """Return the Catalog that the configuration's object holds.
 
-    Raises BadObject if it is not of the expected form.
+    Raises InvalidObjectError if fields are missing or invalid.
     """
     try:
         spec = obj["Spec"]
@@ -45,7 +46,8 @@
             api_keys=_api_keys(spec.get("Tenants")),
             limits=_limits(spec.get("Limits") or {}))
     except (AttributeError, KeyError, TypeError, ValueError) as exc:
-        raise exceptions.BadObject(f"configuration: {exc!r}") from exc
+        raise exceptions.InvalidObjectError(
+            f"invalid configuration: {exc!r}") from exc
 
 
 def _routes(rows):
@@ -76,9 +78,9 @@
 
 
 def service(row):
-    """Return the Service that a row of the configuration names.
+    """Return the Service of a row of the configuration.
 
-    Raises KeyError, TypeError or ValueError if it names none.
+    Raises KeyError, TypeError or ValueError if the row is invalid.
     """
     engine = row.get("Engine")
     if engine:
@@ -94,12 +96,12 @@
     return model.Scaling(
         least=row["Min"], most=row["Max"], boot_s=row["BootTimeoutS"],
         prices=dict(row.get("ZonePrices") or {}),
-        # Not there, or 0: no engines that may be taken back.
+        # Missing or 0: the service has no spot engines.
         spot_price=row.get("SpotPrice") or None)
 
 
 def _fetch_token_s(row):
-    """Return the time to send what an engine holds of a token, s."""
+    """Return the time to send the KV cache of a token, s."""
     size = row.get("KvBytes") or 0
     speed = row.get("LinkMbps") or 0
     return size * 8 / (speed * 1e6) if speed else 0.0
@@ -124,22 +126,24 @@
 
 
 def server(obj):
-    """Return the Server of a registered backend server's entry.
+    """Return the Server that an entry of the store describes.
 
-    Raises BadObject if a field is missing or of another type: another
-    writer's entry names no server to use.
+    Raises InvalidObjectError if a field is missing or has another type; other
+    programs write entries too.
     """
     sid = name(obj)
-    # A server writes its entry itself; which of the two halves of an
-    # object holds it is not said.
+    # Servers write their own entries; the protocol doesn't say whether the
+    # fields are in Spec or in Status.
     spec = obj.get("Spec") or obj.get("Status")
     if not isinstance(spec, dict):
-        raise exceptions.BadObject(f"server {sid}: no fields")
-    for field, is_good in SERVER_FIELDS.items():
-        if not is_good(spec.get(field)):
-            raise exceptions.BadObject(f"server {sid}: {field}")
+        raise exceptions.InvalidObjectError(
+            f"server {sid}: neither Spec nor Status")
+    for field, is_valid in SERVER_FIELDS.items():
+        if not is_valid(spec.get(field)):
+            raise exceptions.InvalidObjectError(
+                f"server {sid}: invalid {field}")
     if "born" in spec and not _is_count(spec["born"]):
-        raise exceptions.BadObject(f"server {sid}: born")
+        raise exceptions.InvalidObjectError(f"server {sid}: invalid born")
     ip, _, port = spec["Addr"].rpartition(":")
     return model.Server(
         sid=sid, service=spec["Service"], address=(ip, int(port)),
@@ -156,16 +160,16 @@
 
 def _is_count(value):
     return (isinstance(value, int) and not isinstance(value, bool)
-            and 0 <= value <= COUNT_MOST)
+            and 0 <= value <= MAX_COUNT)
 
 
-def _is_slots(value):
+def _is_positive_count(value):
     return _is_count(value) and value > 0
 
 
-def _is_span(value):
+def _is_non_negative(value):
     return _is_count(value) or (
-        isinstance(value, float) and 0 <= value <= COUNT_MOST)
+        isinstance(value, float) and 0 <= value <= MAX_COUNT)
 
 
 def _is_state(value):
@@ -180,27 +184,27 @@
         ipaddress.IPv4Address(ip)
     except ValueError:
         return False
-    return (port.isascii() and port.isdigit() and len(port) <= PORT_DIGITS
-            and 0 < int(port) <= PORT_MOST)
+    return (port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
+            and 0 < int(port) <= MAX_PORT)
 
 
-# Fields that each entry has.
+# Required fields of an entry, with their checks.
 SERVER_FIELDS = {
     "Service": _is_text, "Addr": _is_address, "Zone": _is_text,
-    "Version": _is_text, "Slots": _is_slots, "State": _is_state,
-    "ColdLeftMs": _is_span, "Seq": _is_count,
+    "Version": _is_text, "Slots": _is_positive_count, "State": _is_state,
+    "ColdLeftMs": _is_non_negative, "Seq": _is_count,
 }
 
 
 def peer_spec(me):
-    """Return what a host registers of itself in the store."""
+    """Return the entry that a host writes to the store."""
     return {"Zone": me.domain, "Front": me.front,
             "Control": list(me.control), "Gossip": list(me.gossip),
             "Cores": me.capacity}
 
 
 def peer(obj):
-    """Return the Peer that a host registered; raises BadObject."""
+    """Return the Peer of a host's entry; raises InvalidObjectError."""
     try:
         spec = obj["Spec"]
         _check_peer(spec)
@@ -208,14 +212,15 @@
             name(obj), UNKNOWN_BOOT, spec["Zone"], spec["Front"],
             tuple(spec["Control"]), tuple(spec["Gossip"]), spec["Cores"])
     except (KeyError, TypeError, ValueError) as exc:
-        raise exceptions.BadObject(f"host: {exc!r}") from exc
+        raise exceptions.InvalidObjectError(
+            f"invalid host entry: {exc!r}") from exc
 
 
 def _check_peer(spec):
-    """Raise ValueError unless a host's entry is one that a host wrote."""
+    """Raise ValueError unless the fields of a host's entry are valid."""
     if not (_is_text(spec["Zone"]) and _is_text(spec["Front"])
-            and _is_span(spec["Cores"])):
-        raise ValueError("zone, front or cores")
+            and _is_non_negative(spec["Cores"])):
+        raise ValueError("invalid Zone, Front or Cores")
     for ip, port in (spec["Control"], spec["Gossip"]):
-        if not (_is_text(ip) and _is_count(port) and port <= PORT_MOST):
-            raise ValueError("address")
+        if not (_is_text(ip) and _is_count(port) and port <= MAX_PORT):
+            raise ValueError("invalid address")
--- a/crocuskeel/platform/reloading.py
+++ b/crocuskeel/platform/reloading.py
@@ -1,23 +1,24 @@
-"""Takes a settings file that changed, with a signal or without one."""
+"""Reloads the settings file, on a signal and when it changes."""
 
 import dataclasses
 
 from crocuskeel.core.entry import events
-from crocuskeel.platform import boot as boots
+from crocuskeel.platform import boot as boot_settings
 from crocuskeel.platform import exceptions
 
 __all__ = ["Reloader", "new_reloader"]
 
-# The file may change without a signal; it is looked at this often, s.
+# How often the file is checked for changes that no signal announced, s.
 # Reading 60 lines takes some 0.1 ms.
-LOOK_S = 5.0
-# What takes effect while the process runs; all else is for its next
-# start: it listens, and is known to other hosts, as it began.
-LIVE = ("settings", "store", "cloud")
+POLL_INTERVAL_S = 5.0
+# Settings that take effect while the process runs. All others wait for the
+# next start, as the process already listens on its addresses and other hosts
+# know it by them.
+RELOADABLE = ("settings", "store", "cloud")
 
 
 class Reloader:
-    """Holds the settings in force and compares them with the file.
+    """Holds the active settings and compares them with the file.
 
     ``read()`` returns the file's text or raises OSError.
     """
@@ -28,47 +29,47 @@
         self.boot = boot
         self.gateway = gateway
         self.store = store
-        self.refused = ()
+        self.rejected = ()
 
     def start(self):
-        """Begin to look at the file."""
-        self.reactor.callLater(LOOK_S, self._look)
+        """Start to check the file periodically."""
+        self.reactor.callLater(POLL_INTERVAL_S, self._poll)
 
-    def _look(self):
-        self.reactor.callLater(LOOK_S, self._look)
-        self.reload(asked=False)
+    def _poll(self):
+        self.reactor.callLater(POLL_INTERVAL_S, self._poll)
+        self.reload(is_requested=False)
 
-    def reload(self, asked=True):
-        """Take the file; keep what holds if it can't be used."""
+    def reload(self, is_requested=True):
+        """Apply the file; keep the active settings if it is invalid."""
         try:
-            found = boots.read_boot(self.read())
-        except (OSError, exceptions.BadBoot) as exc:
-            self._refuse(exc, asked)
+            new_settings = boot_settings.parse_boot_settings(self.read())
+        except (OSError, exceptions.BootSettingsError) as exc:
+            self._reject(exc, is_requested)
             return
-        self.refused = ()
-        changed = [field.name for field in dataclasses.fields(found)
-                   if getattr(found, field.name)
+        self.rejected = ()
+        changed = [field.name for field in dataclasses.fields(new_settings)
+                   if getattr(new_settings, field.name)
                    != getattr(self.boot, field.name)]
-        if not changed and not asked:
+        if not changed and not is_requested:
             return
-        self._take(found)
+        self._apply(new_settings)
         self.gateway.log("reload", {
-            "changed": [name for name in changed if name in LIVE],
+            "changed": [name for name in changed if name in RELOADABLE],
             "at_next_start": [name for name in changed
-                              if name not in LIVE]})
+                              if name not in RELOADABLE]})
 
-    def _refuse(self, exc, asked):
+    def _reject(self, exc, is_requested):
         faults = getattr(exc, "faults", (str(exc),))
-        if asked or faults != self.refused:
-            self.refused = faults
+        if is_requested or faults != self.rejected:
+            self.rejected = faults
             self.gateway.log("reload_refused", {"faults": faults})
 
-    def _take(self, found):
-        self.boot = found
-        self.store.address = found.store
-        if self.gateway.duties is not None:
-            self.gateway.duties.address = found.cloud
-        self.gateway.feed(events.SettingsSeen(found.settings))
+    def _apply(self, new_settings):
+        self.boot = new_settings
+        self.store.address = new_settings.store
+        if self.gateway.duty_executor is not None:
+            self.gateway.duty_executor.address = new_settings.cloud
+        self.gateway.feed(events.SettingsSeen(new_settings.settings))
 
 
 def new_reloader(reactor, path, boot, gateway, store):
--- a/crocuskeel/platform/store.py
+++ b/crocuskeel/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store."""
+"""HTTP client of the platform's store."""
 
 import dataclasses
 import json
@@ -11,16 +11,17 @@
 __all__ = ["Changes", "Listing", "Store", "new_store"]
 
 PATH = "/crocuskeel/objects/"
-# The store answers in 4 ms, when slow in some hundred, s.
-CALL_S = 2.0
-# A watch that has not ended by itself this much later is dead, s.
-LATE_S = 0.7
-PAGES_MOST = 1000
+# Timeout of a call, s. The store answers in 4 ms, and in some hundred
+# milliseconds when it is slow.
+CALL_TIMEOUT_S = 2.0
+# A watch that has not returned this long after its own timeout is dead, s.
+WATCH_GRACE_S = 0.7
+MAX_PAGES = 1000
 OK = 200
 CREATED = 201
 CONFLICT = 409
 GONE = 410
-MISSING = 404
+NOT_FOUND = 404
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -33,42 +34,42 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Changed objects as (object, removed), up to a revision."""
+    """Changes as (object, is removed), up to a revision."""
 
     rows: tuple
     revision: int
 
 
 class Store:
-    """Calls to the store. ``counts`` of calls by name, for metrics."""
+    """Makes calls to the store; ``call_counts`` holds their number by name."""
 
     def __init__(self, reactor, address):
         self.reactor = reactor
         self.address = address
-        self.counts = {}
+        self.call_counts = {}
 
     async def list(self, kind):
         """Return the Listing of a kind; raises StoreError."""
         items = []
         after = ""
-        for _ in range(PAGES_MOST):
+        for _ in range(MAX_PAGES):
             page = await self._get("list", kind, after)
-            items += _rows(page, "Items")
+            items += _list_field(page, "Items")
             if not page.get("More"):
                 break
-            after = f"?AfterRev={_quote(_last_name(items))}"
+            after = f"?AfterRev={_quote(_last_readable_name(items))}"
         return Listing(tuple(items), page["AsOf"])
 
-    async def watch(self, kind, revision, span_s):
-        """Wait for changes after a revision, ``span_s`` at most.
+    async def watch(self, kind, revision, wait_s):
+        """Wait for changes after a revision, ``wait_s`` at most.
 
         Returns Changes. Raises StoreError; its status is 410 if the
-        history is gone.
+        store no longer keeps the changes after ``revision``.
         """
-        query = f"?Watch={revision}&WaitMs={int(span_s * 1000)}"
-        page = await self._get("watch", kind, query, span_s + LATE_S)
+        query = f"?Watch={revision}&WaitMs={int(wait_s * 1000)}"
+        page = await self._get("watch", kind, query, wait_s + WATCH_GRACE_S)
         rows = tuple((row["Object"], bool(row.get("Removed")))
-                     for row in _rows(page, "events")
+                     for row in _list_field(page, "events")
                      if isinstance(row, dict) and "Object" in row)
         return Changes(rows, page["AsOf"])
 
@@ -79,15 +80,16 @@
         """
         reply = await self._call("read", b"GET", f"{kind}/{_quote(name)}",
                                  None)
-        if reply.status == MISSING:
+        if reply.status == NOT_FOUND:
             return None
         return _object(reply, "read")
 
-    async def write(self, kind, name, spec, revision, timeout_s=CALL_S):
-        """Replace an object of this revision; 0: create it.
+    async def write(self, kind, name, spec, revision,
+                    timeout_s=CALL_TIMEOUT_S):
+        """Replace an object of this revision, or create it if that is 0.
 
         Returns the new revision, or None if the object has another one or
-        is there already. Raises StoreError; its status is 0 if the write
+        already exists. Raises StoreError; its status is 0 if the write
         may have taken effect, or may do so later.
         """
         meta = {"Name": name}
@@ -98,84 +100,86 @@
             method, target = b"POST", kind
         reply = await self._call("write", method, target,
                                  {"Meta": meta, "Spec": spec}, timeout_s)
-        if reply.status in (CONFLICT, MISSING):
+        if reply.status in (CONFLICT, NOT_FOUND):
             return None
         return _object(reply, "write")["Meta"]["Rev"]
 
     async def put(self, kind, name, spec):
         """Create an object or replace its content; raises StoreError.
 
-        One that has this content already is left as it is: each call is
+        An object with this content is left unchanged, as each call is
         billed.
         """
         body = {"Meta": {"Name": name}, "Spec": spec}
         reply = await self._call("create", b"POST", kind, body)
-        if reply.status == CONFLICT and not _holds(reply.body, spec):
+        if reply.status == CONFLICT and not _has_spec(reply.body, spec):
             reply = await self._call(
                 "put", b"PUT", f"{kind}/{_quote(name)}", body)
         elif reply.status == CONFLICT:
             return
         if reply.status not in (OK, CREATED):
-            raise exceptions.StoreError(reply.status, "not written")
+            raise exceptions.StoreError(
+                reply.status, "store rejected the write")
 
-    async def _get(self, what, kind, query, timeout_s=CALL_S):
-        reply = await self._call(what, b"GET", kind + query, None,
+    async def _get(self, operation, kind, query, timeout_s=CALL_TIMEOUT_S):
+        reply = await self._call(operation, b"GET", kind + query, None,
                                  timeout_s)
         if reply.status != OK:
-            raise exceptions.StoreError(reply.status, f"{what} {kind}")
+            raise exceptions.StoreError(reply.status, f"{operation} {kind}")
         try:
-            # One object's bytes that are no text must not hide the others.
+            # Invalid UTF-8 in one object must not hide the others.
             page = json.loads(reply.body.decode("utf-8", "replace"))
             page["AsOf"] + 0
         except (ValueError, KeyError, TypeError, RecursionError) as exc:
             raise exceptions.StoreError(
-                0, f"{what} {kind}: {exc!r}") from exc
+                0, f"{operation} {kind}: {exc!r}") from exc
         return page
 
-    async def _call(self, what, method, target, body, timeout_s=CALL_S):
-        self.counts[what] = self.counts.get(what, 0) + 1
+    async def _call(self, operation, method, target, body,
+                    timeout_s=CALL_TIMEOUT_S):
+        self.call_counts[operation] = self.call_counts.get(operation, 0) + 1
         data = json.dumps(body).encode() if body is not None else b""
         try:
             return await calls.call(
                 self.reactor, self.address, method,
                 (PATH + target).encode(), timeout_s, data)
         except gateway_exceptions.CallFailed as exc:
-            raise exceptions.StoreError(0, f"{what}: {exc}") from exc
+            raise exceptions.StoreError(0, f"{operation}: {exc}") from exc
 
 
-def _object(reply, what):
+def _object(reply, operation):
     """Return the object in an answer; raises StoreError."""
     if reply.status not in (OK, CREATED):
-        raise exceptions.StoreError(reply.status, what)
+        raise exceptions.StoreError(reply.status, operation)
     try:
         found = json.loads(reply.body)
         found["Meta"]["Rev"] + 0
     except (ValueError, KeyError, TypeError) as exc:
-        raise exceptions.StoreError(0, f"{what}: {exc!r}") from exc
+        raise exceptions.StoreError(0, f"{operation}: {exc!r}") from exc
     return found
 
 
-def _rows(page, field):
+def _list_field(page, field):
     rows = page.get(field)
     return rows if isinstance(rows, list) else []
 
 
-def _last_name(items):
-    """Return the name to go on after; raises StoreError without any.
+def _last_readable_name(items):
+    """Return the name to continue the list after; raises StoreError.
 
-    The store continues after a name, also after one that its entry
-    doesn't show rightly: the last that can be read is taken.
+    The store continues after any name, so the last readable one of the page
+    is used.
     """
     for obj in reversed(items):
         try:
             return obj["Meta"]["Name"] + ""
         except (KeyError, TypeError):
             continue
-    raise exceptions.StoreError(0, "list: a page without a name")
+    raise exceptions.StoreError(0, "list: no object of the page has a name")
 
 
-def _holds(body, spec):
-    """Say whether the object in an answer has this content."""
+def _has_spec(body, spec):
+    """Return whether the object in an answer has this content."""
     try:
         return json.loads(body)["Spec"] == spec
     except (ValueError, KeyError, TypeError):
--- a/crocuskeel/programs/entry.py
+++ b/crocuskeel/programs/entry.py
@@ -8,7 +8,7 @@
 import time
 
 from crocuskeel.core.duties import capacity
-from crocuskeel.platform import boot as boots
+from crocuskeel.platform import boot as boot_settings
 from crocuskeel.platform import exceptions
 from crocuskeel.programs import policy
 
@@ -30,10 +30,10 @@
         help="the platform's settings file")
     parser.add_argument(
         "--statsd", metavar="IP:PORT", type=_address,
-        help="send metrics there, too (by UDP)")
+        help="also send metrics to this statsd server (by UDP)")
     parser.add_argument(
         "--capacity", metavar="FILE",
-        help="how engines are ordered, JSON with comments")
+        help="capacity policy, JSON with comments")
     parser.add_argument(
         "--check", action="store_true",
         help="check the settings files and exit")
@@ -50,37 +50,37 @@
 def main(argv=None):
     """Run until stopped; return the exit code."""
     args = new_parser().parse_args(argv)
-    boot = _read(args.settings, boots.read_boot)
+    boot = _read_file(args.settings, boot_settings.parse_boot_settings)
     if boot is None:
         return EXIT_SETTINGS
-    how = capacity.Policy()
+    capacity_policy = capacity.Policy()
     if args.capacity is not None:
-        how = _read(args.capacity, policy.read_policy)
-    if how is None:
+        capacity_policy = _read_file(args.capacity, policy.parse_policy)
+    if capacity_policy is None:
         return EXIT_SETTINGS
     if args.check:
         print(f"{args.settings}: good")
         return 0
-    return _run(boot, args.settings, how, args.statsd)
+    return _run(boot, args.settings, capacity_policy, args.statsd)
 
 
-def _read(path, read):
-    """Return what ``read`` makes of a file's text, or None.
+def _read_file(path, read):
+    """Return what ``read`` parses from a file, or None.
 
-    What is wrong with the file is printed.
+    Errors in the file are printed.
     """
     try:
         with open(path, encoding="utf-8") as lines:
             return read(lines.read())
     except OSError as exc:
         print(f"{path}: {exc.strerror}", file=sys.stderr)
-    except (exceptions.BadBoot, policy.BadPolicy) as exc:
+    except (exceptions.BootSettingsError, policy.InvalidPolicyError) as exc:
         for fault in exc.faults:
             print(f"{path}: {fault}", file=sys.stderr)
     return None
 
 
-def _run(boot, path, how, statsd_address):
+def _run(boot, path, capacity_policy, statsd_address):
     from twisted.internet import asyncioreactor
 
     asyncioreactor.install()
@@ -90,14 +90,15 @@
     from crocuskeel.gateway import logs
     from crocuskeel.platform import assembly
 
-    # Twisted's own clock is the time of day, which jumps. This one goes
-    # on while the host is suspended: a lease must not outlive that.
+    # Twisted's clock is the time of day, which can jump. CLOCK_BOOTTIME also
+    # advances while the host is suspended, so that a lease expires then.
     reactor.seconds = functools.partial(
         time.clock_gettime, time.CLOCK_BOOTTIME)
     log, flush = logs.new_log(reactor, sys.stdout.fileno(), boot.host)
     log("started", {"pid": os.getpid(), "domain": boot.domain})
     gateway, reloader = assembly.start(
-        reactor, boot, path, log, reactor.stop, how, statsd_address)
+        reactor, boot, path, log, reactor.stop, capacity_policy,
+        statsd_address)
     reactor._asyncioEventloop.add_signal_handler(
         signal.SIGTERM, gateway.feed, events.StopAsked())
     reactor._asyncioEventloop.add_signal_handler(
--- a/crocuskeel/programs/policy.py
+++ b/crocuskeel/programs/policy.py
@@ -1,52 +1,52 @@
-"""Our own settings of how engines are ordered: JSON with comments."""
+"""The capacity policy: a settings file of JSON with comments."""
 
 from crocuskeel.core.duties import capacity
 from crocuskeel.programs import checks
 
-__all__ = ["BadPolicy", "read_policy"]
+__all__ = ["InvalidPolicyError", "parse_policy"]
 
 
-class BadPolicy(checks.BadFile):
-    """A file that doesn't say how engines are ordered."""
+class InvalidPolicyError(checks.BadFile):
+    """The file of the capacity policy is invalid."""
 
 
-# Least and most of each setting, and what it is for.
-BOUNDS = {
-    "use_share": (0.05, 1.0, "share of their time that engines are used"),
-    "loss_share": (0.05, 1.0, "the same after the loss of a failure "
-                              "domain's spot engines"),
-    "kept_s": (1.0, 3600.0, "seconds that the most needed is kept"),
-    "spot_share": (0.0, 1.0, "share of engines that may be spot ones"),
+# Minimum and maximum of each setting, and its purpose.
+SETTING_RANGES = {
+    "use_share": (0.05, 1.0, "target utilization of engines"),
+    "loss_share": (0.05, 1.0, "target utilization after the loss of a "
+                              "failure domain's spot engines"),
+    "kept_s": (1.0, 3600.0, "seconds that the peak demand is kept"),
+    "spot_share": (0.0, 1.0, "maximum share of spot engines"),
 }
 
 
-def read_policy(text):
-    """Return the capacity.Policy of a text; raises BadPolicy.
+def parse_policy(text):
+    """Parse a capacity.Policy; raises InvalidPolicyError.
 
-    A setting that isn't there keeps its default.
+    Missing settings keep their defaults.
     """
-    found = checks.read_object(text, "capacity", BadPolicy)
+    found = checks.read_object(text, "capacity", InvalidPolicyError)
     faults = [fault for name, value in found.items()
-              if (fault := _fault(name, value)) is not None]
+              if (fault := _check_setting(name, value)) is not None]
     if faults:
-        raise BadPolicy(faults)
+        raise InvalidPolicyError(faults)
     policy = capacity.Policy(**{
         name: float(value) for name, value in found.items()})
     if policy.loss_share < policy.use_share:
-        raise BadPolicy([checks.Fault(
+        raise InvalidPolicyError([checks.Fault(
             "capacity.E005", "loss_share is below use_share",
-            "engines are used more after a loss than before")])
+            "engines are used more after a loss than before it")])
     return policy
 
 
-def _fault(name, value):
-    if name not in BOUNDS:
+def _check_setting(name, value):
+    if name not in SETTING_RANGES:
         return checks.Fault(
-            "capacity.E003", f"{name}: no such setting",
-            "one of " + ", ".join(BOUNDS))
-    least, most, what = BOUNDS[name]
+            "capacity.E003", f"{name}: unknown setting",
+            "one of " + ", ".join(SETTING_RANGES))
+    minimum, maximum, purpose = SETTING_RANGES[name]
     if (isinstance(value, bool) or not isinstance(value, (int, float))
-            or not least <= value <= most):
+            or not minimum <= value <= maximum):
         return checks.Fault("capacity.E004", f"{name}: {value!r}",
-                            f"{what}, {least:g} to {most:g}")
+                            f"{purpose}, {minimum:g} to {maximum:g}")
     return None
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -1,18 +1,18 @@
-"""Transports without sockets, and a gateway that keeps its events."""
+"""Fake transports and a gateway that records its events."""
 
 from crocuskeel.core.entry import model
-from crocuskeel.gateway import dialect
+from crocuskeel.gateway import header_codec
 from twisted.internet import task
 from twisted.internet import testing
 
 
 class _Socket:
     def setsockopt(self, *args):
-        """Take any option."""
+        """Accept any option."""
 
 
 class Transport(testing.StringTransport):
-    """A transport that keeps what was written and how it ended."""
+    """A transport that records writes and how it was closed."""
 
     dataBuffer = b""
     offset = 0
@@ -21,7 +21,7 @@
     write_closed = False
 
     def writeSomeData(self, data):
-        """Take all of it."""
+        """Accept all data."""
         self.write(data)
         return len(data)
 
@@ -32,55 +32,55 @@
         """Do nothing."""
 
     def getHandle(self):
-        """Return something that takes socket options."""
+        """Return an object that accepts socket options."""
         return _Socket()
 
     def abortConnection(self):
-        """Note the abort."""
+        """Record the abort."""
         self.aborted = True
 
     def loseWriteConnection(self):
-        """Note that no more is written."""
+        """Record the half-close."""
         self.write_closed = True
 
 
-def new_dialect():
-    """Return a dialect of few words, for tests of the I/O alone."""
+def new_header_codec():
+    """Return a minimal header codec for tests of the I/O."""
     def read_request(head, body):
         if head.get(b"bad"):
             raise ValueError("bad header")
         return model.Request("r1", "POST", "h", "/")
 
-    def judge(request, head):
+    def classify(request, head):
         word = (head.get(b"verdict") or b"answer").decode()
-        return dialect.Verdict(word)
+        return header_codec.Verdict(word)
 
     def hints(head):
         return model.Hints(float(head.get(b"rate") or 0) or None)
 
-    return dialect.Dialect(
+    return header_codec.HeaderCodec(
         read_request=read_request,
         server_headers=lambda head, send, last: [(b"Host", b"h")],
-        judge=judge, load=lambda head: None, hints=hints,
+        classify=classify, load=lambda head: None, hints=hints,
         stamped=lambda head: True,
         answer_headers=lambda head, keep: [(b"X-Kept", b"1")])
 
 
 class Gateway:
-    """Keeps events in place of reducing them."""
+    """Records events instead of feeding them to a core."""
 
     def __init__(self):
         self.reactor = task.Clock()
-        self.dialect = new_dialect()
+        self.codec = new_header_codec()
         self.events = []
         self.forgotten = []
         self.on_event = lambda event: None
 
     def feed(self, event):
-        """Keep an event."""
+        """Record an event."""
         self.events.append(event)
         self.on_event(event)
 
     def forget(self, exchange):
-        """Note an exchange that is over."""
+        """Record an exchange that has ended."""
         self.forgotten.append(exchange)
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections: each request gets one whole answer, or none."""
+"""Callers' connections: a request gets one complete answer or none."""
 
 import unittest
 
@@ -15,8 +15,8 @@
 class _Handler:
     def __init__(self):
         self.exchanges = []
-        self.gone = []
-        self.unreadable = []
+        self.disconnected = []
+        self.rejected = []
 
     def limits(self):
         return model.Limits(2048, 100, 3.0, 15.0)
@@ -25,14 +25,14 @@
         self.exchanges.append(exchange)
 
     def left(self, exchange):
-        self.gone.append(exchange)
+        self.disconnected.append(exchange)
 
     def refused(self, status, why):
-        self.unreadable.append(status)
+        self.rejected.append(status)
 
 
 class CallersTest(unittest.TestCase):
-    """One connection of a caller."""
+    """A connection of a caller."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -47,7 +47,7 @@
         self.transport.clear()
         return data
 
-    def test_requests_in_pieces_and_in_a_row(self):
+    def test_fragmented_and_pipelined_requests(self):
         for byte in POST:
             self.conn.dataReceived(bytes([byte]))
         (first,) = self.handler.exchanges
@@ -59,7 +59,7 @@
         self.assertEqual(b"xyz", self.handler.exchanges[1].body)
         self.assertIn(b"\r\n\r\none", self._written())
 
-    def test_a_second_answer_is_not_sent(self):
+    def test_second_answer_is_ignored(self):
         self.conn.dataReceived(POST)
         (exchange,) = self.handler.exchanges
         exchange.answer(200, [], b"one")
@@ -68,10 +68,9 @@
         exchange.begin(200, [])
         self.assertEqual(b"", self._written())
 
-    def test_a_cut_answer_cannot_look_complete(self):
-        # A stream breaks half way. If the connection closed in order,
-        # or the last chunk were sent, its caller would take the part for
-        # the whole.
+    def test_aborted_answer_cannot_seem_complete(self):
+        # A stream fails halfway. With an orderly close, or with the last
+        # chunk, its caller would take the part for the complete answer.
         self.conn.dataReceived(POST)
         (exchange,) = self.handler.exchanges
         exchange.begin(200, [])
@@ -80,7 +79,7 @@
         self.assertTrue(self.transport.aborted)
         self.assertNotIn(b"\r\n0\r\n", self._written())
 
-    def test_requests_that_cannot_be_read(self):
+    def test_malformed_requests_are_rejected(self):
         rows = (
             (b"nonsense\r\n\r\n", 400),
             (b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n",
@@ -97,12 +96,12 @@
                 self.assertEqual([], self.handler.exchanges)
                 self.assertTrue(self.transport.write_closed)
 
-    def test_a_caller_that_leaves_is_told_of_once(self):
+    def test_disconnect_is_reported_once(self):
         self.conn.dataReceived(POST)
         self.conn.connectionLost(failure.Failure(error.ConnectionDone()))
-        self.assertEqual(self.handler.exchanges, self.handler.gone)
+        self.assertEqual(self.handler.exchanges, self.handler.disconnected)
 
-    def test_a_slow_head_and_an_idle_connection_end(self):
+    def test_slow_head_and_idle_connection_time_out(self):
         self.conn.dataReceived(b"GET / HTTP/1.1\r\n")
         self.clock.advance(3.1)
         self.assertIn(b"408", self._written())
@@ -110,16 +109,16 @@
         self.clock.advance(15.1)
         self.assertTrue(self.transport.disconnecting)
 
-    def test_a_caller_that_does_not_read_is_let_go(self):
-        # Its answer would pile up in this host's memory.
+    def test_caller_that_does_not_read_is_disconnected(self):
+        # Otherwise its answer would accumulate in this host's memory.
         self.conn.dataReceived(POST)
         (exchange,) = self.handler.exchanges
         exchange.begin(200, [])
-        self.transport.dataBuffer = b"x" * (callers.UNSENT_MOST + 1)
+        self.transport.dataBuffer = b"x" * (callers.MAX_UNSENT_BYTES + 1)
         exchange.pass_on(b"data: 1\n\n")
         self.assertTrue(self.transport.aborted)
 
-    def test_at_a_stop_idle_connections_close_and_others_after_answer(self):
+    def test_shutdown_closes_idle_connections_first(self):
         self.conn.dataReceived(POST)
         idle = self.listener.buildProtocol(None)
         idle.makeConnection(support.Transport())
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -1,4 +1,4 @@
-"""Single calls: what is sent, and when nothing may be sent any more."""
+"""Single calls: their bytes and their deadline for sending."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class _Reactor(task.Clock):
-    """Connects when it is told to."""
+    """Keeps the connection until a test connects it."""
 
     def connectTCP(self, host, port, factory, timeout):
         self.connection = factory.buildProtocol(None)
@@ -20,8 +20,8 @@
         """Do nothing."""
 
 
-class UntilTest(unittest.TestCase):
-    """A call that must not be sent from a moment on."""
+class DeadlineTest(unittest.TestCase):
+    """Calls that must not be sent after a deadline."""
 
     def setUp(self):
         self.reactor = _Reactor()
@@ -33,7 +33,7 @@
                           1.0, b"{}", [(b"X-Fence", b"3")], until)
         done.addErrback(lambda failure: self.failed.append(failure.value))
 
-    def test_a_call_in_time_is_sent_with_its_headers(self):
+    def test_call_before_its_deadline_is_sent(self):
         self._call(until=5.0)
         self.reactor.connection.makeConnection(self.transport)
         sent = self.transport.value()
@@ -41,9 +41,9 @@
         self.assertIn(b"X-Fence: 3", sent)
 
     def test_nothing_is_sent_by_a_process_that_stood_still(self):
-        # Two hosts act for one duty: the process is paused after it asked
-        # for a connection, the lease passes on, and it wakes to find the
-        # connection there. Cause: the lease is looked at only before.
+        # Two hosts act for one duty: a process is paused while it connects,
+        # the lease passes to another host, and the process resumes with the
+        # connection established. The lease was checked only before that.
         self._call(until=5.0)
         self.reactor.rightNow = 5.0
         self.reactor.connection.makeConnection(self.transport)
@@ -51,17 +51,17 @@
         self.assertTrue(self.transport.aborted)
         self.assertIsInstance(self.failed[0], exceptions.CallFailed)
 
-    def test_other_calls_have_no_end_of_that_kind(self):
+    def test_call_without_a_deadline_is_always_sent(self):
         self._call(until=None)
         self.reactor.rightNow = 500.0
         self.reactor.connection.makeConnection(self.transport)
         self.assertNotEqual(b"", self.transport.value())
 
 
-class DropTest(unittest.TestCase):
-    """What a killed process leaves to its system."""
+class CloseTest(unittest.TestCase):
+    """Undelivered bytes of a process that is killed."""
 
-    def test_a_call_of_a_duty_is_dropped_with_its_process(self):
+    def test_only_connections_with_a_deadline_reset_on_close(self):
         options = []
 
         class _Socket:
@@ -72,11 +72,11 @@
             def getHandle(self):
                 return _Socket()
 
-        for is_late, expected in ((None, 0), (lambda: False, 1)):
+        for is_expired, expected in ((None, 0), (lambda: False, 1)):
             options.clear()
             connection = connections.Connection(
                 calls._Call((b"GET", b"/", [(b"Host", b"h")], b""), None),
-                is_late)
+                is_expired)
             connection.makeConnection(_Transport())
             lingers = [row for row in options
                        if len(row) == 3 and isinstance(row[2], bytes)]
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a host counts, and what of it goes to statsd."""
+"""Metrics of a host, and those that are sent to statsd."""
 
 import unittest
 
@@ -20,59 +20,60 @@
         self.sent.append((name, ms))
 
 
-LINES = (("opened", {"after_s": 0.25}), ("served", {"took_s": 1.5}),
-         ("gave_up", {"why": "time is up"}), ("shed", {}),
-         ("sent", {"fresh": 700, "fetch": 6300, "spill": 40}))
+EVENTS = (("opened", {"after_s": 0.25}), ("served", {"took_s": 1.5}),
+          ("gave_up", {"why": "time is up"}), ("shed", {}),
+          ("sent", {"fresh": 700, "fetch": 6300, "spill": 40}))
 
 
 class MetricsTest(unittest.TestCase):
     """Counters and histograms."""
 
-    def test_the_text_counts_every_line(self):
-        counts = metrics.new_metrics(support.Driver().host)
-        for line in LINES:
-            counts.note(*line)
-        text = counts.text().decode()
+    def test_log_events_are_counted(self):
+        host_metrics = metrics.new_metrics(support.Driver().host)
+        for event in EVENTS:
+            host_metrics.count(*event)
+        text = host_metrics.text().decode()
         self.assertIn('crocuskeel_decisions_total{kind="shed"} 1.0', text)
         self.assertIn('given_up_total{reason="time is up"} 1.0', text)
         self.assertIn("crocuskeel_served_seconds_sum 1.5", text)
         self.assertIn(
             'crocuskeel_prompt_tokens_total{how="fetched"} 6300.0', text)
 
-    def test_the_text_tells_what_was_learned_of_engines(self):
-        # Which streams long prompts may hold up follows from it.
+    def test_pause_of_engines_is_exported(self):
+        # The pause decides which streams may be delayed by long prompts.
         host = support.Driver().host
         pace.note_gap(pace.of_service(host, "engines"), 1.0, 0.2)
         text = metrics.new_metrics(host).text().decode()
         self.assertIn(
             'crocuskeel_reading_pause_seconds{service="engines"} 0.2', text)
 
-    def test_the_text_tells_how_much_of_each_class_is_let_in(self):
-        # An urgent class that gets less than others shows here first.
+    def test_admitted_share_of_each_class_is_exported(self):
+        # Shows first if an urgent class is admitted less than others.
         host = support.Driver().host
-        asked = support.pending(support.stream(), prompt=support.prompt())
-        floors.note_arrived(host, asked, support.NOW)
+        pending_request = support.pending(
+            support.stream(), prompt=support.prompt())
+        floors.note_arrived(host, pending_request, support.NOW)
         text = metrics.new_metrics(host).text().decode()
         self.assertIn(
             'let_in_share{priority="0",route="advice",service="engines"} 0',
             text)
 
-    def test_the_text_tells_who_holds_the_duties(self):
+    def test_holder_of_the_duties_is_exported(self):
         world = worlds.World(scaling=worlds.scaling(),
                              engines=worlds.engines())
         world.run(12)
         texts = {host.name: metrics.new_metrics(host.core).text().decode()
                  for host in world.hosts.values()}
-        holds = [name for name, text in texts.items()
-                 if "crocuskeel_holds_duties 1.0" in text]
-        self.assertEqual([world.holder()], holds)
-        self.assertIn('kind="spot",service="engines"', texts[holds[0]])
+        holders = [name for name, text in texts.items()
+                   if "crocuskeel_holds_duties 1.0" in text]
+        self.assertEqual([world.holder()], holders)
+        self.assertIn('kind="spot",service="engines"', texts[holders[0]])
 
-    def test_statsd_gets_the_same(self):
+    def test_statsd_receives_the_events(self):
         client = _Client()
-        counts = metrics._Metrics(support.Driver().host, client)
-        for line in LINES:
-            counts.note(*line)
+        host_metrics = metrics._Metrics(support.Driver().host, client)
+        for event in EVENTS:
+            host_metrics.count(*event)
         self.assertEqual([
             "decision.opened", ("first_event", 250.0), "decision.served",
             ("served", 1500.0), "decision.gave_up", "decision.shed",
--- a/tests/gateway/test_pieces.py
+++ b/tests/gateway/test_pieces.py
@@ -1,4 +1,4 @@
-"""Events of a stream, datagrams and log lines."""
+"""Event streams, datagrams, log lines and socket writes."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import serverload
-from crocuskeel.gateway import events_split
+from crocuskeel.gateway import event_stream
 from crocuskeel.gateway import gossip
 from crocuskeel.gateway import logs
 from crocuskeel.gateway import sockets
@@ -18,30 +18,30 @@
 from twisted.internet import task
 
 
-class SplitterTest(unittest.TestCase):
-    """Whole events only."""
+class EventSplitterTest(unittest.TestCase):
+    """Splitting of a stream into events."""
 
-    def test_any_cut_gives_the_same_events(self):
+    def test_events_do_not_depend_on_chunk_boundaries(self):
         data = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\n\n"
-        whole = events_split.Splitter().feed(data)
-        self.assertEqual([1, 2, 3], [events_split.event_id(event)
+        whole = event_stream.EventSplitter().feed(data)
+        self.assertEqual([1, 2, 3], [event_stream.event_id(event)
                                      for event in whole])
         for cut in range(len(data)):
-            splitter = events_split.Splitter()
+            splitter = event_stream.EventSplitter()
             found = splitter.feed(data[:cut]) + splitter.feed(data[cut:])
             self.assertEqual(whole, found)
-            self.assertEqual(b"", splitter.rest)
+            self.assertEqual(b"", splitter.partial)
 
-    def test_an_endless_event_is_refused(self):
-        splitter = events_split.Splitter()
+    def test_oversized_event_is_rejected(self):
+        splitter = event_stream.EventSplitter()
         with self.assertRaises(ValueError):
-            splitter.feed(b"x" * (events_split.EVENT_MOST + 1))
+            splitter.feed(b"x" * (event_stream.MAX_EVENT_BYTES + 1))
 
 
 class GossipTest(unittest.TestCase):
     """Datagrams between hosts."""
 
-    def test_all_kinds_come_back_as_sent(self):
+    def test_round_trip_of_all_events(self):
         for event in (
                 events.Heard(support.peer(), True, False, 3, 4,
                              (("d", "s"),), (("s", 1, 2, 1, 30),),
@@ -55,10 +55,9 @@
                                  ("t",))):
             self.assertEqual(event, gossip.decode(gossip.encode(event)))
 
-    def test_a_state_among_thousands_of_servers_fits_a_datagram(self):
-        # Hosts know nothing of each other at the start of a large fleet:
-        # all its servers count as just heard, their rows are more than a
-        # datagram holds, and the system refuses to send it.
+    def test_state_with_thousands_of_servers_fits_a_datagram(self):
+        # When a large fleet starts, all servers count as recently heard of:
+        # their rows exceeded the size of a datagram, and the send failed.
         servers = [support.server(f"i-{number:010x}", "engines")
                    for number in range(3000)]
         driver = support.Driver(support.stream(), servers=servers)
@@ -71,7 +70,7 @@
         self.assertLess(len(gossip.encode(tell.event)), 65_000)
         self.assertEqual(servers[-1].sid, tell.event.loads[0][0])
 
-    def test_what_is_no_datagram_of_a_host_is_refused(self):
+    def test_malformed_datagrams_are_rejected(self):
         for data in (b"", b"\xc1", b"\x93\x01\x02\x03", b"\x91\xa1x",
                      b"hello", bytes(200), b"\x92\x00\xa1x",
                      msgpack.packb((("h", 1, "d", "f", (), (), 1.0), True,
@@ -87,10 +86,10 @@
 
 
 class LogTest(unittest.TestCase):
-    """Log lines, bounded."""
+    """Limits on log lines."""
 
-    def test_a_pipe_that_nobody_reads_holds_nothing_up(self):
-        # A full pipe would stop the one thread, and with it the host.
+    def test_unread_pipe_does_not_block(self):
+        # A full pipe would block the only thread, and so the host.
         reader, writer = os.pipe()
         clock = task.Clock()
         write, flush = logs.new_log(clock, writer, "host-1")
@@ -118,7 +117,7 @@
 
 
 class WriteTest(unittest.TestCase):
-    """Writes without a turn of the loop, in order and whole."""
+    """Immediate writes, complete and in order."""
 
     class _Transport:
         disconnecting = False
@@ -126,21 +125,21 @@
         offset = 0
         _tempDataLen = 0
 
-        def __init__(self, takes):
-            self.takes = takes
+        def __init__(self, capacity):
+            self.capacity = capacity
             self.sent = b""
 
         def writeSomeData(self, data):
-            if not isinstance(self.takes, int):
-                return self.takes
-            self.sent += data[:self.takes]
-            return min(self.takes, len(data))
+            if not isinstance(self.capacity, int):
+                return self.capacity
+            self.sent += data[:self.capacity]
+            return min(self.capacity, len(data))
 
         def write(self, data):
             self.dataBuffer += data
 
-    def test_what_the_connection_does_not_take_waits(self):
-        # A caller that reads slowly: what follows must not overtake it.
+    def test_unsent_bytes_are_buffered_in_order(self):
+        # With a slow reader, later data must not overtake buffered data.
         transport = self._Transport(3)
         sockets.write(transport, b"one")
         sockets.write(transport, b"three")
@@ -148,7 +147,7 @@
         self.assertEqual((b"onethr", b"eefour"),
                          (transport.sent, transport.dataBuffer))
 
-    def test_a_lost_connection_is_left_to_the_transport(self):
+    def test_lost_connection_is_reported_by_the_transport(self):
         transport = self._Transport(OSError("gone"))
         sockets.write(transport, b"one")
         self.assertEqual(b"one", transport.dataBuffer)
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -1,4 +1,4 @@
-"""One attempt at a server: what its bytes are taken for, in a table."""
+"""Attempts at a server: outcomes by the bytes of the answer."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from crocuskeel.core.entry import model
 from crocuskeel.gateway import callers
 from crocuskeel.gateway import connections
-from crocuskeel.gateway import dialect
+from crocuskeel.gateway import header_codec
 from crocuskeel.gateway import servers
 from tests.entry import support as entry_support
 from tests.gateway import support
@@ -22,7 +22,7 @@
 
 
 class _Caller:
-    """Stands for a caller's connection."""
+    """Fake connection of a caller."""
 
     def __init__(self):
         self.sent = []
@@ -44,11 +44,11 @@
 class AttemptTest(unittest.TestCase):
     """Attempts without sockets."""
 
-    def _begin(self, stream=False, last_event=None):
+    def _start_attempt(self, stream=False, last_event=None):
         self.gateway = support.Gateway()
         self.caller = _Caller()
         self.exchange = callers.Exchange(
-            self.caller, dialect.Head((), b"POST", b"/a/1"), b"abc")
+            self.caller, header_codec.Head((), b"POST", b"/a/1"), b"abc")
         self.exchange.request = model.Request("r1", "POST", "h", "/")
         self.exchange.last_event = last_event
         send = effects.Send(1, 0, entry_support.server("s1"), 1.0, 0, "",
@@ -62,9 +62,9 @@
                 events.Opened, events.Answered) else None)
         return attempt
 
-    def _play(self, data, end=None, **kwargs):
-        attempt = self._begin(**kwargs)
-        # Twisted delivers no empty data; h11 would take it for the end.
+    def _receive(self, data, end=None, **kwargs):
+        attempt = self._start_attempt(**kwargs)
+        # Twisted never delivers empty data, which h11 would treat as EOF.
         if data:
             attempt.connection.dataReceived(data)
         if end is not None:
@@ -98,12 +98,12 @@
         )
         for name, data, end, expected in rows:
             with self.subTest(name):
-                self.assertEqual(expected, self._play(data, end))
+                self.assertEqual(expected, self._receive(data, end))
         self.assertEqual([(200, b"ok")], self.caller.sent)
 
-    def test_hints_come_before_what_the_answer_is(self):
-        # A request that is sent on after a refusal must find the limit
-        # that the refusal named.
+    def test_hints_are_fed_before_the_outcome(self):
+        # A request that is retried after a refusal must already see the limit
+        # that the refusal contained.
         whole = b"Content-Length: 2\r\n\r\nok"
         for verdict, expected in (
                 (b"answer", [events.HintsSeen, events.Answered]),
@@ -112,8 +112,8 @@
                 (b"foreign", [events.Broken]),
                 (b"garbled", [events.Broken])):
             with self.subTest(verdict):
-                self._play(OK + b"Rate: 2\r\nVerdict: " + verdict
-                           + b"\r\n" + whole)
+                self._receive(OK + b"Rate: 2\r\nVerdict: " + verdict
+                              + b"\r\n" + whole)
                 found = self.gateway.events
                 self.assertEqual(expected, [type(each) for each in found])
                 if len(found) > 1:
@@ -136,26 +136,26 @@
         for name, data, end, expected, sent in rows:
             with self.subTest(name):
                 self.assertEqual(
-                    expected, self._play(data, end, stream=True))
+                    expected, self._receive(data, end, stream=True))
                 self.assertEqual(sent, self.caller.sent)
 
-    def test_a_resumed_stream_must_not_repeat_events(self):
-        # An engine that begins anew would have the caller read the start
-        # of its answer twice.
+    def test_resumed_stream_must_not_repeat_events(self):
+        # If an engine starts over, the caller would receive the beginning of
+        # its answer twice.
         data = (OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n"
                 % (len(EVENTS), EVENTS))
-        self.assertEqual(model.Outcome.GARBLED, self._play(
+        self.assertEqual(model.Outcome.GARBLED, self._receive(
             data, stream=True, last_event=2))
         self.assertEqual([], self.caller.sent)
 
-    def test_what_is_sent(self):
-        self._begin()
+    def test_request_bytes(self):
+        self._start_attempt()
         self.assertEqual(
             b"POST /a/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc",
             self.transport.value())
 
-    def test_a_cancelled_attempt_closes_and_says_nothing_more(self):
-        attempt = self._begin()
+    def test_cancelled_attempt_feeds_no_events(self):
+        attempt = self._start_attempt()
         attempt.cancel()
         self.assertTrue(self.transport.aborted)
         attempt.connection.dataReceived(OK + b"Content-Length: 2\r\n\r\nok")
@@ -164,18 +164,18 @@
 
 
 class ConnectTest(unittest.TestCase):
-    """Connections that can't be had."""
+    """Connections that fail to open."""
 
-    def test_a_refused_connection_is_reported(self):
-        # A host asked the connector to stop after it had failed, which
-        # raised; the request hung until its caller gave up.
+    def test_refused_connection_is_reported(self):
+        # Disconnecting a connector that had already failed raised, and the
+        # request hung until its caller gave up.
         gateway = support.Gateway()
         gateway.reactor = testing.MemoryReactorClock()
         exchange = callers.Exchange(
-            _Caller(), dialect.Head((), b"GET", b"/"), b"")
+            _Caller(), header_codec.Head((), b"GET", b"/"), b"")
         send = effects.Send(1, 0, entry_support.server("s1"), 1.0, 0, "",
                             False)
-        servers.begin(gateway, exchange, send)
+        servers.start_attempt(gateway, exchange, send)
         _, _, factory, timeout, _ = gateway.reactor.tcpClients[0]
         connector = gateway.reactor.connectors[0]
         connector.disconnect = lambda: None
@@ -183,4 +183,4 @@
             connector, failure.Failure(error.ConnectionRefusedError()))
         (event,) = gateway.events
         self.assertEqual(model.Outcome.REFUSED, event.outcome)
-        self.assertEqual(servers.CONNECT_S, timeout)
+        self.assertEqual(servers.CONNECT_TIMEOUT_S, timeout)
--- a/tests/gateway/test_upgrade.py
+++ b/tests/gateway/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Hosts of this version and of the one before, in one fleet."""
+"""Hosts of the current and of the previous version in one fleet."""
 
 import dataclasses
 import unittest
@@ -17,10 +17,10 @@
     wall=1.7e9, leader=duties.Leader(9, "h1", 7))
 
 
-def read_as_before(data):
-    """Return (name, fields) as the version before reads a state.
+def decode_as_previous(data):
+    """Return (name, fields) as the previous version decodes a state.
 
-    It takes a peer and ten fields, and raises ValueError for others.
+    It accepts a peer and ten fields, and raises ValueError otherwise.
     """
     peer, *state = msgpack.unpackb(data, use_list=False)
     (_ready, _leaving, _catalog, _servers, _crashed, _loads, _parts,
@@ -29,73 +29,73 @@
 
 
 class UpgradeTest(unittest.TestCase):
-    """Hosts are replaced one after the other and go on as one fleet."""
+    """Hosts of both versions work together during a rolling upgrade."""
 
     def setUp(self):
-        self.fed = []
+        self.received = []
         self.gossip = gossip.Gossip(unittest.mock.Mock(
-            feed=self.fed.append))
+            feed=self.received.append))
         self.gossip.transport = unittest.mock.Mock()
 
-    def _hear(self, data):
+    def _receive(self, data):
         self.gossip.datagramReceived(data, ("h0", 82))
 
-    def _tell(self, event=STATE):
+    def _sent_datagram(self, event=STATE):
         self.gossip.transport.write.reset_mock()
         self.gossip.tell(effects.Tell(support.peer("h0"), event))
         calls = self.gossip.transport.write.call_args_list
         return calls[0].args[0] if calls else None
 
-    def test_a_state_of_the_version_before_is_understood(self):
-        # In the middle of an upgrade each half of the fleet took the
-        # other for silent, and callers were sent to half of the hosts.
-        self._hear(gossip.encode_former(STATE))
-        (heard,) = self.fed
+    def test_state_of_the_previous_version_is_decoded(self):
+        # During an upgrade each half of the fleet considered the other dead,
+        # and callers were directed to half of the hosts.
+        self._receive(gossip.encode_previous(STATE))
+        (heard,) = self.received
         self.assertEqual((STATE.peer, STATE.loads, 0.5), (
             heard.peer, heard.loads, heard.informed_s))
         self.assertIsNone(heard.wall)
 
-    def test_one_of_the_version_before_gets_states_that_it_reads(self):
+    def test_host_of_the_previous_version_gets_its_format(self):
         with self.assertRaises(ValueError):
-            read_as_before(self._tell())
-        self._hear(gossip.encode_former(
+            decode_as_previous(self._sent_datagram())
+        self._receive(gossip.encode_previous(
             events.Heard(support.peer("h0"), True, False, 3, 4)))
-        name, fields = read_as_before(self._tell())
+        name, fields = decode_as_previous(self._sent_datagram())
         self.assertEqual("h1", name)
         self.assertEqual(STATE.loads, fields[5])
-        self.assertIsNone(self._tell(duties.Usage("h1", 4, ())))
+        self.assertIsNone(self._sent_datagram(duties.Usage("h1", 4, ())))
 
-    def test_a_state_without_rates_names_none(self):
-        # Hosts of the version that has duties and no rates were taken for
-        # silent in the middle of an upgrade.
+    def test_state_without_rate_limits_is_decoded(self):
+        # Hosts of the version with duties and without rate limits were
+        # considered dead during an upgrade.
         fields = msgpack.unpackb(gossip.encode(STATE), use_list=False)
         for count in (1, 2):
             self.assertEqual(
                 STATE, gossip.decode(msgpack.packb(fields[:-count])))
 
-    def test_what_servers_name_is_told_alike_by_itself_and_in_states(self):
+    def test_hints_have_one_format_alone_and_in_states(self):
         rows = (("s1/7", 1.5, 30), ("s2/None", None, 0))
         leave = (("s3", "s3/9"),)
         for event in (events.HintsHeard("h1", rows, leave),
                       dataclasses.replace(STATE, rate_limits=rows,
                                           servers_leaving=leave)):
-            self.assertEqual(event, gossip.decode(self._tell(event)))
-        self._hear(gossip.encode_former(
+            self.assertEqual(event, gossip.decode(self._sent_datagram(event)))
+        self._receive(gossip.encode_previous(
             events.Heard(support.peer("h0"), True, False, 3, 4)))
-        self.assertIsNone(self._tell(events.HintsHeard("h1", rows)))
+        self.assertIsNone(self._sent_datagram(events.HintsHeard("h1", rows)))
 
-    def test_once_upgraded_it_gets_all_again(self):
-        former = events.Heard(support.peer("h0"), True, False, 3, 4)
-        self._hear(gossip.encode_former(former))
-        self._hear(gossip.encode(former))
-        self.assertEqual(STATE, gossip.decode(self._tell()))
+    def test_upgraded_host_gets_the_current_format(self):
+        previous = events.Heard(support.peer("h0"), True, False, 3, 4)
+        self._receive(gossip.encode_previous(previous))
+        self._receive(gossip.encode(previous))
+        self.assertEqual(STATE, gossip.decode(self._sent_datagram()))
 
-    def test_fields_of_a_later_version_are_passed_over(self):
+    def test_fields_of_a_later_version_are_ignored(self):
         fields = msgpack.unpackb(gossip.encode(STATE), use_list=False)
         self.assertEqual(STATE, gossip.decode(
             msgpack.packb((*fields, "more", 7))))
 
-    def test_other_numbers_of_fields_are_no_state(self):
+    def test_invalid_field_counts_are_rejected(self):
         fields = msgpack.unpackb(gossip.encode(STATE), use_list=False)
         for count in (1, 5, 10, 12, 13):
             with self.subTest(fields=count), self.assertRaises(ValueError):
--- a/tests/platform/test_boot.py
+++ b/tests/platform/test_boot.py
@@ -5,7 +5,7 @@
 from crocuskeel.platform import boot
 from crocuskeel.platform import exceptions
 
-GOOD = """Node=front-a-1
+VALID = """Node=front-a-1
 Zone=a
 Ip=10.1.0.40
 Listen.Front=10.1.0.40:8227
@@ -23,28 +23,28 @@
 
 
 class BootTest(unittest.TestCase):
-    """Good and bad files."""
+    """Valid and invalid files."""
 
-    def test_a_good_file(self):
-        found = boot.read_boot(GOOD)
+    def test_valid_file(self):
+        found = boot.parse_boot_settings(VALID)
         self.assertEqual(("10.1.0.40", 8227), found.front)
         self.assertEqual(("10.1.0.40", 7340), found.gossip)
         self.assertEqual(1.0, found.cores)
         self.assertEqual(52.0, found.settings.repeat_slack)
         self.assertEqual(2, len(found.seeds))
 
-    def test_every_fault_is_named_at_once(self):
-        text = GOOD.replace("10.1.0.40:8227", "nowhere").replace(
+    def test_all_errors_are_reported_together(self):
+        text = VALID.replace("10.1.0.40:8227", "nowhere").replace(
             "7340,7355", "7340").replace("=0.5", "=half")
-        with self.assertRaises(exceptions.BadBoot) as caught:
-            boot.read_boot(text)
-        named = " ".join(caught.exception.faults)
+        with self.assertRaises(exceptions.BootSettingsError) as caught:
+            boot.parse_boot_settings(text)
+        reported = " ".join(caught.exception.faults)
         for field in ("Listen.Front", "PortRange", "Limits.CpuShare"):
-            self.assertIn(field, named)
-
-    def test_missing_fields_and_lines_of_another_form(self):
-        with self.assertRaises(exceptions.BadBoot) as caught:
-            boot.read_boot("Node=x\nrubbish\n")
-        named = " ".join(caught.exception.faults)
-        self.assertIn("line 2", named)
-        self.assertIn("Platform.Addr", named)
+            self.assertIn(field, reported)
+
+    def test_missing_fields_and_malformed_lines(self):
+        with self.assertRaises(exceptions.BootSettingsError) as caught:
+            boot.parse_boot_settings("Node=x\nrubbish\n")
+        reported = " ".join(caught.exception.faults)
+        self.assertIn("line 2", reported)
+        self.assertIn("Platform.Addr", reported)
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties on the wire: the lease's object, reports, orders of engines."""
+"""HTTP calls of duties: lease, usage reports, engine orders."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
 from crocuskeel.core.leadership import events as lease_events
 from crocuskeel.gateway import calls
 from crocuskeel.gateway import exceptions as gateway_exceptions
-from crocuskeel.platform import boot as boots
+from crocuskeel.platform import boot as boot_settings
 from crocuskeel.platform import duties
 from crocuskeel.platform import objects
 from crocuskeel.platform import store as stores
@@ -20,7 +20,7 @@
 from twisted.internet import task
 
 Status = lease_events.Status
-CLOUD = """Cloud.Addr=10.200.0.9:8424
+DUTY_SETTINGS = """Cloud.Addr=10.200.0.9:8424
 Cloud.Duties=usage,scale
 Bounds.LeaseMs=3000
 Bounds.ReportWindowS=5
@@ -43,25 +43,26 @@
 
 
 class DutiesTest(unittest.TestCase):
-    """What is called, and what its answer means."""
+    """Requests of effects, and the events from their answers."""
 
     def setUp(self):
         self.clock = task.Clock()
         self.clock.advance(100.0)
         self.gateway = _Gateway()
-        self.boot = boots.read_boot(test_boot.GOOD + CLOUD)
+        self.boot = boot_settings.parse_boot_settings(
+            test_boot.VALID + DUTY_SETTINGS)
         store = stores.new_store(self.clock, self.boot.store)
-        self.duties = duties.new_duties(
+        self.duties = duties.new_duty_executor(
             self.clock, self.gateway, store, self.boot)
-        self.asked = []
+        self.requests = []
 
-    def _do(self, effect, reply):
-        """Carry an effect out; return the event that answers it."""
+    def _perform(self, effect, reply):
+        """Carry out an effect; return the resulting event."""
         def call(reactor, address, method, target, timeout_s, body=b"",
                  headers=(), until=None):
-            self.asked.append((address, method, target, timeout_s,
-                               json.loads(body or b"null"),
-                               tuple(headers), until))
+            self.requests.append((address, method, target, timeout_s,
+                                  json.loads(body or b"null"),
+                                  tuple(headers), until))
             if isinstance(reply, Exception):
                 return defer.fail(reply)
             status, found = reply
@@ -74,15 +75,16 @@
                               if line[0] == "duty_died"])
         return self.gateway.events.pop()
 
-    def test_the_settings_name_the_duties(self):
+    def test_duties_come_from_the_settings(self):
         self.assertEqual({"usage", "scale"}, self.boot.settings.duties)
         self.assertEqual(3.0, self.boot.settings.lease_s)
         self.assertEqual(("10.200.0.9", 8424), self.boot.cloud)
-        plain = boots.read_boot(test_boot.GOOD)
+        without_duties = boot_settings.parse_boot_settings(test_boot.VALID)
         self.assertEqual((frozenset(), None),
-                         (plain.settings.duties, plain.cloud))
+                         (without_duties.settings.duties,
+                          without_duties.cloud))
 
-    def test_a_report_and_an_order(self):
+    def test_report_and_order_requests(self):
         rows = (
             (REPORT, b"/usage",
              {"Window": 7, "Counts": {"hire": 3, "tours": 4}}),
@@ -93,73 +95,75 @@
         )
         for call, path, body in rows:
             with self.subTest(path=path):
-                event = self._do(effects.SendDuty(call, 12, 100.6),
-                                 (200, None))
+                event = self._perform(effects.SendDuty(call, 12, 100.6),
+                                      (200, None))
                 address, method, target, timeout_s, sent, headers, until = (
-                    self.asked.pop())
+                    self.requests.pop())
                 self.assertEqual((self.boot.cloud, b"POST", path, body),
                                  (address, method, target, sent))
                 self.assertIn(
                     (b"X-Crocuskeel-Fence-Token", b"12"), headers)
                 self.assertIn(
                     (b"X-Crocuskeel-Duty-Holder", b"front-a-1"), headers)
-                # It ends with the lease, 0.6 s from now.
+                # The call expires with the lease, 0.6 s from now.
                 self.assertEqual(100.6, until)
                 self.assertAlmostEqual(0.6, timeout_s)
                 self.assertIs(model.Outcome.DONE, event.outcome)
                 self.assertEqual(call, event.call)
 
-    def test_answers_that_are_no_success(self):
+    def test_unsuccessful_answers(self):
         rows = ((409, model.Outcome.UNAVAILABLE), (429, None), (503, None))
         for status, outcome in rows:
-            event = self._do(effects.SendDuty(ORDER, 12, 110.0),
-                             (status, None))
+            event = self._perform(effects.SendDuty(ORDER, 12, 110.0),
+                                  (status, None))
             self.assertIs(outcome or model.Outcome.FAILED, event.outcome)
-        # Of a report it says nothing that is known: it is sent again, later
-        # each time, and not with each look.
-        event = self._do(effects.SendDuty(REPORT, 12, 110.0), (409, None))
+        # 409 has no known meaning for a report: it fails, so that the report
+        # is repeated with a growing delay instead of at each check.
+        event = self._perform(effects.SendDuty(REPORT, 12, 110.0),
+                              (409, None))
         self.assertIs(model.Outcome.FAILED, event.outcome)
-        event = self._do(effects.SendDuty(ORDER, 12, 110.0),
-                         gateway_exceptions.CallFailed("timeout"))
+        event = self._perform(effects.SendDuty(ORDER, 12, 110.0),
+                              gateway_exceptions.CallFailed("timeout"))
         self.assertIs(model.Outcome.FAILED, event.outcome)
 
-    def test_nothing_is_sent_after_the_lease(self):
-        event = self._do(effects.SendDuty(REPORT, 12, 100.0), (200, None))
-        self.assertEqual([], self.asked)
+    def test_nothing_is_sent_after_the_lease_expires(self):
+        event = self._perform(effects.SendDuty(REPORT, 12, 100.0),
+                              (200, None))
+        self.assertEqual([], self.requests)
         self.assertIs(model.Outcome.FAILED, event.outcome)
 
-    def test_a_read_of_the_lease(self):
-        event = self._do(lease_effects.ReadLease(), (200, {
+    def test_lease_read(self):
+        event = self._perform(lease_effects.ReadLease(), (200, {
             "Meta": {"Rev": 9}, "Spec": {"holder": "x"}}))
         self.assertEqual(
             (Status.FOUND, 9, {"holder": "x"}),
             (event.status, event.version, json.loads(event.body)))
         for status, expected in ((404, Status.NOT_FOUND),
                                  (503, Status.UNAVAILABLE)):
-            event = self._do(lease_effects.ReadLease(), (status, None))
+            event = self._perform(lease_effects.ReadLease(), (status, None))
             self.assertIs(expected, event.status)
 
-    def test_a_write_of_the_lease(self):
+    def test_lease_write(self):
         rows = (
             (0, (201, {"Meta": {"Rev": 5}}), b"POST", Status.WRITTEN, 5),
             (5, (200, {"Meta": {"Rev": 6}}), b"PUT", Status.WRITTEN, 6),
             (5, (409, {}), b"PUT", Status.CONFLICT, 0),
             (0, (409, {}), b"POST", Status.CONFLICT, 0),
-            # Somebody removed the object: it is read anew.
+            # The object was removed: the lease is read again.
             (5, (404, {}), b"PUT", Status.CONFLICT, 0),
             (5, (503, {}), b"PUT", Status.UNAVAILABLE, 0),
             (5, (429, {}), b"PUT", Status.UNAVAILABLE, 0),
             (5, gateway_exceptions.CallFailed("timeout"), b"PUT",
              Status.UNKNOWN, 0),
-            # An answer that can't be read says nothing.
+            # With an invalid answer the result is unknown.
             (5, (200, {"x": 1}), b"PUT", Status.UNKNOWN, 0),
         )
         for version, reply, method, status, found in rows:
             with self.subTest(reply=reply):
-                event = self._do(lease_effects.WriteLease(
+                event = self._perform(lease_effects.WriteLease(
                     "n", 3, b'{"holder": "x"}', version), reply)
-                _, used, _, _, body, *_ = self.asked.pop()
-                self.assertEqual(method, used)
+                _, sent_method, _, _, body, *_ = self.requests.pop()
+                self.assertEqual(method, sent_method)
                 self.assertEqual(version or None, body["Meta"].get("Rev"))
                 self.assertEqual(
                     ("n", 3, status, found),
@@ -168,20 +172,20 @@
 
 
 class ScalingTest(unittest.TestCase):
-    """What the configuration says of engines that can be ordered."""
+    """Decoding of a service's autoscaling settings."""
 
     ROW = {"Name": "llm", "Autoscale": {
         "Min": 1, "Max": 20, "BootTimeoutS": 4.0, "SpotPrice": 0.18,
         "ZonePrices": {"a": 0.85}}}
 
-    def test_bounds_and_prices(self):
+    def test_limits_and_prices(self):
         found = objects.service(self.ROW).scaling
         self.assertEqual((1, 20, 4.0, {"a": 0.85}, 0.18), (
             found.least, found.most, found.boot_s, found.prices,
             found.spot_price))
         self.assertIsNone(objects.service({"Name": "llm"}).scaling)
 
-    def test_a_service_without_spot_engines(self):
+    def test_service_without_spot_engines(self):
         row = {"Name": "llm", "Autoscale": {
             "Min": 1, "Max": 20, "BootTimeoutS": 4.0}}
         found = objects.service(row).scaling
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,10 +1,10 @@
-"""Headers on both sides of a host."""
+"""Headers of callers and of backend servers."""
 
 import unittest
 
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import model
-from crocuskeel.gateway import dialect
+from crocuskeel.gateway import header_codec
 from crocuskeel.platform import headers
 from tests.entry import support
 
@@ -34,34 +34,34 @@
 def _server_headers(last_event=None, resume=False):
     send = effects.Send(1, 0, support.server("i-1"), 1.5, 12, "hire",
                         True, resume)
-    head = dialect.Head(SENT + FORGED, b"POST", b"/a/1")
-    return dict(headers.new_dialect().server_headers(
+    head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
+    return dict(headers.new_header_codec().server_headers(
         head, send, last_event))
 
 
 class HeadersTest(unittest.TestCase):
-    """What goes in and what comes back."""
+    """Decoding and writing of headers."""
 
     def setUp(self):
-        self.dialect = headers.new_dialect()
+        self.codec = headers.new_header_codec()
 
-    def _judge(self, *rows, status=200):
+    def _classify(self, *rows, status=200):
         request = model.Request("9c41", "POST", "h", "/")
-        return self.dialect.judge(
-            request, dialect.Head(rows, status=status)).value
+        return self.codec.classify(
+            request, header_codec.Head(rows, status=status)).value
 
-    def test_a_rate_limit_is_a_number_of_requests_a_second(self):
+    def test_rate_limit_header(self):
         rows = ((b"1.3", 1.3), (b"0", 0.0), (None, None), (b"", None),
                 (b"few", None), (b"-1", None), (b"nan", None),
                 (b"inf", None))
         for value, expected in rows:
             with self.subTest(value):
-                head = dialect.Head(
+                head = header_codec.Head(
                     ((b"Server-Limit", value),) if value is not None else ())
                 self.assertEqual(
-                    expected, self.dialect.hints(head).rate_limit)
+                    expected, self.codec.hints(head).rate_limit)
 
-    def test_an_engine_says_that_it_leaves_or_wants_rest(self):
+    def test_leaving_and_retry_after_headers(self):
         rows = (
             (200, (), (False, None)),
             (200, ((b"Server-Leaving", b"1"),), (True, None)),
@@ -71,27 +71,29 @@
             (503, ((b"Retry-After", b"0.25"),), (False, 0.25)),
             (503, ((b"Retry-After", b"Thu, 01 Jan 2026 00:00:00 GMT"),),
              (False, None)),
-            # No refusal: it is for the caller.
+            # Not a refusal: the header is meant for the caller.
             (200, ((b"Retry-After", b"3"),), (False, None)),
         )
         for status, sent, expected in rows:
             with self.subTest(sent=sent, status=status):
-                found = self.dialect.hints(dialect.Head(sent, status=status))
+                found = self.codec.hints(
+                    header_codec.Head(sent, status=status))
                 self.assertEqual(expected, (found.leaving, found.rest_s))
 
-    def test_an_engine_fetches_only_where_this_system_says(self):
-        # A caller that names an engine would get another's memory read.
+    def test_kv_fetch_header_of_a_caller_is_replaced(self):
+        # A caller that names an engine could read another caller's cached
+        # data.
         send = effects.Send(1, 0, support.server("i-1"), 1.5, 0, "hire",
                             True, fetch_from=("10.0.0.9", 8080))
-        head = dialect.Head(SENT + FORGED, b"POST", b"/a/1")
-        rows = self.dialect.server_headers(head, send, None)
+        head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
+        rows = self.codec.server_headers(head, send, None)
         self.assertEqual([b"10.0.0.9:8080"], [
             value for name, value in rows if name.lower() == b"kv-fetch"])
         self.assertNotIn(b"Kv-Fetch", _server_headers())
 
-    def test_a_callers_request(self):
-        head = dialect.Head(SENT + FORGED, b"POST", b"/a/1?x=1")
-        found = self.dialect.read_request(head, b"body")
+    def test_request_of_a_caller(self):
+        head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1?x=1")
+        found = self.codec.read_request(head, b"body")
         self.assertEqual(("9c41", "desk.example", "/a/1?x=1", "secret"),
                          (found.rid, found.host, found.path,
                           found.api_key))
@@ -99,9 +101,9 @@
         self.assertEqual((("5c1e", 800), ("91bd", 660)),
                          found.prompt.parts)
 
-    def test_nothing_of_ours_comes_from_a_caller(self):
-        # A caller that sets its own priority or another's memory would
-        # be served before others, or out of their prompts.
+    def test_reserved_headers_of_a_caller_are_dropped(self):
+        # A caller that sets its own priority, or another caller's cache,
+        # would be served first, or from the prompts of others.
         found = _server_headers()
         self.assertNotIn(b"forged", found.values())
         self.assertNotIn(b"Authorization", found)
@@ -111,7 +113,7 @@
         self.assertEqual(b"1500", found[b"X-Crocuskeel-Deadline-Ms"])
         self.assertEqual(b"9", found[b"X-Crocuskeel-Req-Priority"])
 
-    def test_a_resume_names_the_last_event_that_the_caller_has(self):
+    def test_resumed_stream_sends_the_last_event_id(self):
         self.assertEqual(b"4", _server_headers()[b"Last-Event-Id"])
         found = _server_headers(last_event=7, resume=True)
         self.assertEqual(b"7", found[b"Last-Event-Id"])
@@ -121,31 +123,31 @@
         other = (b"X-Crocuskeel-Request-Id", b"ffff")
         stamp = (b"X-Crocuskeel-Server-Stamp", b"3e1b")
         not_run = (b"X-Crocuskeel-Not-Run", b"1")
-        packed = (b"Content-Encoding", b"gzip")
+        compressed = (b"Content-Encoding", b"gzip")
         for rows, status, expected in (
                 ((rid, stamp), 200, "answer"),
                 ((rid,), 200, "garbled"), ((stamp,), 200, "garbled"),
                 ((other, stamp), 200, "foreign"),
-                ((rid, stamp, packed), 200, "garbled"),
+                ((rid, stamp, compressed), 200, "garbled"),
                 ((rid, stamp), 500, "answer"), ((rid,), 503, "answer"),
                 ((not_run,), 503, "not_run"),
                 ((not_run,), 400, "not_run"), ((), 421, "misdirected")):
             with self.subTest(rows=rows, status=status):
                 self.assertEqual(expected,
-                                 self._judge(*rows, status=status))
+                                 self._classify(*rows, status=status))
 
-    def test_a_bad_time_limit_is_a_bad_request(self):
-        head = dialect.Head(((b"X-Crocuskeel-Deadline-Ms", b"soon"),),
-                            b"GET", b"/")
+    def test_invalid_deadline_is_rejected(self):
+        head = header_codec.Head(((b"X-Crocuskeel-Deadline-Ms", b"soon"),),
+                                 b"GET", b"/")
         with self.assertRaises(ValueError):
-            self.dialect.read_request(head, b"")
+            self.codec.read_request(head, b"")
 
-    def test_the_same_request_again_is_known_by_its_digest(self):
-        head = dialect.Head(SENT + FORGED, b"POST", b"/a/1")
-        again = dialect.Head(
+    def test_digest_identifies_repeated_requests(self):
+        head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
+        again = header_codec.Head(
             ((b"X-Crocuskeel-Request-Id", b"other"), *SENT, *FORGED),
             b"POST", b"/a/1")
-        read = self.dialect.read_request
+        read = self.codec.read_request
         self.assertEqual(read(head, b"x").digest, read(again, b"x").digest)
         self.assertNotEqual(read(head, b"x").digest,
                             read(head, b"y").digest)
--- a/tests/platform/test_objects.py
+++ b/tests/platform/test_objects.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers, also from other writers."""
+"""Decoding of entries of backend servers and of services."""
 
 import json
 import random
@@ -20,23 +20,23 @@
 
 
 class ServerTest(unittest.TestCase):
-    """What names a server to use, and what names none."""
+    """Valid and invalid entries of servers."""
 
-    def test_a_whole_entry(self):
+    def test_valid_entry(self):
         server = objects.server(_entry())
         self.assertEqual(
             ("i-1", "plain", ("10.0.0.9", 80), 0.25, SPEC["born"]),
             (server.sid, server.service, server.address, server.cold_s,
              server.born))
 
-    def test_a_server_need_not_say_when_it_started(self):
+    def test_start_time_is_optional(self):
         self.assertIsNone(objects.server(_entry(born=...)).born)
 
-    def test_fields_that_are_missing_or_of_another_type(self):
-        # Another writer's entry took a host's whole list with it: from
-        # then on it learned of no server that came or left.
-        bad = [{key: ...} for key in SPEC if key != "born"]
-        bad += [
+    def test_missing_and_invalid_fields(self):
+        # One invalid entry, written by another program, stopped a host from
+        # reading the list: it no longer saw servers join or leave.
+        invalid = [{key: ...} for key in SPEC if key != "born"]
+        invalid += [
             {"Service": 7}, {"Service": ""}, {"Service": None},
             {"Addr": "10.0.0.9"}, {"Addr": ":80"}, {"Addr": "10.0.0.9:0"},
             {"Addr": "10.0.0.9:99999"}, {"Addr": "here:80"},
@@ -48,12 +48,12 @@
             {"Seq": "3"}, {"Seq": None}, {"Version": 1},
             {"born": "1790000000000"}, {"born": 1.5}, {"born": None},
             {"born": True}]
-        for changes in bad:
+        for changes in invalid:
             with self.subTest(changes=changes):
-                with self.assertRaises(exceptions.BadObject):
+                with self.assertRaises(exceptions.InvalidObjectError):
                     objects.server(_entry(**changes))
 
-    def test_objects_that_are_no_entries(self):
+    def test_malformed_objects(self):
         meta = {"Name": "i-1", "Rev": 4}
         for obj in (None, 7, "x", [], {}, {"Meta": None, "Spec": SPEC},
                     {"Meta": meta}, {"Meta": meta, "Spec": None},
@@ -63,10 +63,10 @@
                     {"Meta": {"Name": 4}, "Spec": SPEC},
                     {"Meta": {}, "Spec": SPEC}):
             with self.subTest(obj=obj):
-                with self.assertRaises(exceptions.BadObject):
+                with self.assertRaises(exceptions.InvalidObjectError):
                     objects.server(obj)
 
-    def test_no_entry_raises_anything_else(self):
+    def test_only_invalid_object_error_is_raised(self):
         rng = random.Random(7)
         values = [None, 0, -1, 1.5, "", "ready", "\x00", [], {}, True,
                   {"a": [1]}, "9" * 400, 10 ** 30, float("inf")]
@@ -82,7 +82,7 @@
                     holder[key] = rng.choice(values)
             try:
                 objects.server(obj)
-            except exceptions.BadObject:
+            except exceptions.InvalidObjectError:
                 continue
 
 
@@ -91,19 +91,19 @@
 
 
 class EngineTest(unittest.TestCase):
-    """What a configuration says of a service's engines."""
+    """Decoding of a service's engines."""
 
     def _engine(self, **fields):
         row = {"Name": "guide", "Engine": {
             "Slots": 64, "KvTokens": 500_000, **fields}}
         return objects.service(row).engine
 
-    def test_how_fast_engines_hand_on_what_they_hold(self):
+    def test_transfer_time_of_the_kv_cache(self):
         # 327,680 bytes a token over 550 Gbit/s.
         engine = self._engine(KvBytes=327_680, LinkMbps=550_000.0)
         self.assertAlmostEqual(4.77e-6, engine.fetch_token_s, 8)
 
-    def test_engines_that_hand_on_nothing(self):
+    def test_engines_without_kv_transfer(self):
         for fields in ({}, {"KvBytes": 1}, {"LinkMbps": 9.0},
                        {"KvBytes": 1, "LinkMbps": 0}):
             with self.subTest(fields):
--- a/tests/platform/test_policy.py
+++ b/tests/platform/test_policy.py
@@ -1,4 +1,4 @@
-"""Our own settings of how engines are ordered."""
+"""The settings file of the capacity policy."""
 
 import pathlib
 import unittest
@@ -11,17 +11,17 @@
 
 
 class PolicyTest(unittest.TestCase):
-    """Good files, and every fault with its id."""
+    """Valid files, and the id of each error."""
 
-    def test_the_example_holds_the_defaults(self):
+    def test_example_file_equals_the_defaults(self):
         self.assertEqual(capacity.Policy(),
-                         policy.read_policy(EXAMPLE.read_text()))
+                         policy.parse_policy(EXAMPLE.read_text()))
 
-    def test_what_is_left_out_keeps_its_default(self):
-        found = policy.read_policy("{use_share: 0.5, /* more */}")
+    def test_missing_settings_keep_their_defaults(self):
+        found = policy.parse_policy("{use_share: 0.5, /* more */}")
         self.assertEqual(capacity.Policy(use_share=0.5), found)
 
-    def test_faults(self):
+    def test_errors(self):
         rows = (
             ("{", ["E001"]), ("[]", ["E002"]), ("{headroom: 1}", ["E003"]),
             ("{use_share: 0, spot_share: '1', kept_s: true}",
@@ -30,8 +30,8 @@
         )
         for text, ids in rows:
             with self.subTest(text=text):
-                with self.assertRaises(policy.BadPolicy) as caught:
-                    policy.read_policy(text)
+                with self.assertRaises(policy.InvalidPolicyError) as caught:
+                    policy.parse_policy(text)
                 self.assertEqual(
                     ids, [fault.id.removeprefix("capacity.")
                           for fault in caught.exception.faults])
--- a/tests/platform/test_reloading.py
+++ b/tests/platform/test_reloading.py
@@ -1,16 +1,16 @@
-"""Settings files that change while a process runs."""
+"""Reloading of a settings file that changes."""
 
 import unittest
 
 from crocuskeel.core.entry import events
-from crocuskeel.platform import boot as boots
+from crocuskeel.platform import boot as boot_settings
 from crocuskeel.platform import reloading
 from tests.platform import test_boot
 from twisted.internet import task
 
 
 class _Gateway:
-    duties = None
+    duty_executor = None
 
     def __init__(self):
         self.lines = []
@@ -31,13 +31,14 @@
     """With a signal and without one."""
 
     def setUp(self):
-        self.text = test_boot.GOOD
+        self.text = test_boot.VALID
         self.clock = task.Clock()
         self.gateway = _Gateway()
         self.store = _Store()
         self.reloader = reloading.Reloader(
-            self.clock, self._read, boots.read_boot(self.text),
-            self.gateway, self.store)
+            self.clock, self._read,
+            boot_settings.parse_boot_settings(self.text), self.gateway,
+            self.store)
         self.reloader.start()
 
     def _read(self):
@@ -46,9 +47,9 @@
         return self.text
 
     def _change(self, old, new):
-        self.text = test_boot.GOOD.replace(old, new)
+        self.text = test_boot.VALID.replace(old, new)
 
-    def test_bounds_and_the_stores_address_are_taken(self):
+    def test_limits_and_store_address_are_applied(self):
         self._change("BudgetSlack=52", "BudgetSlack=7")
         self.text = self.text.replace("10.200.1.7:8223", "10.9.9.9:1")
         self.reloader.reload()
@@ -60,26 +61,26 @@
             "changed": ["store", "settings"], "at_next_start": []})],
             self.gateway.lines)
 
-    def test_a_change_without_a_signal_is_found(self):
+    def test_change_without_a_signal_is_detected(self):
         self._change("BudgetSlack=52", "BudgetSlack=7")
-        self.clock.advance(reloading.LOOK_S)
+        self.clock.advance(reloading.POLL_INTERVAL_S)
         self.assertEqual(1, len(self.gateway.events))
-        self.clock.advance(reloading.LOOK_S)
+        self.clock.advance(reloading.POLL_INTERVAL_S)
         self.assertEqual(1, len(self.gateway.lines))
 
-    def test_an_address_waits_for_the_next_start(self):
+    def test_addresses_change_at_the_next_start(self):
         self._change("Listen.Front=10.1.0.40:8227",
                      "Listen.Front=10.1.0.40:9999")
         self.reloader.reload()
         self.assertEqual(["front"],
                          self.gateway.lines[0][1]["at_next_start"])
 
-    def test_a_bad_file_changes_nothing_and_is_told_once(self):
-        # An operator's tool writes half a file. The process must go on
-        # with what holds, and take the whole file when it is there.
+    def test_invalid_file_is_ignored_and_logged_once(self):
+        # An operator's tool may have written only half of the file. The active
+        # settings stay until the complete file is there.
         self.text = "Node=front-a-1"
         self.reloader.reload()
-        self.clock.pump([reloading.LOOK_S] * 3)
+        self.clock.pump([reloading.POLL_INTERVAL_S] * 3)
         ((event, fields),) = self.gateway.lines
         self.assertEqual("reload_refused", event)
         self.assertTrue(any("Zone" in fault for fault in fields["faults"]))
@@ -89,5 +90,5 @@
                          [event for event, _ in self.gateway.lines])
         self.assertEqual([], self.gateway.events)
         self._change("BudgetSlack=52", "BudgetSlack=7")
-        self.clock.advance(reloading.LOOK_S)
+        self.clock.advance(reloading.POLL_INTERVAL_S)
         self.assertEqual(1, len(self.gateway.events))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the store, call by call."""
+"""The client of the store."""
 
 import json
 import unittest
@@ -11,27 +11,27 @@
 
 
 class PutTest(unittest.TestCase):
-    """Writing an object with as few calls as it needs."""
+    """Writing of objects with as few calls as possible."""
 
     def _put(self, *replies):
-        """Return (methods called, the error or None)."""
+        """Return the HTTP methods of the calls, and the error or None."""
         store = stores.new_store(None, ("10.0.0.1", 80))
-        waiting = [calls.Reply(status, json.dumps(body).encode())
+        replies = [calls.Reply(status, json.dumps(body).encode())
                    for status, body in replies]
-        asked = []
+        requests = []
 
         def call(reactor, address, method, target, timeout_s, body):
-            asked.append(method)
-            return defer.succeed(waiting.pop(0))
+            requests.append(method)
+            return defer.succeed(replies.pop(0))
 
         with mock.patch.object(calls, "call", call):
             done = defer.Deferred.fromCoroutine(
                 store.put("hosts", "h1", {"Zone": "a"}))
         failed = []
         done.addErrback(lambda failure: failed.append(failure.value))
-        return asked, failed[0] if failed else None
+        return requests, failed[0] if failed else None
 
-    def test_calls_by_what_is_there(self):
+    def test_calls_depend_on_the_existing_object(self):
         rows = (
             ("new", [b"POST"], (201, {})),
             ("the same", [b"POST"], (409, {"Spec": {"Zone": "a"}})),
@@ -43,7 +43,7 @@
             with self.subTest(name):
                 self.assertEqual((methods, None), self._put(*replies))
 
-    def test_what_is_not_written_is_said(self):
+    def test_rejected_write_raises_an_error(self):
         for replies in (((503, {}),),
                         ((409, {"Spec": {}}), (409, {"Spec": {}}))):
             _, error = self._put(*replies)
@@ -51,51 +51,51 @@
 
 
 class ListTest(unittest.TestCase):
-    """Pages and changes with rows that are no objects."""
+    """Lists and changes that contain malformed rows."""
 
     def _read(self, method, *bodies):
         store = stores.new_store(None, ("10.0.0.1", 80))
-        waiting = [calls.Reply(200, body) for body in bodies]
-        asked = []
+        replies = [calls.Reply(200, body) for body in bodies]
+        requests = []
 
         def call(reactor, address, method, target, timeout_s, body):
-            asked.append(target)
-            return defer.succeed(waiting.pop(0))
+            requests.append(target)
+            return defer.succeed(replies.pop(0))
 
         found = []
         with mock.patch.object(calls, "call", call):
             done = defer.Deferred.fromCoroutine(method(store))
         done.addBoth(found.append)
-        return found[0], asked
+        return found[0], requests
 
     def _list(self, *bodies):
         return self._read(lambda store: store.list("servers"), *bodies)
 
-    def test_a_page_goes_on_after_the_last_name_that_can_be_read(self):
+    def test_next_page_starts_after_the_last_readable_name(self):
         first = {"Items": [{"Meta": {"Name": "s1"}}, {"Meta": None}, 7],
                  "More": True, "AsOf": 4}
         last = {"Items": [{"Meta": {"Name": "s2"}}], "AsOf": 4}
-        found, asked = self._list(*(
+        found, requests = self._list(*(
             json.dumps(page).encode() for page in (first, last)))
         self.assertEqual(4, len(found.items))
-        self.assertTrue(asked[1].endswith(b"?AfterRev=s1"))
+        self.assertTrue(requests[1].endswith(b"?AfterRev=s1"))
 
-    def test_bytes_that_are_no_text_hide_no_other_entry(self):
-        # One entry's bytes were no UTF-8: the whole list could not be
-        # read, and the store counted as lost.
+    def test_invalid_utf8_does_not_hide_other_entries(self):
+        # One entry with invalid UTF-8 made the whole list unreadable, and the
+        # store counted as lost.
         found, _ = self._list(
             b'{"Items": [{"Meta": {"Name": "s1"}, "Spec": "\xff\xfe"},'
             b' {"Meta": {"Name": "s2"}}], "AsOf": 4}')
         self.assertEqual("s2", found.items[1]["Meta"]["Name"])
 
-    def test_changes_that_are_no_objects_are_passed_over(self):
+    def test_malformed_changes_are_skipped(self):
         found, _ = self._read(
             lambda store: store.watch("servers", 3, 2.0),
             b'{"events": [7, null, {"Removed": true}, {"Object": 5,'
             b' "Removed": false}], "AsOf": 6}')
         self.assertEqual(((5, False),), found.rows)
 
-    def test_an_answer_that_is_no_page_counts_as_none(self):
+    def test_malformed_page_raises_an_error(self):
         for body in (b"", b"[]", b"{}", b'{"AsOf": "4"}', b"[" * 100_000):
             with self.subTest(body[:20]):
                 found, _ = self._list(body)
