--- a/tests/platform/test_following.py
+++ b/tests/platform/test_store_watcher.py
@@ -1,4 +1,4 @@
-"""Following the store through outages, against a store of a few lines."""
+"""Watching of the store, also during outages, against a fake store."""
 
 import dataclasses
 import json
@@ -10,9 +10,9 @@
 from crocuskeel.core.entry import events
 from crocuskeel.gateway import metrics
 from crocuskeel.platform import exceptions
-from crocuskeel.platform import following
 from crocuskeel.platform import objects
 from crocuskeel.platform import store as stores
+from crocuskeel.platform import store_watcher
 from tests.entry import support
 from twisted.internet import defer
 from twisted.internet import task
@@ -31,12 +31,12 @@
 
 
 class _Store:
-    """Answers calls with what a test lays ready, by kind."""
+    """Keeps one pending call per kind until a test answers it."""
 
     def __init__(self):
         self.calls = []
         self.spans = []
-        self.waiting = {}
+        self.pending_calls = {}
 
     async def list(self, kind):
         return await self._call("list", kind)
@@ -50,55 +50,55 @@
 
     def _call(self, *call):
         self.calls.append(call)
-        self.waiting[call[1]] = defer.Deferred()
-        return self.waiting[call[1]]
+        self.pending_calls[call[1]] = defer.Deferred()
+        return self.pending_calls[call[1]]
 
     def answer(self, kind, result):
-        waiting = self.waiting.pop(kind)
+        pending_calls = self.pending_calls.pop(kind)
         if isinstance(result, Exception):
-            waiting.errback(result)
+            pending_calls.errback(result)
         else:
-            waiting.callback(result)
+            pending_calls.callback(result)
 
 
 class _Gateway:
     def __init__(self):
         self.host = entry.new_host(entry.Settings(), random.Random(1))
         self.now = 0.0
-        self.lines = []
-        self.fields = {}
+        self.events = []
+        self.event_fields = {}
         self.feed(events.Started(support.peer("me")))
 
     def feed(self, event):
         entry.reduce(self.host, event, self.now)
 
     def log(self, event, fields):
-        self.lines.append(event)
-        self.fields[event] = fields
+        self.events.append(event)
+        self.event_fields[event] = fields
 
 
-class FollowerTest(unittest.TestCase):
-    """What a host believes after each answer of the store."""
+class StoreWatcherTest(unittest.TestCase):
+    """State of a host after each answer of the store."""
 
     def setUp(self):
         self.clock = task.Clock()
         self.store = _Store()
         self.gateway = _Gateway()
         self.host = self.gateway.host
-        self.follower = following.new_follower(
+        self.watcher = store_watcher.new_watcher(
             self.clock, self.gateway, self.store)
-        self.follower.start()
+        self.watcher.start()
         self.store.answer("crocuskeel-hosts", stores.Listing((), 4))
         self.store.answer("config", stores.Listing((_config(3),), 4))
         self.store.answer("servers", stores.Listing(
             (_server("s1"), _server("s2")), 4))
 
-    def test_watches_from_the_lists_revision(self):
+    def test_watch_starts_at_the_revision_of_the_list(self):
         self.assertIn(("watch", "config", 4), self.store.calls)
         self.assertEqual(3, self.host.catalog.revision)
         self.assertEqual(["s1", "s2"], list(self.host.servers))
 
-    def test_changes_are_taken_at_once(self):
+    def test_changes_are_applied_immediately(self):
         self.store.answer("servers", stores.Changes(
             ((_server("s1", "draining"), False), (_server("s2"), True)),
             6))
@@ -106,20 +106,20 @@
         self.assertNotIn("s2", self.host.servers)
         self.assertIn(("watch", "servers", 6), self.store.calls)
 
-    def test_a_history_that_is_gone_is_read_anew(self):
-        # A server left in the gap that no watch shows.
+    def test_list_is_read_again_after_410(self):
+        # A server left during the gap, which no watch reports.
         self.store.answer("servers", exceptions.StoreError(410, "gone"))
         self.clock.advance(0.5)
         self.store.answer("servers", stores.Listing((_server("s1"),), 9))
         self.assertEqual(["s1"], list(self.host.servers))
 
-    def test_a_history_that_is_gone_shows_that_the_store_is_back(self):
+    def test_410_counts_as_an_answer_of_the_store(self):
         self.store.answer("config", exceptions.StoreError(0, "down"))
         self.assertIsNotNone(self.host.store_lost_at)
         self.store.answer("servers", exceptions.StoreError(410, "gone"))
         self.assertIsNone(self.host.store_lost_at)
 
-    def test_what_is_known_holds_through_an_outage(self):
+    def test_servers_are_kept_during_an_outage(self):
         for _ in range(5):
             self.store.answer("servers", exceptions.StoreError(0, "down"))
             self.clock.advance(2.0)
@@ -128,16 +128,16 @@
         self.store.answer("servers", stores.Changes((), 9))
         self.assertIsNone(self.host.store_lost_at)
 
-    def test_a_watch_waits_as_long_as_a_configuration_may_take(self):
+    def test_watch_timeout_is_limited_by_apply_s(self):
         self.assertLess(max(self.store.spans), self.host.cfg.apply_s)
         self.gateway.feed(events.SettingsSeen(entry.Settings(apply_s=0.5)))
         self.store.answer("servers", stores.Changes((), 9))
         self.assertEqual(0.5, self.store.spans[-1])
 
-    def test_a_watch_that_is_back_renews_the_other(self):
-        # A host is cut off and heals. One watch is renewed; the other
-        # hangs on a connection that is dead, and the configuration of
-        # four seconds ago stays in force.
+    def test_recovered_watch_restarts_the_other_watch(self):
+        # After a network partition one watch is renewed while the other waits
+        # on a dead connection: the configuration from four seconds ago
+        # stayed in force.
         self.store.answer("servers", exceptions.StoreError(0, "down"))
         self.clock.advance(0.5)
         watches = self.store.calls.count(("watch", "config", 4))
@@ -146,10 +146,10 @@
         self.assertEqual(watches + 1, self.store.calls.count(
             ("watch", "config", 4)))
 
-    def test_the_log_tells_each_failed_call_and_the_next_watch(self):
-        # Only the first failure left a line: whether a host watched,
-        # listed or had ended could not be told afterwards.
-        del self.gateway.lines[:]
+    def test_failed_calls_and_next_watch_are_logged(self):
+        # Only the first failure was logged: the log did not show whether a
+        # host watched, listed or had ended.
+        del self.gateway.events[:]
         self.clock.advance(0.4)
         self.store.answer("servers", exceptions.StoreError(0, "reset"))
         self.clock.advance(0.5)
@@ -158,85 +158,89 @@
         self.assertEqual({
             "kind": "servers", "why": "gone (410)", "status": 410,
             "revision": 4, "failures": 2, "after_s": 0.2},
-            self.gateway.fields["store_call_failed"])
+            self.gateway.event_fields["store_call_failed"])
         self.clock.advance(1.0)
         self.store.answer("servers", stores.Listing((), 9))
         self.assertEqual(
             ["store_call_failed", "watch_begun", "store_call_failed",
-             "watch_begun"], self.gateway.lines)
-        self.assertEqual(9, self.gateway.fields["watch_begun"]["revision"])
+             "watch_begun"], self.gateway.events)
+        self.assertEqual(
+            9, self.gateway.event_fields["watch_begun"]["revision"])
 
-    def test_a_metric_tells_how_long_the_store_gave_no_answer(self):
-        counts = metrics.new_metrics(self.host)
-        counts.show_unheard(self.follower.unheard_s)
+    def test_metric_of_time_since_last_answer(self):
+        host_metrics = metrics.new_metrics(self.host)
+        host_metrics.register_last_answer_age(self.watcher.last_answer_age_s)
         self.clock.advance(1.5)
         self.store.answer("servers", stores.Changes((), 9))
-        text = counts.text().decode()
+        text = host_metrics.text().decode()
         self.assertIn('unheard_seconds{kind="config"} 1.5', text)
         self.assertIn('unheard_seconds{kind="servers"} 0.0', text)
 
-    def test_calls_in_an_outage_are_few(self):
-        # Each is billed, also those that get no answer.
+    def test_retries_during_an_outage_are_limited(self):
+        # Each call is billed, even without an answer.
         before = len(self.store.calls)
         for _ in range(100):
-            if "servers" in self.store.waiting:
+            if "servers" in self.store.pending_calls:
                 self.store.answer("servers",
                                   exceptions.StoreError(503, "busy"))
             self.clock.advance(0.1)
         self.assertLess(len(self.store.calls) - before, 16)
 
-    def test_bad_objects_are_left_out_with_a_line(self):
+    def test_invalid_objects_are_skipped_and_logged(self):
         self.store.answer("servers", stores.Changes(
             (({"Meta": {"Name": "s9"}, "Spec": {"Addr": "x"}}, False),),
             6))
         self.store.answer("config", stores.Changes(
             ((_config(7, Routes=[{"Name": "r"}]), False),), 7))
         self.assertEqual(["bad_object", "bad_object"],
-                         self.gateway.lines[-2:])
+                         self.gateway.events[-2:])
         self.assertEqual(3, self.host.catalog.revision)
 
-    def test_a_configuration_of_another_form_hides_no_later_one(self):
-        for bad in ({"Limits": [1]}, {"Routes": [{"Name": "r", "Host": 5}]}):
+    def test_invalid_configuration_does_not_block_the_next(self):
+        for invalid in ({"Limits": [1]},
+                        {"Routes": [{"Name": "r", "Host": 5}]}):
             self.setUp()
             self.store.answer("config", stores.Changes(
-                ((_config(7, **bad), False),), 7))
-            self.assertEqual("bad_object", self.gateway.lines[-1])
+                ((_config(7, **invalid), False),), 7))
+            self.assertEqual("bad_object", self.gateway.events[-1])
             self.store.answer("config", stores.Changes(
                 ((_config(8), False),), 8))
             self.assertEqual(8, self.host.catalog.revision)
 
-    def test_an_error_in_taking_news_does_not_end_the_following(self):
-        with mock.patch.object(self.follower, "take_config", autospec=True,
+    def test_unexpected_error_restarts_the_watch(self):
+        with mock.patch.object(self.watcher, "apply_config", autospec=True,
                                side_effect=RuntimeError("unforeseen")):
             self.store.answer("config", stores.Changes(
                 ((_config(7), False),), 7))
-        self.assertEqual("follower_died", self.gateway.lines[-1])
+        self.assertEqual("follower_died", self.gateway.events[-1])
         self.clock.advance(2.0)
         self.store.answer("config", stores.Listing((_config(7),), 9))
         self.assertEqual(7, self.host.catalog.revision)
         self.assertIn(("watch", "config", 9), self.store.calls)
 
-    def test_bad_entries_harm_no_other(self):
-        # Another program writes to the list of servers. A host that read
-        # one entry without a name stopped to follow the list for good.
-        bad = [None, 7, {"Meta": {}}, {"Meta": {"Name": "s7"}, "Spec": "?"},
-               {"Meta": {"Name": "s8"}, "Spec": {"Service": ["x"]}},
-               _server("s9", "resting")]
-        rows = tuple((obj, False) for obj in bad)
+    def test_invalid_entries_do_not_affect_others(self):
+        # Other programs also write to the list of servers. A host that read
+        # an entry without a name stopped watching the list for good.
+        invalid = [None, 7, {"Meta": {}},
+                   {"Meta": {"Name": "s7"}, "Spec": "?"},
+                   {"Meta": {"Name": "s8"}, "Spec": {"Service": ["x"]}},
+                   _server("s9", "resting")]
+        rows = tuple((obj, False) for obj in invalid)
         self.store.answer("servers", stores.Changes(
             (*rows, (_server("s3"), False), (None, True)), 6))
         self.assertEqual(["s1", "s2", "s3"], sorted(self.host.servers))
         self.store.answer("servers", exceptions.StoreError(410, "gone"))
         self.clock.advance(0.5)
         self.store.answer("servers", stores.Listing(
-            (*bad, *map(_server, ("s1", "s2", "s4"))), 9))
+            (*invalid, *map(_server, ("s1", "s2", "s4"))), 9))
         self.assertEqual(["s1", "s2", "s4"], sorted(self.host.servers))
-        told = self.follower.snapshot(3)["servers"]
-        self.assertEqual(["s1", "s2", "s4"], list(map(objects.name, told)))
+        snapshot_servers = self.watcher.snapshot(3)["servers"]
+        self.assertEqual(["s1", "s2", "s4"],
+                         list(map(objects.name, snapshot_servers)))
 
-    def test_an_entry_that_can_not_be_read_names_no_server(self):
-        # Not even while the store is away, when entries that are missing
-        # are kept for a while.
+    def test_invalid_entry_removes_its_server(self):
+        # This also holds while the store is lost, when missing entries are
+        # kept for a while.
         for obj in (_server("s1", "resting"),
                     {"Meta": {"Name": "s1"}, "Spec": None}):
             self.setUp()
@@ -245,100 +249,100 @@
                 ((obj, False),), 6))
             self.assertEqual(["s2"], list(self.host.servers))
 
-    def test_an_entry_of_no_service_ends_no_other(self):
-        # It has the address of a server that lives, which was taken for
-        # gone and got nothing more.
+    def test_entry_of_unknown_service_does_not_affect_others(self):
+        # The entry has the address of a live server, which was considered
+        # removed and got no more requests.
         other = _server("s9")
         other["Spec"]["Service"] = "elsewhere"
         self.store.answer("servers", stores.Changes(((other, False),), 6))
         self.assertFalse(self.host.servers["s1"].misdirects)
 
-    def test_a_snapshot_of_a_peer_brings_what_is_newer_only(self):
-        snapshot = self.follower.snapshot(3)
+    def test_only_newer_data_of_a_snapshot_is_applied(self):
+        snapshot = self.watcher.snapshot(3)
         self.assertIsNone(snapshot["config"])
-        self.follower.take_snapshot({
+        self.watcher.apply_snapshot({
             "config": _config(2), "servers": [_server("old")],
             "revision": 2})
         self.assertEqual(3, self.host.catalog.revision)
         self.assertNotIn("old", self.host.servers)
-        self.follower.take_snapshot({
+        self.watcher.apply_snapshot({
             "config": _config(8), "servers": [_server("s1")],
             "revision": 8})
         self.assertEqual(8, self.host.catalog.revision)
         self.assertEqual(["s1"], list(self.host.servers))
 
-    def test_one_change_is_fetched_without_all_other_servers(self):
-        # A fleet of 300 hosts before 3,000 servers does not get through
-        # its start: each server that registers has each host fetch and
-        # read the whole list again. Cause: what hosts fetch of a reader
-        # grows with the servers, not with what changed.
+    def test_snapshot_holds_only_changed_servers(self):
+        # 300 hosts with 3,000 servers didn't complete their start: for each
+        # server that registered, each host fetched and parsed the whole list,
+        # as a snapshot grew with the servers instead of the changes.
         servers = [_server(f"s{number}") for number in range(3000)]
         self.store.answer("servers", stores.Changes(
             tuple((server, False) for server in servers), 5))
-        known = json.dumps(self.follower.snapshot(3, 0))
+        full_snapshot = json.dumps(self.watcher.snapshot(3, 0))
         self.store.answer("servers", stores.Changes(
             ((_server("s7", "draining"), False),), 6))
-        fetched = json.dumps(self.follower.snapshot(3, 5))
-        self.assertLess(len(fetched), len(known) / 100)
+        partial_snapshot = json.dumps(self.watcher.snapshot(3, 5))
+        self.assertLess(len(partial_snapshot), len(full_snapshot) / 100)
 
-    def test_a_host_that_fetches_changes_comes_to_the_same_list(self):
-        # A host fetches from a reader again and again, and falls behind
-        # so far once that the reader no longer knows what changed.
+    def test_host_that_applies_changes_has_the_same_list(self):
+        # The host fetches several snapshots, and one time falls so far behind
+        # that the reader no longer has the changes.
         other = _Gateway()
-        fetching = following.new_follower(self.clock, other, _Store())
+        fetching_watcher = store_watcher.new_watcher(
+            self.clock, other, _Store())
         rows = (((_server("s3"), False),), ((_server("s1"), True),),
                 ((_server("s2", "draining"), False), (_server("s3"), True),
                  (_server("s4"), False)))
-        for number, news in enumerate(rows):
-            snapshot = json.loads(json.dumps(self.follower.snapshot(
-                0, fetching.revision)))
+        for number, changes in enumerate(rows):
+            snapshot = json.loads(json.dumps(self.watcher.snapshot(
+                0, fetching_watcher.revision)))
             self.assertEqual(number > 0, "since" in snapshot)
-            fetching.take_snapshot(snapshot)
-            self.store.answer("servers", stores.Changes(news, 6 + number))
-        fetching.take_snapshot(self.follower.snapshot(0, 7))
+            fetching_watcher.apply_snapshot(snapshot)
+            self.store.answer("servers", stores.Changes(changes, 6 + number))
+        fetching_watcher.apply_snapshot(self.watcher.snapshot(0, 7))
         self.assertEqual(sorted(self.host.servers),
                          sorted(other.host.servers))
-        self.assertEqual(["s2", "s4"], sorted(fetching.raw_servers))
+        self.assertEqual(["s2", "s4"], sorted(fetching_watcher.raw_servers))
         self.assertTrue(other.host.servers["s2"].server.draining)
 
-    def test_changes_since_a_revision_that_it_never_had_are_not_taken(self):
-        # It started anew while its fetch was on the way.
-        self.follower.take_snapshot({
+    def test_changes_since_an_unknown_revision_are_ignored(self):
+        # The host restarted while its fetch was in progress.
+        self.watcher.apply_snapshot({
             "config": None, "servers": [], "removed": ["s1"], "since": 5,
             "revision": 9, "lapsing": []})
         self.assertEqual(["s1", "s2"], list(self.host.servers))
 
-    def test_a_server_that_leaves_and_comes_back_at_once_is_there(self):
+    def test_server_that_is_removed_and_added_again_is_kept(self):
         self.store.answer("servers", stores.Changes(
             ((_server("s2"), True), (_server("s2"), False)), 6))
         self.assertIn("s2", self.host.servers)
-        self.assertEqual(2, len(self.follower.snapshot(3)["servers"]))
+        self.assertEqual(2, len(self.watcher.snapshot(3)["servers"]))
 
-    def test_a_watch_that_ends_without_news_is_told_to_nobody(self):
-        # The store's revision moves on with each write to it, also of
-        # other kinds: hosts fetched a list that they had each 2 s.
+    def test_watch_without_changes_is_not_announced(self):
+        # The store's revision grows with each write of any kind: hosts fetched
+        # a list that they already had every 2 s.
         self.store.answer("servers", stores.Changes((), 9))
         self.assertEqual(4, self.host.servers_revision)
         self.assertIn(("watch", "servers", 9), self.store.calls)
 
-    def test_a_snapshot_tells_what_lapsed_and_is_kept(self):
+    def test_snapshot_lists_expiring_servers(self):
         self.gateway.feed(events.StoreBack())
         self.host.store_back_at = self.gateway.now
         self.store.answer("servers", stores.Changes(
             ((_server("s2"), True),), 6))
-        snapshot = self.follower.snapshot(3)
+        snapshot = self.watcher.snapshot(3)
         self.assertEqual(["s1"], [objects.name(obj) for obj
                                   in snapshot["servers"]])
         ((sid, left_s),) = snapshot["lapsing"]
         self.assertEqual("s2", sid)
         self.assertTrue(0 < left_s < 2)
 
-    def test_a_host_that_stops_reading_counts_no_store_as_lost(self):
-        # Others read for all, and this one lost the store before: it
-        # would wait for ever for the store that it no longer asks.
+    def test_host_that_stops_reading_resets_the_lost_store(self):
+        # The host lost the store, and then others took over the reading. It
+        # must not wait forever for a store that it no longer calls.
         self.store.answer("servers", exceptions.StoreError(0, "down"))
         self.assertIsNotNone(self.host.store_lost_at)
-        self.follower._reads = lambda: False
+        self.watcher._reads_store = lambda: False
         self.clock.advance(1.0)
         self.assertIsNone(self.host.store_lost_at)
 
@@ -346,7 +350,7 @@
 class ObjectsTest(unittest.TestCase):
     """Decoding of objects."""
 
-    def test_a_configuration(self):
+    def test_configuration_is_decoded(self):
         row = {"Name": "r", "Host": "Desk.Example", "Prefix": "/a/",
                "Kind": "stream", "TimeoutMs": 8000, "GoalMs": 2000,
                "Priority": 2, "Service": "engines", "Attempts": 2,
@@ -364,7 +368,7 @@
                                     found.api_keys["k"].priority))
         self.assertEqual(500, found.services["engines"].engine.memory)
 
-    def test_a_host_comes_back_as_registered(self):
+    def test_peer_round_trip(self):
         me = support.peer("me")
         obj = {"Meta": {"Name": "me"}, "Spec": objects.peer_spec(me)}
         found = objects.peer(obj)
