--- a/crocuskeel/core/door/__init__.py
+++ b/crocuskeel/core/door/__init__.py
@@ -1,4 +1,4 @@
-"""The door: every caller's request, from arrival to its one answer."""
+"""The entry host: handles callers' requests from arrival to answer."""
 
 from crocuskeel.core.door.handling import handle
 from crocuskeel.core.door.state import DoorState
--- a/crocuskeel/core/door/admitting.py
+++ b/crocuskeel/core/door/admitting.py
@@ -1,9 +1,9 @@
-"""Admission: plain checks of a request, refused at once or enqueued."""
+"""Admission control: validates a request, then refuses or enqueues it."""
 
+from crocuskeel.core.door import claim_lookup
 from crocuskeel.core.door import deadlines
 from crocuskeel.core.door import ending
 from crocuskeel.core.door import locating
-from crocuskeel.core.door import looking
 from crocuskeel.core.door import models
 from crocuskeel.core.door import queueing
 from crocuskeel.core.door import recovering
@@ -19,63 +19,63 @@
 Reason = problems.Reason
 
 CALL_ROLE = "call"
-RETRY_SOON_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
 def arrived(daemon, event, now):
-    """Admit a request or refuse it; the first check that fails wins."""
-    if event.rid in daemon.door.requests or event.rid in daemon.door.looks:
+    """Admit a request, or refuse it for the first check that fails."""
+    if event.rid in daemon.door.requests or event.rid in daemon.door.lookups:
         return []
-    out = _judged(daemon, event, now)
+    out = _check(daemon, event, now)
     if not event.idempotency_key:
         return out
-    return looking.unless_ran(daemon, event, out)
+    return claim_lookup.verify_not_run(daemon, event, out)
 
 
-def _judged(daemon, event, now):
-    refusal = _host_refuses(daemon, event, now)
+def _check(daemon, event, now):
+    refusal = _check_host(daemon, event, now)
     if refusal is not None:
         return refusal
     caller = follower.caller(daemon, event.token)
     if caller is None or CALL_ROLE not in caller.roles:
         return ending.refuse_arrival(event.rid, Reason.UNAUTHORIZED)
-    # OpenAI clients that can't set a header give the class as model.
+    # OpenAI clients that can't set a header pass the class as the model.
     name = event.class_name or event.model
     policy = follower.policy(daemon, caller.workspace, name)
     if policy is None:
         return ending.refuse_arrival(event.rid, Reason.UNKNOWN_CLASS,
                                      detail=name)
-    return _known_class(daemon, event, caller, policy, now)
+    return _check_class(daemon, event, caller, policy, now)
 
 
-def _host_refuses(daemon, event, now):
+def _check_host(daemon, event, now):
     if daemon.door.drain_at is not None:
         return ending.refuse_arrival(
-            event.rid, Reason.LEAVING, retry_after_s=RETRY_SOON_S,
-            location=locating.elsewhere(daemon))
+            event.rid, Reason.LEAVING, retry_after_s=RETRY_AFTER_S,
+            location=locating.other_host_address(daemon))
     if daemon.follower.tree is None:
         return ending.refuse_arrival(event.rid, Reason.NOT_READY,
-                                     retry_after_s=RETRY_SOON_S)
+                                     retry_after_s=RETRY_AFTER_S)
     if not follower.ready(daemon, now):
         return ending.refuse_arrival(event.rid, Reason.SETTINGS_STALE,
-                                     retry_after_s=RETRY_SOON_S)
+                                     retry_after_s=RETRY_AFTER_S)
     return None
 
 
-def _known_class(daemon, event, caller, policy, now):
+def _check_class(daemon, event, caller, policy, now):
     name = policy.name
     repeatable = policy.repeatable and not event.non_repeatable
     if not repeatable and not event.idempotency_key:
         return ending.refuse_arrival(event.rid, Reason.KEY_REQUIRED,
                                      class_name=name)
-    replayed = replaying.by_key(daemon, event, caller, name)
+    replayed = replaying.answer_resend(daemon, event, caller, name)
     if replayed is not None:
         return replayed
     if event.max_tokens > policy.max_tokens:
         return ending.refuse_arrival(
             event.rid, Reason.TOO_LARGE, class_name=name,
             detail=f"max_tokens is over {policy.max_tokens}")
-    model = models.choose(daemon, event, policy)
+    model = models.choose_model(daemon, event, policy)
     if model.is_err():
         return ending.refuse_arrival(
             event.rid, Reason.BAD_REQUEST, class_name=name,
@@ -83,10 +83,10 @@
     if quarantine.verdict(daemon, event.fingerprint) == "quarantined":
         return ending.refuse_arrival(event.rid, Reason.QUARANTINED,
                                      class_name=name)
-    cell = queueing.cell_for(daemon, policy.service, event)
+    cell = queueing.assign_cell(daemon, policy.service, event)
     if not cell:
         return ending.refuse_arrival(event.rid, Reason.NO_BACKEND,
-                                     retry_after_s=RETRY_SOON_S,
+                                     retry_after_s=RETRY_AFTER_S,
                                      class_name=name)
     req = state.Request(
         event, caller, policy, repeatable, cell, now,
@@ -97,29 +97,30 @@
 def _admit(daemon, req, now):
     out = []
     if len(daemon.door.requests) >= daemon.limits.max_requests:
-        victim = _victim(daemon, req)
+        victim = _request_to_shed(daemon, req)
         if victim is None:
             return ending.refuse_arrival(
-                req.rid, Reason.OVERLOAD, retry_after_s=RETRY_SOON_S,
+                req.rid, Reason.OVERLOAD, retry_after_s=RETRY_AFTER_S,
                 class_name=req.policy.name)
-        out += ending.answer(daemon, victim, Reason.OVERLOAD, now,
-                             retry_after_s=RETRY_SOON_S)
+        out += ending.fail(daemon, victim, Reason.OVERLOAD, now,
+                           retry_after_s=RETRY_AFTER_S)
     daemon.door.requests[req.rid] = req
     if req.arrival.idempotency_key:
-        daemon.door.keys[req.scope] = req.rid
-    recovering.fund(daemon, req.policy)
+        daemon.door.rids_by_key[req.scope] = req.rid
+    recovering.add_retry_budget(daemon, req.policy)
     out += [reporting.record(req, "arrived", now),
             reporting.count(f"class.{req.policy.name}.arrived"),
             deadlines.start(req, now)]
     return out + queueing.enqueue(daemon, req, now)
 
 
-def _victim(daemon, req):
-    """Return a waiting request of the lowest tier below, or None.
+def _request_to_shed(daemon, req):
+    """Return the waiting request to shed for ``req``, or None.
 
-    A full host that refused whoever comes last would shed a higher tier
-    for the lower ones it holds. The newest goes, so that the oldest of
-    its tier keeps its bounded wait.
+    It is the newest request of the lowest tier below that of ``req``. A
+    full host that always refused the newest arrival would shed a higher
+    tier in favor of the lower tiers it already holds. The newest request
+    of a tier is shed so that the wait of the oldest stays bounded.
     """
     lower = [other for other in daemon.door.requests.values()
              if other.stage is state.Stage.WAITING
--- a/crocuskeel/core/door/claim_keys.py
+++ b/crocuskeel/core/door/claim_keys.py
@@ -1,4 +1,4 @@
-"""Where the ledger keeps the claim of a request."""
+"""Maps a request to the ledger key, slot and host of its claim."""
 
 from crocuskeel.core import claims
 from crocuskeel.core import membership
@@ -7,9 +7,10 @@
 
 
 def key_of(scope):
-    """Return the ledger's key: callers can't reach each other's.
+    """Return the ledger key of an Idempotency-Key.
 
-    ``scope`` is workspace, caller and Idempotency-Key.
+    ``scope`` is workspace, caller and Idempotency-Key, so that callers
+    can't reach each other's claims.
     """
     return claims.key_digest(*scope)
 
@@ -20,6 +21,6 @@
 
 
 def owner_of(daemon, key):
-    """Return the host that records claims of the key's slot."""
+    """Return the host that records the claims of the key's slot."""
     slot = slot_of(daemon, key)
     return claims.owner_of(slot, membership.live(daemon))
--- a/crocuskeel/core/door/claiming.py
+++ b/crocuskeel/core/door/claiming.py
@@ -1,7 +1,8 @@
-"""Claims: a non-repeatable request runs only after its claim is kept.
+"""Claims: a non-repeatable request runs only once its claim is recorded.
 
-The claim is asked for when a slot is granted, so that a request that is
-never granted needs none, and answered before anything is sent.
+The claim is requested when a slot is granted, so that a request that is
+never granted needs none. It must be recorded before anything is sent to
+a backend server.
 """
 
 from crocuskeel.core.door import claim_keys
@@ -13,39 +14,39 @@
 from crocuskeel.core import messages
 from crocuskeel.core import problems
 
-__all__ = ["ask", "late_answer", "refused", "timed_out"]
+__all__ = ["late_response", "refused", "request_claim", "timed_out"]
 
-ASK_AGAIN_S = 0.5
-CLAIM_WAIT_S = 3.0
+RESEND_INTERVAL_S = 0.5
+CLAIM_TIMEOUT_S = 3.0
 RETRY_AFTER_S = 2.0
 
 _REFUSALS = {
     "mismatch": problems.Reason.KEY_MISMATCH,
     "too_old": problems.Reason.KEY_TOO_OLD,
-    # Issued in the future by the ledger's clock.
+    # The issue time is in the future by the ledger's clock.
     "too_new": problems.Reason.BAD_REQUEST,
     "unavailable": problems.Reason.CLAIM_UNAVAILABLE,
 }
 
 
-def ask(daemon, req, now):
-    """Ask the slot's owner to record the claim; bounded in time."""
+def request_claim(daemon, req, now):
+    """Ask the slot's owner to record the claim, with a timeout."""
     req.stage = state.Stage.CLAIMING
-    req.claim_asked = True
-    req.claim_until = now + CLAIM_WAIT_S
+    req.claim_requested = True
+    req.claim_expires_at = now + CLAIM_TIMEOUT_S
     if req.policy.late == "drop":
-        req.claim_until = min(req.claim_until, req.deadline_at)
+        req.claim_expires_at = min(req.claim_expires_at, req.deadline_at)
     return _send(daemon, req, now)
 
 
 def _send(daemon, req, now):
     key = ending.claim_key(req)
-    left = max(0.0, req.claim_until - now)
+    remaining_s = max(0.0, req.claim_expires_at - now)
     message = messages.ClaimAsk(
         req.rid, claim_keys.slot_of(daemon, key), key, req.arrival.digest,
-        left, req.arrival.issued_at)
+        remaining_s, req.arrival.issued_at)
     out = [effects.SetTimer(("door", "claim", req.rid),
-                            min(ASK_AGAIN_S, left))]
+                            min(RESEND_INTERVAL_S, remaining_s))]
     owner = claim_keys.owner_of(daemon, key)
     if owner:
         out.append(effects.Send(owner, message))
@@ -53,14 +54,14 @@
 
 
 def timed_out(daemon, req, now):
-    """Ask again, maybe another owner, until the claim's time is over.
+    """Resend the claim, maybe to a new owner, until it times out.
 
-    The ledger takes the same rid's claim twice for one, so an answer
-    that was lost on its way costs nothing but the repetition.
+    Claims are idempotent for the same rid, so a lost answer costs only
+    the extra message.
     """
     if req.stage is not state.Stage.CLAIMING:
         return []
-    if now < req.claim_until:
+    if now < req.claim_expires_at:
         return _send(daemon, req, now)
     out = [reporting.record(req, "claim_timeout", now)]
     return out + _refuse(daemon, req, now,
@@ -70,7 +71,8 @@
 def refused(daemon, req, message, now):
     """Answer a request whose claim was refused; it never ran itself.
 
-    Of a key older than what is kept nobody knows whether it ran.
+    For a key older than the ledger's retention it is unknown whether an
+    earlier request with that key ran.
     """
     reason = _REFUSALS.get(message.status,
                            problems.Reason.CLAIM_UNAVAILABLE)
@@ -82,15 +84,15 @@
 
 def _refuse(daemon, req, now, reason, retry_after_s, outcome=None):
     out = ending.release(daemon, req, events.AttemptEnd.CANCELLED)
-    return out + ending.answer(daemon, req, reason, now,
-                               retry_after_s=retry_after_s,
-                               outcome=outcome)
+    return out + ending.fail(daemon, req, reason, now,
+                             retry_after_s=retry_after_s,
+                             outcome=outcome)
 
 
-def late_answer(daemon, message):
-    """Free a claim that was granted after its request gave it up."""
-    key = daemon.door.abandoned.get(message.rid)
+def late_response(daemon, message):
+    """Free a claim that was granted after its request abandoned it."""
+    key = daemon.door.abandoned_claims.get(message.rid)
     if message.status != "granted" or key != message.key:
         return []
-    return ending.settle(daemon, message.rid, key,
-                         problems.Outcome.NOT_RUN)
+    return ending.settle_claim(daemon, message.rid, key,
+                               problems.Outcome.NOT_RUN)
--- a/crocuskeel/core/door/deadlines.py
+++ b/crocuskeel/core/door/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines: the door is the backstop of what dispatchers shed."""
+"""Deadlines: answers requests that no dispatcher granted or shed in time."""
 
 from crocuskeel.core.door import ending
 from crocuskeel.core.door import recovering
@@ -6,39 +6,40 @@
 from crocuskeel.core import effects
 from crocuskeel.core import problems
 
-__all__ = ["fired", "start"]
+__all__ = ["expired", "start"]
 
-LATE_FACTOR = 4.0
+LATE_DEADLINE_FACTOR = 4.0
 RETRY_AFTER_S = 1.0
 
 
 def start(req, now):
-    """Set the timer of a request's final wait.
+    """Set the timer that bounds a request's total wait.
 
-    A late answer of a drop-late class is worthless at the deadline. The
-    others may be late, but no caller waits without any bound.
+    For a class that drops late requests an answer is worthless after
+    the deadline. Other classes may be late, but each caller's wait is
+    still bounded.
     """
-    span = req.policy.deadline_s
+    timeout_s = req.policy.deadline_s
     if req.policy.late != "drop":
-        span *= LATE_FACTOR
-    return effects.SetTimer(("door", "deadline", req.rid), span)
+        timeout_s *= LATE_DEADLINE_FACTOR
+    return effects.SetTimer(("door", "deadline", req.rid), timeout_s)
 
 
-def fired(daemon, req, now):
-    """Answer a request whose time is over, unless it is being served."""
+def expired(daemon, req, now):
+    """Answer a request whose timer expired, unless it is being served."""
     if req.stage is state.Stage.WAITING:
         return _answer(daemon, req, now)
     if req.stage is state.Stage.CLAIMING:
-        # The claim's own timer bounds this wait, also by the deadline.
+        # The claim's own timer already bounds this wait by the deadline.
         return []
-    if req.policy.late != "drop" or not req.repeatable or req.opened:
+    if req.policy.late != "drop" or not req.repeatable or req.answer_started:
         return []
-    # Nothing was relayed yet and nobody wants it any more: the rest of
-    # the run would be wasted, and the slot is wanted by others.
+    # Nothing has been relayed and the answer is no longer useful.
+    # Finishing the run would waste a slot that other requests need.
     out = recovering.cancel(daemon, req, now)
     return out + _answer(daemon, req, now)
 
 
 def _answer(daemon, req, now):
-    return ending.answer(daemon, req, problems.Reason.DEADLINE, now,
-                         retry_after_s=RETRY_AFTER_S)
+    return ending.fail(daemon, req, problems.Reason.DEADLINE, now,
+                       retry_after_s=RETRY_AFTER_S)
--- a/crocuskeel/core/door/disconnecting.py
+++ b/crocuskeel/core/door/disconnecting.py
@@ -1,62 +1,62 @@
-"""Callers that leave before their answer is complete."""
+"""Callers that disconnect before their answer is complete."""
 
+from crocuskeel.core.door import claim_lookup
 from crocuskeel.core.door import ending
-from crocuskeel.core.door import looking
 from crocuskeel.core.door import recovering
 from crocuskeel.core.door import replaying
 from crocuskeel.core.door import reporting
 from crocuskeel.core.door import state
 from crocuskeel.core import effects
 
-__all__ = ["caller_gone", "grace_over"]
+__all__ = ["caller_gone", "resume_grace_expired"]
 
 RESUME_GRACE_S = 3.0
 
 
 def caller_gone(daemon, rid, now):
-    """Stop the work that nobody waits for any more."""
+    """Handle a caller's disconnect; cancel unneeded work."""
     door = daemon.door
     if rid in door.relays:
-        return _relay_gone(daemon, door.relays[rid], now)
+        return _relay_caller_gone(daemon, door.relays[rid], now)
     req = door.requests.get(rid)
     if req is None:
-        return looking.caller_gone(daemon, rid)
+        return claim_lookup.caller_gone(daemon, rid)
     if req.caller_gone:
         return []
     req.caller_gone = True
     out = [reporting.record(req, "caller_gone", now)]
-    return out + _unwatched(daemon, req, now)
+    return out + _end_unless_watched(daemon, req, now)
 
 
-def _relay_gone(daemon, relay, now):
-    replaying.drop(daemon, relay)
-    if relay.source is state.Source.PEER:
+def _relay_caller_gone(daemon, relay, now):
+    replaying.drop_relay(daemon, relay)
+    if relay.source is state.RelaySource.PEER:
         return []
-    if relay.source is state.Source.ENGINE:
+    if relay.source is state.RelaySource.ENGINE:
         return [effects.CancelAttempt(relay.rid, relay.attempt)]
-    req = daemon.door.requests.get(relay.held)
+    req = daemon.door.requests.get(relay.original_rid)
     if req is None or not req.caller_gone:
         return []
-    return _unwatched(daemon, req, now)
+    return _end_unless_watched(daemon, req, now)
 
 
-def _unwatched(daemon, req, now):
+def _end_unless_watched(daemon, req, now):
     if req.watchers:
         return []
     if req.stage in (state.Stage.WAITING, state.Stage.CLAIMING):
-        return ending.end(daemon, req, now, kept=True)
+        return ending.finish(daemon, req, now, keep_outcome=True)
     if not req.repeatable:
-        # It runs at most once, so this run must not be thrown away; its
-        # answer is kept for the resend under the same key.
+        # It runs at most once, so this run must not be cancelled. Its
+        # answer is kept for a resend with the same key.
         return []
-    if req.arrival.stream and req.opened:
+    if req.arrival.stream and req.answer_started:
         return [effects.SetTimer(("door", "grace", req.rid),
                                  RESUME_GRACE_S)]
     return _stop(daemon, req, now)
 
 
-def grace_over(daemon, req, now):
-    """Cancel a stream whose caller did not come back for it."""
+def resume_grace_expired(daemon, req, now):
+    """Cancel a stream whose caller did not resume it in time."""
     if not req.caller_gone or req.watchers:
         return []
     return _stop(daemon, req, now)
@@ -64,4 +64,4 @@
 
 def _stop(daemon, req, now):
     out = recovering.cancel(daemon, req, now)
-    return out + ending.end(daemon, req, now)
+    return out + ending.finish(daemon, req, now)
--- a/crocuskeel/core/door/draining.py
+++ b/crocuskeel/core/door/draining.py
@@ -1,31 +1,32 @@
-"""Planned stop: nothing new comes in, nothing in progress is cut."""
+"""Graceful shutdown: refuses new requests, lets those in progress finish."""
 
 from crocuskeel.core import effects
 
-__all__ = ["asked", "step"]
+__all__ = ["exit_when_idle", "start"]
 
 MIN_DRAIN_S = 3.0
 
 
-def asked(daemon, now):
-    """Begin to drain; waiting and running requests go on."""
+def start(daemon, now):
+    """Start draining; waiting and running requests continue."""
     if daemon.door.drain_at is not None:
         return []
     daemon.door.drain_at = now
-    held = len(daemon.door.requests)
-    return [effects.Record("drain_started", "", (("requests", held),))]
+    request_count = len(daemon.door.requests)
+    return [effects.Record("drain_started", "",
+                           (("requests", request_count),))]
 
 
-def step(daemon, now):
-    """Exit once nothing is held here.
+def exit_when_idle(daemon, now):
+    """Exit once no requests are left and the minimum time has passed.
 
-    Not at once even then: callers keep the locate answer a while, and
-    those who still come must be told where to go.
+    Callers cache the locate answer for a while; those that still connect
+    must be redirected to another host.
     """
     door = daemon.door
     if door.drain_at is None or door.exited:
         return []
-    if door.requests or door.relays or door.looks:
+    if door.requests or door.relays or door.lookups:
         return []
     if now - door.drain_at < MIN_DRAIN_S:
         return []
--- a/crocuskeel/core/door/granting.py
+++ b/crocuskeel/core/door/granting.py
@@ -1,4 +1,4 @@
-"""Grants: a slot is taken up, or given back at once."""
+"""Grants: a granted slot is used, or released immediately."""
 
 from crocuskeel.core import backends
 from crocuskeel.core.door import claiming
@@ -12,83 +12,84 @@
 from crocuskeel.core import messages
 from crocuskeel.core import problems
 
-__all__ = ["claim_granted", "granted", "take"]
+__all__ = ["claim_granted", "granted", "use_slot"]
 
-MAX_GIVEN_BACK = 8
+MAX_RETURNED_GRANTS = 8
 RETRY_AFTER_S = 1.0
 
 
 def granted(daemon, sender, grant, now):
-    """Take up a slot that a dispatcher granted, or give it back."""
+    """Use the slot that a dispatcher granted, or release it."""
     req = daemon.door.requests.get(grant.rid)
-    if _repeated(req, grant):
+    if _is_duplicate(req, grant):
         return []
-    if not _wanted(daemon, req, sender, grant):
-        return _give_back(daemon, sender, grant, now)
-    daemon.door.cells[req.cell].unsettled_at = None
-    return take(daemon, req, grant.engine, grant.alone, now)
+    if not _is_current(daemon, req, sender, grant):
+        return _return_slot(daemon, sender, grant, now)
+    daemon.door.cells[req.cell].unreachable_since = None
+    return use_slot(daemon, req, grant.engine, grant.alone, now)
 
 
-def _repeated(req, grant):
+def _is_duplicate(req, grant):
     return (req is not None
             and req.attempt == grant.attempt
             and req.engine == grant.engine)
 
 
-def _wanted(daemon, req, sender, grant):
+def _is_current(daemon, req, sender, grant):
     return (req is not None
             and req.stage is state.Stage.WAITING
             and req.attempt == grant.attempt
             and daemon.door.cells[req.cell].dispatcher == sender)
 
 
-def _give_back(daemon, sender, grant, now):
-    """Free a slot that nobody here can use.
+def _return_slot(daemon, sender, grant, now):
+    """Release a granted slot that no request here can use.
 
-    A grant may cross the caller's leaving, or a re-registration that
-    makes the dispatcher grant twice; a slot not given back would stay
-    taken for good. What this host holds is registered again, because
-    the dispatcher may have taken the later grant for the valid one.
+    A grant may cross a caller's disconnect, or a re-registration that
+    makes the dispatcher grant twice. Without a release the slot would
+    stay occupied forever. A cell that already holds a slot for this
+    request is registered again, because the dispatcher may consider the
+    later grant the valid one.
     """
     released = messages.Released(
         grant.rid, grant.attempt, grant.cell, grant.engine,
         str(events.AttemptEnd.CANCELLED))
     out = [effects.Send(sender, released)]
-    business = daemon.door.cells.get(grant.cell)
-    if (business is not None and grant.rid in business.slots
-            and business.dispatcher == sender):
+    cell_state = daemon.door.cells.get(grant.cell)
+    if (cell_state is not None and grant.rid in cell_state.slots
+            and cell_state.dispatcher == sender):
         out += queueing.reregister(daemon, grant.cell, now)
     return out
 
 
-def take(daemon, req, engine, alone, now):
-    """Hold a slot of ``engine``; claim first where that is needed."""
-    business = daemon.door.cells[req.cell]
-    del business.waiting[req.rid]
-    business.slots[req.rid] = None
+def use_slot(daemon, req, engine, alone, now):
+    """Occupy a slot of ``engine``; request a claim first if needed."""
+    cell_state = daemon.door.cells[req.cell]
+    del cell_state.waiting[req.rid]
+    cell_state.slots[req.rid] = None
     req.engine = engine
     req.alone = alone
     req.granted_at = now
     out = [reporting.record(req, "granted", now, alone=alone)]
     if not backends.usable(daemon, engine):
-        return out + _elsewhere(daemon, req, now)
+        return out + _requeue_elsewhere(daemon, req, now)
     if req.repeatable or req.claimed:
         return out + running.open_attempt(daemon, req, now)
-    return out + claiming.ask(daemon, req, now)
+    return out + claiming.request_claim(daemon, req, now)
 
 
 def claim_granted(daemon, req, now):
-    """Open the attempt, now that its claim is recorded."""
+    """Open the attempt after its claim was recorded."""
     if not backends.usable(daemon, req.engine):
-        return _elsewhere(daemon, req, now)
+        return _requeue_elsewhere(daemon, req, now)
     return running.open_attempt(daemon, req, now)
 
 
-def _elsewhere(daemon, req, now):
-    """Give back a slot of a server that is leaving or not known here.
+def _requeue_elsewhere(daemon, req, now):
+    """Release a slot on a leaving or unknown server and requeue.
 
-    The dispatcher may have granted before it saw the host list that
-    says so; opening would send new work to a leaving server.
+    The dispatcher may have granted it before it saw the current host
+    list. Opening an attempt would send new work to a leaving server.
     """
     engine = req.engine
     out = [reporting.record(req, "given_back", now)]
@@ -96,11 +97,11 @@
     req.avoid = tuple(sorted({*req.avoid, engine}))
     if backends.get(daemon, engine) is None:
         out.append(effects.WantHostList())
-    req.given_back += 1
-    if req.given_back > MAX_GIVEN_BACK:
-        # A dispatcher whose host list is older would grant the same
-        # server again and again, as fast as messages go.
-        return out + ending.answer(
+    req.returned_grants += 1
+    if req.returned_grants > MAX_RETURNED_GRANTS:
+        # A dispatcher with an outdated host list would grant the same
+        # server repeatedly, as fast as messages are delivered.
+        return out + ending.fail(
             daemon, req, problems.Reason.NO_BACKEND, now,
             retry_after_s=RETRY_AFTER_S)
     return out + queueing.requeue(daemon, req, now)
--- a/crocuskeel/core/door/handling.py
+++ b/crocuskeel/core/door/handling.py
@@ -1,14 +1,14 @@
-"""Dispatch of events to the module of the door that takes them."""
+"""Dispatches events to the modules that handle them."""
 
 from crocuskeel.core.door import admitting
+from crocuskeel.core.door import claim_lookup_results
 from crocuskeel.core.door import claiming
 from crocuskeel.core.door import deadlines
 from crocuskeel.core.door import disconnecting
 from crocuskeel.core.door import draining
-from crocuskeel.core.door import going_alone
 from crocuskeel.core.door import granting
+from crocuskeel.core.door import local_granting
 from crocuskeel.core.door import locating
-from crocuskeel.core.door import looked_up
 from crocuskeel.core.door import queueing
 from crocuskeel.core.door import recovering
 from crocuskeel.core.door import replaying
@@ -26,7 +26,7 @@
 
 
 def handle(daemon, event, now):
-    """Reduce one event; return effects."""
+    """Handle one event; return its effects."""
     match event:
         case events.Started():
             return _started(daemon, now)
@@ -39,7 +39,7 @@
         case events.CallerGone(rid=rid):
             return disconnecting.caller_gone(daemon, rid, now)
         case events.LocateAsked():
-            return locating.asked(daemon, event, now)
+            return locating.locate(daemon, event, now)
         case events.AttemptOpened() | events.AttemptProgress():
             return _attempt(daemon, event, now)
         case events.AttemptClosed():
@@ -49,55 +49,55 @@
         case events.PeerDown(host=host):
             return queueing.peer_down(daemon, host, now)
         case events.HostListSeen():
-            return queueing.move_lost_cells(daemon, now)
+            return queueing.move_from_removed_cells(daemon, now)
         case events.DrainAsked():
-            return draining.asked(daemon, now)
+            return draining.start(daemon, now)
         case events.Received(sender=sender, message=message):
             return _message(daemon, sender, message, now)
     return []
 
 
 def _started(daemon, now):
-    daemon.door.changed_at = now
+    daemon.door.membership_changed_at = now
     return [effects.SetTimer(_TICK, TICK_S)]
 
 
 def _timer(daemon, kind, rid, now):
     if kind == "tick":
         return _tick(daemon, now)
-    if kind == "look":
-        return looked_up.timed_out(daemon, rid)
+    if kind == "lookup":
+        return claim_lookup_results.timed_out(daemon, rid)
     req = daemon.door.requests.get(rid)
     if req is None:
         return []
     match kind:
         case "deadline":
-            return deadlines.fired(daemon, req, now)
+            return deadlines.expired(daemon, req, now)
         case "claim":
             return claiming.timed_out(daemon, req, now)
         case "resume":
-            span = running.silence_s(req.policy)
-            return recovering.resume(daemon, req, now, span)
+            silence_s = running.silence_timeout_s(req.policy)
+            return recovering.resume(daemon, req, now, silence_s)
         case "grace":
-            return disconnecting.grace_over(daemon, req, now)
+            return disconnecting.resume_grace_expired(daemon, req, now)
     return []
 
 
 def _tick(daemon, now):
-    out = queueing.follow(daemon, now)
-    out += queueing.try_unsettled(daemon, now)
-    out += going_alone.step(daemon, now)
+    out = queueing.update_dispatchers(daemon, now)
+    out += queueing.reregister_unreachable(daemon, now)
+    out += local_granting.grant_waiting(daemon, now)
     out += queueing.flush_progress(daemon)
-    out += replaying.expire(daemon, now)
-    out += draining.step(daemon, now)
-    _tell_load(daemon)
+    out += replaying.expire_retained(daemon, now)
+    out += draining.exit_when_idle(daemon, now)
+    _update_load(daemon)
     out.append(effects.SetTimer(_TICK, TICK_S))
     return out
 
 
-def _tell_load(daemon):
-    held = len(daemon.door.requests) + len(daemon.door.relays)
-    load = min(1.0, held / daemon.limits.max_requests)
+def _update_load(daemon):
+    request_count = len(daemon.door.requests) + len(daemon.door.relays)
+    load = min(1.0, request_count / daemon.limits.max_requests)
     membership.set_load(daemon, load)
 
 
@@ -129,27 +129,27 @@
         case messages.NotDispatcher():
             return queueing.not_dispatcher(daemon, sender, message, now)
         case messages.ReregisterAsk(cell=cell):
-            return queueing.reregister_asked(daemon, sender, cell, now)
+            return queueing.reregister_requested(daemon, sender, cell, now)
         case messages.ClaimAnswer():
             return _claim_answer(daemon, message, now)
         case messages.ReplayAsk():
-            return replaying.peer_asked(daemon, message)
+            return replaying.replay_requested(daemon, message)
     return []
 
 
 def _claim_answer(daemon, message, now):
-    if message.rid in daemon.door.looks and message.status != "granted":
-        return looked_up.answered(daemon, message)
+    if message.rid in daemon.door.lookups and message.status != "granted":
+        return claim_lookup_results.answered(daemon, message)
     req = daemon.door.requests.get(message.rid)
     if req is None or req.stage is not state.Stage.CLAIMING:
-        return claiming.late_answer(daemon, message)
+        return claiming.late_response(daemon, message)
     granted = message.status == "granted"
-    own = message.holder_rid == req.rid
-    if granted or (message.status == "duplicate" and own):
-        # "Duplicate" of itself: the answer to the first asking was lost
-        # and the claim was asked for again.
+    own_claim = message.holder_rid == req.rid
+    if granted or (message.status == "duplicate" and own_claim):
+        # A duplicate of itself: the answer to the first claim request
+        # was lost and the request was sent again.
         req.claimed = True
         return granting.claim_granted(daemon, req, now)
     if message.status == "duplicate":
-        return replaying.claim_duplicate(daemon, req, message, now)
+        return replaying.replay_claim_holder(daemon, req, message, now)
     return claiming.refused(daemon, req, message, now)
--- a/crocuskeel/core/door/locating.py
+++ b/crocuskeel/core/door/locating.py
@@ -1,8 +1,9 @@
 """Locate: which entry hosts a caller should use, and for how long.
 
-No balancer stands in front: these answers are what spreads callers. The
-order is drawn anew for each asking, weighted by headroom, because many
-devices share one caller's token and would else all get the same host.
+There is no load balancer in front; these answers distribute the callers.
+Each answer has a new random order weighted by spare capacity, because
+many devices share one caller's token and an order derived from it would
+send them all to the same host.
 """
 
 from crocuskeel.core import backends
@@ -14,20 +15,20 @@
 from crocuskeel.core import placement
 from crocuskeel.core import problems
 
-__all__ = ["asked", "choose", "elsewhere"]
+__all__ = ["choose_hosts", "locate", "other_host_address"]
 
 MAX_ADDRESSES = 4
-TTL_CALM_S = 30.0
+TTL_STABLE_S = 30.0
 TTL_CHANGING_S = 3.0
-CALM_AFTER_S = 30.0
+STABLE_AFTER_S = 30.0
 TTL_JITTER = 0.2
 MIN_HEADROOM = 0.05
-CROWDED = 0.85
+MAX_NEARBY_LOAD = 0.85
 DISPATCHER_BONUS = 1.5
 
 
-def asked(daemon, event, now):
-    """Answer ``GET locate``."""
+def locate(daemon, event, now):
+    """Answer a caller's ``GET`` of the locate endpoint."""
     if daemon.follower.tree is None:
         return ending.refuse_arrival(
             event.rid, problems.Reason.NOT_READY, retry_after_s=1.0)
@@ -37,8 +38,8 @@
                                      problems.Reason.UNAUTHORIZED)
     dispatchers = _dispatchers(daemon, caller.workspace,
                                event.class_name)
-    found = choose(_members(daemon), event.domain, dispatchers,
-                   daemon.rng)
+    found = choose_hosts(_members(daemon), event.domain, dispatchers,
+                         daemon.rng)
     if not found:
         return ending.refuse_arrival(
             event.rid, problems.Reason.LEAVING, retry_after_s=1.0)
@@ -73,33 +74,34 @@
                      for cell in backends.cells(daemon, policy.service))
 
 
-def choose(members, domain, dispatchers, rng):
-    """Return addresses in order of preference, at most a few.
+def choose_hosts(members, domain, dispatchers, rng):
+    """Return up to ``MAX_ADDRESSES`` addresses, the preferred first.
 
-    ``members`` are live ones (:class:`messages.MemberUpdate`), ``domain``
-    is the caller's failure domain or empty, ``dispatchers`` hosts to
-    prefer a little, ``rng`` a seeded :class:`random.Random`.
+    ``members`` are the live hosts (:class:`messages.MemberUpdate`),
+    ``domain`` is the caller's failure domain or empty, ``dispatchers``
+    are hosts with a slightly larger weight, and ``rng`` is a seeded
+    :class:`random.Random`.
     """
-    drawn = sorted(
+    ordered = sorted(
         members, reverse=True,
-        key=lambda member: _draw(member, dispatchers, rng))
-    near, far = [], []
-    for member in drawn:
-        is_near = member.domain == domain and member.load < CROWDED
-        (near if is_near else far).append(member)
-    chosen = (near + far)[:MAX_ADDRESSES]
+        key=lambda member: _sort_key(member, dispatchers, rng))
+    nearby, distant = [], []
+    for member in ordered:
+        is_nearby = member.domain == domain and member.load < MAX_NEARBY_LOAD
+        (nearby if is_nearby else distant).append(member)
+    chosen = (nearby + distant)[:MAX_ADDRESSES]
     if len({member.domain for member in chosen}) == 1:
-        # All in one failure domain: its loss would leave the caller
-        # without any address that works.
-        other = [m for m in far if m.domain != chosen[0].domain]
+        # All are in one failure domain, whose failure would leave the
+        # caller without a working address.
+        other = [m for m in distant if m.domain != chosen[0].domain]
         chosen = chosen[:MAX_ADDRESSES - 1] + other[:1]
     return tuple(
         effects.LocateAddress(m.host, m.address, m.door_port, m.domain)
         for m in chosen)
 
 
-def _draw(member, dispatchers, rng):
-    """Return a random key; the highest of all is drawn by weight."""
+def _sort_key(member, dispatchers, rng):
+    """Return a random sort key for weighted sampling."""
     weight = max(MIN_HEADROOM, 1.0 - member.load)
     if member.host in dispatchers:
         weight *= DISPATCHER_BONUS
@@ -107,16 +109,16 @@
 
 
 def _ttl_s(daemon, now):
-    # Jitter: callers told at the same moment (a host's loss) would all
-    # come back at the same moment, again and again.
-    calm = now - daemon.door.changed_at >= CALM_AFTER_S
-    span = TTL_CALM_S if calm else TTL_CHANGING_S
-    return span * daemon.rng.uniform(1.0 - TTL_JITTER, 1.0)
+    # Without jitter, callers that located at the same moment (after a
+    # host failure) would all return at the same moment, repeatedly.
+    stable = now - daemon.door.membership_changed_at >= STABLE_AFTER_S
+    ttl_s = TTL_STABLE_S if stable else TTL_CHANGING_S
+    return ttl_s * daemon.rng.uniform(1.0 - TTL_JITTER, 1.0)
 
 
-def elsewhere(daemon):
-    """Return "address:port" of another host, "" if there is none."""
+def other_host_address(daemon):
+    """Return the "address:port" of another host, or "" if none."""
     others = [member for member in _members(daemon)
               if member.host != daemon.me.host]
-    found = choose(others, daemon.me.domain, frozenset(), daemon.rng)
+    found = choose_hosts(others, daemon.me.domain, frozenset(), daemon.rng)
     return f"{found[0].address}:{found[0].port}" if found else ""
--- a/crocuskeel/core/door/models.py
+++ b/crocuskeel/core/door/models.py
@@ -1,22 +1,22 @@
-"""Which model a request goes to an engine with."""
+"""Selects the model that an engine is asked for."""
 
 from result import Err
 from result import Ok
 
 from crocuskeel import conf
 
-__all__ = ["choose"]
+__all__ = ["choose_model"]
 
 _VERSION = ":"
 
 
-def choose(daemon, event, policy):
-    """Return Ok of the model to put in the body, Err of a refusal.
+def choose_model(daemon, event, policy):
+    """Return Ok(model to set in the body) or Err(reason for refusal).
 
-    Ok("") leaves the body as it is. A model that the service lacks is
-    refused here: engines would answer 503 to it one after the other,
-    and each would look as if it were in trouble. A request that names
-    no model, or its class in place of one, gets the service's first.
+    Ok("") leaves the body unchanged. A model that the service lacks is
+    refused here, because each engine in turn would answer 503 and appear
+    to be unhealthy. A request that names no model, or its class instead
+    of a model, gets the service's first model.
     """
     if policy.kind == "plain":
         return Ok("")
--- a/crocuskeel/core/door/queueing.py
+++ b/crocuskeel/core/door/queueing.py
@@ -1,8 +1,9 @@
-"""Waiting: entries with dispatchers, and changes of dispatcher.
+"""Queueing at dispatchers, and changes of dispatcher.
 
-A dispatcher's knowledge is rebuilt from the doors: whenever messages
-may have been lost or another host becomes the dispatcher, the door
-sends all it holds in the cell, which replaces what was known of it.
+A dispatcher's state is rebuilt from the entry hosts. Whenever messages
+may have been lost or another host becomes the dispatcher, an entry host
+sends all its requests of the cell, which replaces what the dispatcher
+had recorded for this host.
 """
 
 from crocuskeel.core import backends
@@ -15,61 +16,62 @@
 from crocuskeel.core import placement
 from crocuskeel.core import problems
 
-__all__ = ["business_of", "cell_for", "enqueue", "flush_progress",
-           "follow", "move_lost_cells", "not_dispatcher", "peer_down",
-           "peer_up", "refused", "requeue", "reregister",
-           "reregister_asked", "try_unsettled"]
+__all__ = ["assign_cell", "enqueue", "flush_progress", "get_cell_state",
+           "move_from_removed_cells", "not_dispatcher", "peer_down", "peer_up",
+           "refused", "requeue", "reregister", "reregister_requested",
+           "reregister_unreachable", "update_dispatchers"]
 
-REREGISTER_EVERY_S = 0.5
-DEFAULT_RETRY_AFTER_S = 1.0
+REREGISTER_INTERVAL_S = 0.5
+RETRY_AFTER_S = 1.0
 
 
-def cell_for(daemon, service, arrival):
+def assign_cell(daemon, service, arrival):
     """Return the cell for a request, "" if no server is known.
 
-    Equal prefixes go together for the engines' caches; without one the
-    fingerprint brings a resent request to the dispatcher that knows it.
+    Requests with the same prefix share a cell, for cache hits at the
+    engines. Without a prefix the fingerprint assigns a resent request
+    to the dispatcher that already knows it.
     """
     key = str(arrival.prefix) if arrival.prefix else arrival.fingerprint
     return backends.cell_for(daemon, service, key)
 
 
-def business_of(daemon, cell, now):
-    """Return what the host has in the cell, made if there is none."""
+def get_cell_state(daemon, cell, now):
+    """Return this host's state of the cell, created if missing."""
     found = daemon.door.cells.get(cell)
     if found is None:
         dispatcher = placement.owner(cell, membership.live(daemon))
-        found = state.Business(dispatcher)
-        if not dispatcher or dispatcher in daemon.door.down:
-            _unsettle(found, now)
+        found = state.CellState(dispatcher)
+        if not dispatcher or dispatcher in daemon.door.unreachable_hosts:
+            _mark_unreachable(found, now)
         daemon.door.cells[cell] = found
     return found
 
 
 def enqueue(daemon, req, now):
-    """Register the request's current attempt with the dispatcher."""
+    """Enqueue the request's current attempt at the dispatcher."""
     req.stage = state.Stage.WAITING
-    business = business_of(daemon, req.cell, now)
-    business.waiting[req.rid] = None
+    cell_state = get_cell_state(daemon, req.cell, now)
+    cell_state.waiting[req.rid] = None
     out = [reporting.record(req, "enqueued", now,
-                            dispatcher=business.dispatcher)]
-    if business.dispatcher:
-        entry = _entry(req, now)
-        out.append(effects.Send(business.dispatcher, entry))
+                            dispatcher=cell_state.dispatcher)]
+    if cell_state.dispatcher:
+        message = _enqueue_message(req, now)
+        out.append(effects.Send(cell_state.dispatcher, message))
     return out
 
 
 def requeue(daemon, req, now):
-    """Enqueue the next attempt under a number of its own.
+    """Enqueue the next attempt with a new attempt number.
 
-    Messages of the earlier attempt that are still on their way can't be
-    taken for the new one's.
+    Messages of the earlier attempt that are still in transit can't be
+    mistaken for messages of the new one.
     """
     req.attempt += 1
     return enqueue(daemon, req, now)
 
 
-def _entry(req, now):
+def _enqueue_message(req, now):
     policy = req.policy
     arrival = req.arrival
     wanted = arrival.max_tokens or policy.max_tokens
@@ -90,7 +92,7 @@
         avoid=req.avoid, generation=policy.generation)
 
 
-def _running(req, now):
+def _running_message(req, now):
     return messages.Running(
         rid=req.rid, attempt=req.attempt, cell=req.cell,
         engine=req.engine, class_name=req.policy.name,
@@ -100,34 +102,36 @@
 
 
 def reregister(daemon, cell, now):
-    """Send the dispatcher all that this host holds in the cell."""
-    business = daemon.door.cells.get(cell)
-    if business is None or not business.dispatcher:
+    """Send the dispatcher all requests of this host in the cell."""
+    cell_state = daemon.door.cells.get(cell)
+    if cell_state is None or not cell_state.dispatcher:
         return []
     requests = daemon.door.requests
-    waiting = tuple(_entry(requests[rid], now) for rid in business.waiting)
-    running = tuple(_running(requests[rid], now)
-                    for rid in business.slots)
+    waiting = tuple(_enqueue_message(requests[rid], now)
+                    for rid in cell_state.waiting)
+    running = tuple(_running_message(requests[rid], now)
+                    for rid in cell_state.slots)
     message = messages.Reregister(cell, waiting, running)
-    return [effects.Send(business.dispatcher, message)]
+    return [effects.Send(cell_state.dispatcher, message)]
 
 
-def reregister_asked(daemon, sender, cell, now):
-    """Answer a dispatcher that wants to know what is held here.
+def reregister_requested(daemon, sender, cell, now):
+    """Answer a dispatcher that asks for this host's requests.
 
-    A host that holds nothing says so: what the dispatcher believes of
-    it would else stay taken.
+    A host without requests in the cell sends an empty registration;
+    otherwise slots that the dispatcher attributes to it would stay
+    occupied.
     """
-    business = daemon.door.cells.get(cell)
-    if business is None:
+    cell_state = daemon.door.cells.get(cell)
+    if cell_state is None:
         return [effects.Send(sender, messages.Reregister(cell))]
-    if business.dispatcher != sender:
+    if cell_state.dispatcher != sender:
         return []
     return reregister(daemon, cell, now)
 
 
 def refused(daemon, sender, refusal, now):
-    """Answer a waiting request that its dispatcher gave up.
+    """Answer a waiting request that its dispatcher refused.
 
     An earlier attempt may have run, so the outcome is that of the whole
     request and not of the refused attempt.
@@ -135,12 +139,12 @@
     req = daemon.door.requests.get(refusal.rid)
     if not _is_current(daemon, req, sender, refusal):
         return []
-    daemon.door.cells[req.cell].unsettled_at = None
-    ending.leave_queue(daemon, req)
+    daemon.door.cells[req.cell].unreachable_since = None
+    ending.remove_from_queue(daemon, req)
     out = [reporting.record(req, "refused", now, reason=refusal.reason)]
     reason = _reason(refusal.reason)
-    return out + ending.answer(daemon, req, reason, now, refusal.detail,
-                               refusal.retry_after_s)
+    return out + ending.fail(daemon, req, reason, now, refusal.detail,
+                             refusal.retry_after_s)
 
 
 def _is_current(daemon, req, sender, message):
@@ -154,117 +158,120 @@
     try:
         return problems.Reason(name)
     except ValueError:
-        # A newer peer may know reasons that this host does not.
+        # A peer with a newer version may send an unknown reason.
         return problems.Reason.OVERLOAD
 
 
 def not_dispatcher(daemon, sender, message, now):
-    """The two hosts' views of the fleet differ; ask again in a while."""
-    business = daemon.door.cells.get(message.cell)
-    if business is None or business.dispatcher != sender:
+    """Schedule a retry: the two hosts' views of the membership differ."""
+    cell_state = daemon.door.cells.get(message.cell)
+    if cell_state is None or cell_state.dispatcher != sender:
         return []
-    _unsettle(business, now)
+    _mark_unreachable(cell_state, now)
     return []
 
 
-def _unsettle(business, now):
-    if business.unsettled_at is None:
-        business.unsettled_at = now
-        business.next_try = now + REREGISTER_EVERY_S
+def _mark_unreachable(cell_state, now):
+    if cell_state.unreachable_since is None:
+        cell_state.unreachable_since = now
+        cell_state.next_reregister_at = now + REREGISTER_INTERVAL_S
 
 
 def peer_down(daemon, host, now):
-    """Note that the cells of a dispatcher can't be reached."""
-    daemon.door.down.add(host)
-    for business in daemon.door.cells.values():
-        if business.dispatcher == host:
-            _unsettle(business, now)
+    """Mark the cells of a dispatcher as unreachable."""
+    daemon.door.unreachable_hosts.add(host)
+    for cell_state in daemon.door.cells.values():
+        if cell_state.dispatcher == host:
+            _mark_unreachable(cell_state, now)
     return []
 
 
 def peer_up(daemon, host, now):
-    """Re-register: messages may have been lost with the old stream."""
-    daemon.door.down.discard(host)
+    """Register again at a dispatcher that reconnected.
+
+    Messages may have been lost with the old connection.
+    """
+    daemon.door.unreachable_hosts.discard(host)
     out = []
-    for cell, business in daemon.door.cells.items():
-        if business.dispatcher == host:
-            business.unsettled_at = None
+    for cell, cell_state in daemon.door.cells.items():
+        if cell_state.dispatcher == host:
+            cell_state.unreachable_since = None
             out += reregister(daemon, cell, now)
     return out
 
 
-def follow(daemon, now):
-    """Follow the fleet: move cells whose dispatcher changed."""
+def update_dispatchers(daemon, now):
+    """Apply membership changes: move cells whose dispatcher changed."""
     live = membership.live(daemon)
-    if live == daemon.door.live:
+    if live == daemon.door.live_hosts:
         return []
-    daemon.door.live = live
-    daemon.door.changed_at = now
-    daemon.door.down &= set(live)
+    daemon.door.live_hosts = live
+    daemon.door.membership_changed_at = now
+    daemon.door.unreachable_hosts &= set(live)
     out = []
-    for cell, business in daemon.door.cells.items():
+    for cell, cell_state in daemon.door.cells.items():
         owner = placement.owner(cell, live)
-        if owner != business.dispatcher:
-            out += _move(daemon, cell, business, owner, now)
+        if owner != cell_state.dispatcher:
+            out += _change_dispatcher(daemon, cell, cell_state, owner, now)
     return out
 
 
-def _move(daemon, cell, business, owner, now):
+def _change_dispatcher(daemon, cell, cell_state, owner, now):
     out = []
-    if membership.is_live(daemon, business.dispatcher):
-        # The former dispatcher lives: without this it would go on
-        # granting what the new one grants too.
+    if membership.is_live(daemon, cell_state.dispatcher):
+        # The former dispatcher is alive. Without this it would continue
+        # to grant requests that the new one grants too.
         clear = messages.Reregister(cell)
-        out.append(effects.Send(business.dispatcher, clear))
-    business.dispatcher = owner
-    business.unsettled_at = None
-    if not owner or owner in daemon.door.down:
-        _unsettle(business, now)
+        out.append(effects.Send(cell_state.dispatcher, clear))
+    cell_state.dispatcher = owner
+    cell_state.unreachable_since = None
+    if not owner or owner in daemon.door.unreachable_hosts:
+        _mark_unreachable(cell_state, now)
     return out + reregister(daemon, cell, now)
 
 
-def try_unsettled(daemon, now):
-    """Register again where the last try found no dispatcher."""
+def reregister_unreachable(daemon, now):
+    """Register again in cells whose dispatcher was unreachable."""
     out = []
-    for cell, business in daemon.door.cells.items():
-        due = business.unsettled_at is not None
-        if due and now >= business.next_try:
-            business.next_try = now + REREGISTER_EVERY_S
+    for cell, cell_state in daemon.door.cells.items():
+        due = cell_state.unreachable_since is not None
+        if due and now >= cell_state.next_reregister_at:
+            cell_state.next_reregister_at = now + REREGISTER_INTERVAL_S
             out += reregister(daemon, cell, now)
     return out
 
 
-def move_lost_cells(daemon, now):
-    """Move waiting requests out of cells the host list did away with."""
+def move_from_removed_cells(daemon, now):
+    """Move waiting requests out of cells that have no servers left."""
     out = []
-    for cell, business in list(daemon.door.cells.items()):
+    for cell, cell_state in list(daemon.door.cells.items()):
         if backends.cell_engines(daemon, cell):
             continue
-        for rid in list(business.waiting):
+        for rid in list(cell_state.waiting):
             out += _move_request(daemon, daemon.door.requests[rid], now)
     return out
 
 
 def _move_request(daemon, req, now):
-    cell = cell_for(daemon, req.policy.service, req.arrival)
+    cell = assign_cell(daemon, req.policy.service, req.arrival)
     if not cell:
-        return ending.answer(daemon, req, problems.Reason.NO_BACKEND, now,
-                             retry_after_s=DEFAULT_RETRY_AFTER_S)
+        return ending.fail(daemon, req, problems.Reason.NO_BACKEND, now,
+                           retry_after_s=RETRY_AFTER_S)
     out = ending.withdraw(daemon, req)
     req.cell = cell
     return out + requeue(daemon, req, now)
 
 
 def flush_progress(daemon):
-    """Report the tokens produced since the last time."""
+    """Report the tokens produced since the last report."""
     out = []
-    for cell, business in daemon.door.cells.items():
-        if business.progress and business.dispatcher:
+    for cell, cell_state in daemon.door.cells.items():
+        if cell_state.unreported_tokens and cell_state.dispatcher:
             requests = daemon.door.requests
             items = tuple(
                 messages.Progress(rid, requests[rid].attempt, tokens)
-                for rid, tokens in business.progress.items())
+                for rid, tokens in cell_state.unreported_tokens.items())
             message = messages.Progressed(cell, items)
-            out.append(effects.Send(business.dispatcher, message))
-            business.progress.clear()
+            out.append(effects.Send(cell_state.dispatcher, message))
+            cell_state.unreported_tokens.clear()
     return out
--- a/crocuskeel/core/door/replaying.py
+++ b/crocuskeel/core/door/replaying.py
@@ -1,4 +1,4 @@
-"""Answers that exist already: resends under a key, resumed streams."""
+"""Replays of existing answers, for resends and resumed streams."""
 
 from crocuskeel.core import backends
 from crocuskeel.core.door import ending
@@ -9,46 +9,48 @@
 from crocuskeel.core import membership
 from crocuskeel.core import problems
 
-__all__ = ["by_key", "claim_duplicate", "closed", "drop", "expire",
-           "from_holder", "peer_asked", "resume_arrived", "start_watchers"]
+__all__ = ["answer_resend", "closed", "drop_relay", "expire_retained",
+           "replay_requested", "replay_claim_holder", "replay_from_holder",
+           "resume_arrived", "start_watcher_replays"]
 
 End = events.AttemptEnd
 Reason = problems.Reason
 Outcome = problems.Outcome
 
-RELAY_TRIES = 3
+MAX_RELAY_RESUMES = 3
 RETRY_AFTER_S = 1.0
 DEFAULT_SILENCE_S = 5.0
 
 
-def by_key(daemon, arrival, caller, class_name):
-    """Answer a resend whose key names a request held here.
+def answer_resend(daemon, arrival, caller, class_name):
+    """Answer a resend whose key belongs to a request on this host.
 
-    Returns None when the key is not known here. Keys are looked up
-    within the workspace and caller, so nobody gets another's answer.
+    Returns None if the key is unknown here. Keys are scoped to the
+    workspace and caller, so no caller gets another's answer.
     """
     if not arrival.idempotency_key:
         return None
     scope = (caller.workspace, caller.caller, arrival.idempotency_key)
-    held = daemon.door.keys.get(scope)
-    if held is None:
+    original_rid = daemon.door.rids_by_key.get(scope)
+    if original_rid is None:
         return None
-    digest, whole, outcome = _known(daemon, held)
+    digest, has_answer, outcome = _find_original(daemon, original_rid)
     if digest != arrival.digest:
         return ending.refuse_arrival(arrival.rid, Reason.KEY_MISMATCH,
                                      class_name=class_name)
-    if not whole:
-        return _duplicate(arrival.rid, outcome)
+    if not has_answer:
+        return _answer_duplicate(arrival.rid, outcome)
     if _is_full(daemon):
-        return _overload(arrival.rid)
-    return _here(daemon, state.Relay(arrival.rid, held, outcome=outcome))
+        return _refuse_overload(arrival.rid)
+    return _replay_local(
+        daemon, state.Relay(arrival.rid, original_rid, outcome=outcome))
 
 
-def _known(daemon, held):
-    req = daemon.door.requests.get(held)
+def _find_original(daemon, original_rid):
+    req = daemon.door.requests.get(original_rid)
     if req is not None:
         return req.arrival.digest, True, req.outcome
-    kept = daemon.door.kept[held]
+    kept = daemon.door.kept[original_rid]
     return kept.digest, kept.done, kept.outcome
 
 
@@ -56,37 +58,37 @@
     return len(daemon.door.relays) >= daemon.limits.max_requests
 
 
-def _overload(rid):
+def _refuse_overload(rid):
     return ending.refuse_arrival(rid, Reason.OVERLOAD,
                                  retry_after_s=RETRY_AFTER_S)
 
 
-def _here(daemon, relay):
-    """Answer with what this host holds, once there is something."""
+def _replay_local(daemon, relay):
+    """Replay an answer from this host, as soon as it has started."""
     daemon.door.relays[relay.rid] = relay
-    req = daemon.door.requests.get(relay.held)
+    req = daemon.door.requests.get(relay.original_rid)
     if req is None:
         return _replay(relay)
     req.watchers.add(relay.rid)
-    out = [effects.CancelTimer(("door", "grace", relay.held))]
-    return out + _replay(relay) if req.opened else out
+    out = [effects.CancelTimer(("door", "grace", relay.original_rid))]
+    return out + _replay(relay) if req.answer_started else out
 
 
 def _replay(relay):
-    return [effects.Replay(relay.rid, relay.held, relay.after),
+    return [effects.Replay(relay.rid, relay.original_rid, relay.after),
             effects.Record("replayed", relay.rid,
-                           (("held", relay.held),))]
+                           (("held", relay.original_rid),))]
 
 
-def start_watchers(daemon, req):
-    """Begin the answers of those who wait for this request's own."""
+def start_watcher_replays(daemon, req):
+    """Start the replays to callers waiting for this request's answer."""
     out = []
     for rid in sorted(req.watchers):
         out += _replay(daemon.door.relays[rid])
     return out
 
 
-def _duplicate(rid, outcome, retry_after_s=0.0):
+def _answer_duplicate(rid, outcome, retry_after_s=0.0):
     found = problems.problem(Reason.DUPLICATE, outcome,
                              retry_after_s=retry_after_s)
     fields = (("reason", str(Reason.DUPLICATE)),
@@ -95,67 +97,67 @@
             effects.Record("answered", rid, fields)]
 
 
-def claim_duplicate(daemon, req, message, now):
+def replay_claim_holder(daemon, req, message, now):
     """Answer a resend whose claim is held by an earlier request.
 
-    This request never ran; its caller gets the earlier one's answer or,
-    if that is lost, what is known of its outcome.
+    This request never ran. Its caller gets the answer of the earlier
+    request or, if that is lost, its outcome as far as known.
     """
-    listeners = ending.listeners(req)
-    req.claim_asked = False
+    waiting_callers = ending.waiting_callers(req)
+    req.claim_requested = False
     for rid in req.watchers:
-        # One that only hears "duplicate" would stay here for good and
-        # keep a planned stop from its end.
+        # A relay that is only answered as a duplicate would otherwise
+        # never be removed and would block a graceful shutdown.
         daemon.door.relays.pop(rid, None)
-    out = ending.end(daemon, req, now)
-    for rid in listeners:
-        out += from_holder(daemon, rid, message)
+    out = ending.finish(daemon, req, now)
+    for rid in waiting_callers:
+        out += replay_from_holder(daemon, rid, message)
     return out
 
 
-def from_holder(daemon, rid, message):
-    """Answer a caller as the request that holds its key was answered."""
+def replay_from_holder(daemon, rid, message):
+    """Replay the answer of the request that holds the claim."""
     outcome = _ledger_outcome(message.outcome)
     host = message.holder_host
-    held = message.holder_rid
-    relay = state.Relay(rid, held, outcome=outcome)
+    original_rid = message.holder_rid
+    relay = state.Relay(rid, original_rid, outcome=outcome)
     if host == daemon.me.host:
-        return _held_here(daemon, relay)
+        return _replay_local_if_retained(daemon, relay)
     if membership.is_live(daemon, host):
-        return _from_peer(daemon, relay, host, "")
-    return _duplicate(rid, outcome)
+        return _replay_from_peer(daemon, relay, host, "")
+    return _answer_duplicate(rid, outcome)
 
 
 def _ledger_outcome(name):
-    # An empty outcome is a claim not settled yet: its holder may have
-    # died before or after the run.
+    # An empty outcome means that the claim is not settled yet. Its
+    # holder may have failed before or after the run.
     return Outcome.RAN if name == Outcome.RAN else Outcome.UNKNOWN
 
 
-def _held_here(daemon, relay):
-    kept = daemon.door.kept.get(relay.held)
-    if relay.held in daemon.door.requests or (kept and kept.done):
-        return _here(daemon, relay)
-    return _duplicate(relay.rid, relay.outcome)
+def _replay_local_if_retained(daemon, relay):
+    kept = daemon.door.kept.get(relay.original_rid)
+    if relay.original_rid in daemon.door.requests or (kept and kept.done):
+        return _replay_local(daemon, relay)
+    return _answer_duplicate(relay.rid, relay.outcome)
 
 
 def resume_arrived(daemon, event, now):
-    """Give a caller the rest of its stream, from wherever it is."""
+    """Resume a caller's stream here, at a peer or at the engine."""
     if event.rid in daemon.door.relays:
         return []
     caller = follower.caller(daemon, event.token)
     if caller is None:
         return ending.refuse_arrival(event.rid, Reason.UNAUTHORIZED)
     if _is_full(daemon):
-        return _overload(event.rid)
+        return _refuse_overload(event.rid)
     host, incarnation = _origin(event.stream)
     relay = state.Relay(event.rid, event.stream, event)
     if host == daemon.me.host:
-        mine = incarnation == str(daemon.me.incarnation)
-        return _resume_here(daemon, relay, caller, mine)
+        same_incarnation = incarnation == str(daemon.me.incarnation)
+        return _resume_local(daemon, relay, caller, same_incarnation)
     if membership.is_live(daemon, host):
-        return _from_peer(daemon, relay, host, event.proof)
-    return _at_engine(daemon, relay)
+        return _replay_from_peer(daemon, relay, host, event.proof)
+    return _resume_at_engine(daemon, relay)
 
 
 def _origin(rid):
@@ -163,23 +165,25 @@
     return host, rest.partition(".")[0]
 
 
-def _resume_here(daemon, relay, caller, mine):
-    found = daemon.door.requests.get(relay.held) if mine else None
-    kept = daemon.door.kept.get(relay.held) if mine else None
+def _resume_local(daemon, relay, caller, same_incarnation):
+    found = (daemon.door.requests.get(relay.original_rid)
+             if same_incarnation else None)
+    kept = (daemon.door.kept.get(relay.original_rid)
+            if same_incarnation else None)
     if found is not None:
         owner = (found.caller.workspace, found.caller.caller)
     elif kept is not None:
         owner = (kept.workspace, kept.caller)
     else:
-        return _at_engine(daemon, relay)
+        return _resume_at_engine(daemon, relay)
     if owner != (caller.workspace, caller.caller):
-        return _stream_unknown(relay.rid)
+        return _answer_stream_unknown(relay.rid)
     if found is not None or kept.done:
-        return _here(daemon, relay)
-    return _at_engine(daemon, relay)
+        return _replay_local(daemon, relay)
+    return _resume_at_engine(daemon, relay)
 
 
-def _stream_unknown(rid):
+def _answer_stream_unknown(rid):
     found = problems.problem(Reason.STREAM_UNKNOWN, Outcome.UNKNOWN)
     fields = (("reason", str(Reason.STREAM_UNKNOWN)),
               ("outcome", str(Outcome.UNKNOWN)))
@@ -187,76 +191,77 @@
             effects.Record("answered", rid, fields)]
 
 
-def _from_peer(daemon, relay, host, proof):
-    relay.source = state.Source.PEER
+def _replay_from_peer(daemon, relay, host, proof):
+    relay.source = state.RelaySource.PEER
     daemon.door.relays[relay.rid] = relay
-    return [effects.ReplayFrom(relay.rid, host, relay.held, relay.after,
-                               proof),
+    return [effects.ReplayFrom(relay.rid, host, relay.original_rid,
+                               relay.after, proof),
             effects.Record("replay_asked", relay.rid,
-                           (("held", relay.held), ("host", host)))]
+                           (("held", relay.original_rid), ("host", host)))]
 
 
-def _at_engine(daemon, relay):
-    """Go on at the engine that the caller's event id names."""
+def _resume_at_engine(daemon, relay):
+    """Resume at the engine named by the caller's event id."""
     resume = relay.resume
     backend = backends.get(daemon, resume.engine)
     if backend is None:
-        drop(daemon, relay)
-        return _stream_unknown(relay.rid)
-    relay.source = state.Source.ENGINE
-    relay.tries += 1
+        drop_relay(daemon, relay)
+        return _answer_stream_unknown(relay.rid)
+    relay.source = state.RelaySource.ENGINE
+    relay.resumes += 1
     daemon.door.relays[relay.rid] = relay
     return [effects.ResumeAttempt(
         relay.rid, resume.attempt, resume.engine, backend.url,
         DEFAULT_SILENCE_S, resume.stream, resume.after),
         effects.Record("resumed", relay.rid,
-                       (("held", relay.held), ("tries", relay.tries)))]
+                       (("held", relay.original_rid),
+                        ("tries", relay.resumes)))]
 
 
 def closed(daemon, relay, event):
-    """Take the end of a replay, or of a resume at the engine."""
+    """Handle the end of a replay, or of a resume at the engine."""
     if event.attempt != relay.attempt:
         return []
     if event.end is End.DONE:
-        drop(daemon, relay)
+        drop_relay(daemon, relay)
         return [effects.Record("answered", relay.rid,
-                               (("held", relay.held),))]
+                               (("held", relay.original_rid),))]
     if relay.resume is None:
-        drop(daemon, relay)
-        return _duplicate(relay.rid, _outcome_now(daemon, relay),
-                          RETRY_AFTER_S)
-    at_engine = relay.source is state.Source.ENGINE
-    lost = event.end is End.GONE or relay.tries >= RELAY_TRIES
+        drop_relay(daemon, relay)
+        return _answer_duplicate(relay.rid, _latest_outcome(daemon, relay),
+                                 RETRY_AFTER_S)
+    at_engine = relay.source is state.RelaySource.ENGINE
+    lost = event.end is End.GONE or relay.resumes >= MAX_RELAY_RESUMES
     if at_engine and lost:
-        drop(daemon, relay)
-        return _stream_unknown(relay.rid)
-    return _at_engine(daemon, relay)
+        drop_relay(daemon, relay)
+        return _answer_stream_unknown(relay.rid)
+    return _resume_at_engine(daemon, relay)
 
 
-def _outcome_now(daemon, relay):
-    """Return what is known of the held request by now."""
-    kept = daemon.door.kept.get(relay.held)
+def _latest_outcome(daemon, relay):
+    """Return the original request's outcome as known now."""
+    kept = daemon.door.kept.get(relay.original_rid)
     return kept.outcome if kept else relay.outcome
 
 
-def drop(daemon, relay):
-    """Forget a relay that has its answer or lost its caller."""
+def drop_relay(daemon, relay):
+    """Remove a relay that was answered or whose caller disconnected."""
     daemon.door.relays.pop(relay.rid, None)
-    req = daemon.door.requests.get(relay.held)
+    req = daemon.door.requests.get(relay.original_rid)
     if req is not None:
         req.watchers.discard(relay.rid)
 
 
-def peer_asked(daemon, message):
-    """A peer serves this stream's caller now: don't cancel it."""
+def replay_requested(daemon, message):
+    """Keep a stream running whose caller a peer now serves."""
     if message.rid not in daemon.door.requests:
         return []
     return [effects.CancelTimer(("door", "grace", message.rid))]
 
 
-def expire(daemon, now):
-    """Forget answers that were kept their whole span."""
+def expire_retained(daemon, now):
+    """Remove retained answers whose retention time has passed."""
     kept = daemon.door.kept
-    while kept and next(iter(kept.values())).until <= now:
-        ending.drop_oldest(daemon.door)
+    while kept and next(iter(kept.values())).expires_at <= now:
+        ending.evict_oldest(daemon.door)
     return []
--- a/crocuskeel/core/door/reporting.py
+++ b/crocuskeel/core/door/reporting.py
@@ -1,4 +1,4 @@
-"""Records of the time line and statsd measures of the door."""
+"""Timeline records and statsd metrics of the entry host."""
 
 from crocuskeel.core import effects
 
@@ -6,7 +6,7 @@
 
 
 def record(req, kind, now, **extra):
-    """Return the Record of one decision about a request."""
+    """Return the timeline Record of one decision about a request."""
     fields = {
         "class": req.policy.name,
         "tier": req.policy.tier,
@@ -22,17 +22,17 @@
 
 
 def count(name, value=1):
-    """Return a counter's increment."""
+    """Return a counter increment."""
     return effects.Measure(name, value)
 
 
 def span(name, seconds):
-    """Return a timing; statsd wants milliseconds."""
+    """Return a timing; statsd expects milliseconds."""
     return effects.Measure(name, seconds * 1000.0, "ms")
 
 
 def refused(class_name, reason):
-    """Return the measures of a refusal or failure."""
+    """Return the metrics of a refusal or failure."""
     out = [count(f"refused.{reason}")]
     if class_name:
         out.append(count(f"class.{class_name}.refused"))
@@ -40,10 +40,10 @@
 
 
 def served(req, closed):
-    """Return the measures of a whole answer.
+    """Return the metrics of a complete answer.
 
-    The target is attained if the first token came in time, counted from
-    the arrival, and the mean time between tokens is within its own.
+    The target is attained if the time from arrival to the first token
+    and the mean time between tokens are both within their targets.
     """
     policy = req.policy
     name = f"class.{policy.name}"
@@ -57,16 +57,16 @@
         out.append(span(f"{name}.itl", closed.itl_s))
     out.append(count(f"{name}.attained", int(attained)))
     if attained:
-        out.append(count(f"{name}.goodput", work(req, closed.tokens)))
+        out.append(count(f"{name}.goodput", work_units(req, closed.tokens)))
     return out
 
 
 def wasted(req, tokens):
-    """Return the measure of work that reached nobody."""
+    """Return the metric of work whose result reached no caller."""
     name = f"class.{req.policy.name}.wasted"
-    return [count(name, work(req, tokens))]
+    return [count(name, work_units(req, tokens))]
 
 
-def work(req, tokens):
-    """Return tokens for an engine's work, calls for a plain service's."""
+def work_units(req, tokens):
+    """Return the tokens of an engine's answer, 1 for a plain service's."""
     return tokens if req.policy.kind == "engine" else 1
--- a/crocuskeel/core/door/running.py
+++ b/crocuskeel/core/door/running.py
@@ -1,4 +1,4 @@
-"""Attempts on backend servers: opened, progressing, ended."""
+"""Attempts on backend servers: opening and progress."""
 
 from crocuskeel.core import backends
 from crocuskeel.core.door import replaying
@@ -7,76 +7,78 @@
 from crocuskeel.core import effects
 from crocuskeel.core import problems
 
-__all__ = ["first_byte_s", "open_attempt", "opened", "progressed",
-           "silence_s"]
+__all__ = ["first_byte_timeout_s", "open_attempt", "opened", "progressed",
+           "silence_timeout_s"]
 
-FIRST_BYTE_MIN_S = 3.0
-FIRST_BYTE_TARGETS = 4.0
-SILENCE_MIN_S = 2.0
-SILENCE_TARGETS = 20.0
+MIN_FIRST_BYTE_TIMEOUT_S = 3.0
+FIRST_BYTE_TARGET_FACTOR = 4.0
+MIN_SILENCE_TIMEOUT_S = 2.0
+SILENCE_TARGET_FACTOR = 20.0
 
 
 def open_attempt(daemon, req, now):
-    """Send the request to the engine whose slot it holds."""
+    """Open an attempt at the engine whose slot the request holds."""
     req.stage = state.Stage.RUNNING
     req.opened_attempts += 1
-    req.earlier = req.outcome
+    req.earlier_outcome = req.outcome
     req.outcome = problems.Outcome.UNKNOWN
     req.tokens = 0
     req.forwarded = 0
     req.resumes = 0
-    req.lost_end = ""
+    req.first_lost_end = ""
     backend = backends.get(daemon, req.engine)
     attempt = effects.OpenAttempt(
         req.rid, req.attempt, req.engine, backend.url, req.policy.tier,
-        first_byte_s(req, now), silence_s(req.policy), _replayable(req),
-        req.model)
+        first_byte_timeout_s(req, now), silence_timeout_s(req.policy),
+        _replayable(req), req.model)
     return [reporting.record(req, "opened", now), attempt]
 
 
 def _replayable(req):
-    # A stream is kept too: its caller may come back for the rest.
+    # A stream is retained too: its caller may resume it.
     return bool(req.arrival.idempotency_key) or req.arrival.stream
 
 
-def first_byte_s(req, now):
-    """Return how long the first byte may take, seconds.
+def first_byte_timeout_s(req, now):
+    """Return the timeout for the first byte in seconds.
 
-    A connection that went silent for good shows as no byte at all, on
-    each attempt anew: the span is a small multiple of the target. What
-    may not be repeated gets until its deadline: giving it up early
-    would turn a slow answer into an unknown outcome. So does an
-    engine's answer in one piece, whose first byte comes with its last.
+    A dead connection never delivers a byte, and each attempt waits again,
+    so the timeout is a small multiple of the target. A non-repeatable
+    request gets until its deadline, because cancelling it early would
+    turn a slow answer into an unknown outcome. So does an engine's
+    non-streamed answer, whose first byte comes with its last.
     """
-    targets = FIRST_BYTE_TARGETS * req.policy.target_ttft_s
-    span = max(FIRST_BYTE_MIN_S, targets)
-    left = req.deadline_at - now
-    in_one = req.policy.kind == "engine" and not req.arrival.stream
-    return max(span, left) if in_one or not req.repeatable else span
+    target_multiple = FIRST_BYTE_TARGET_FACTOR * req.policy.target_ttft_s
+    timeout_s = max(MIN_FIRST_BYTE_TIMEOUT_S, target_multiple)
+    remaining_s = req.deadline_at - now
+    not_streamed = req.policy.kind == "engine" and not req.arrival.stream
+    return (max(timeout_s, remaining_s)
+            if not_streamed or not req.repeatable else timeout_s)
 
 
-def silence_s(policy):
-    """Return how long a stream may be without traffic, seconds."""
-    return max(SILENCE_MIN_S, SILENCE_TARGETS * policy.target_itl_s)
+def silence_timeout_s(policy):
+    """Return the timeout for a stream without traffic in seconds."""
+    return max(MIN_SILENCE_TIMEOUT_S,
+               SILENCE_TARGET_FACTOR * policy.target_itl_s)
 
 
 def opened(daemon, req, event, now):
-    """The first byte came; the caller is getting its answer."""
-    if not _is_open(req, event) or req.opened:
+    """Handle the first byte of an answer."""
+    if not _is_open(req, event) or req.answer_started:
         return []
-    req.opened = True
+    req.answer_started = True
     req.ttft_s = now - req.arrived_at
     out = [reporting.record(req, "first_token", now,
                             ttft_s=event.ttft_s)]
-    return out + replaying.start_watchers(daemon, req)
+    return out + replaying.start_watcher_replays(daemon, req)
 
 
 def progressed(daemon, req, event):
-    """Note tokens produced; the dispatcher is told in batches."""
+    """Record tokens produced; the dispatcher is sent batches."""
     if not _is_open(req, event) or event.tokens <= req.tokens:
         return []
     req.tokens = event.tokens
-    daemon.door.cells[req.cell].progress[req.rid] = event.tokens
+    daemon.door.cells[req.cell].unreported_tokens[req.rid] = event.tokens
     return []
 
 
--- a/crocuskeel/core/door/state.py
+++ b/crocuskeel/core/door/state.py
@@ -1,4 +1,4 @@
-"""State of the door: every request that this entry host holds."""
+"""State of the entry host: all requests that it handles."""
 
 import collections
 import dataclasses
@@ -8,16 +8,16 @@
 from crocuskeel.core import events
 from crocuskeel.core import problems
 
-__all__ = ["Business", "Budget", "DoorState", "Kept", "Look", "Relay",
-           "Request", "Source", "Stage", "new_state"]
+__all__ = ["CellState", "ClaimLookup", "DoorState", "EndedRequest", "Relay",
+           "RelaySource", "Request", "RetryBudget", "Stage", "new_state"]
 
 
 class Stage(enum.StrEnum):
-    """Where a request is on its path.
+    """The processing stage of a request.
 
-    WAITING: queued with a dispatcher. CLAIMING: holds a slot and waits
+    WAITING: queued at a dispatcher. CLAIMING: holds a slot and waits
     for its claim. RUNNING: an attempt is open. RESUMING: the attempt's
-    connection broke and its stream is about to be asked for again.
+    connection was lost and its stream is about to be resumed.
     """
 
     WAITING = "waiting"
@@ -31,12 +31,13 @@
     """One admitted request, from arrival to its final answer.
 
     ``policy`` is that of the generation at arrival and never changes.
-    ``attempt`` numbers the entries with dispatchers, ``opened_attempts``
-    counts those sent to a backend server. ``outcome`` is what is known
-    of all attempts so far, ``earlier`` the same without the open one.
-    ``engine`` names the held slot, empty for none. ``watchers`` are
-    callers' requests that are answered with this one's answer.
-    ``model`` replaces the body's model, empty for none.
+    ``attempt`` counts the attempts enqueued at dispatchers,
+    ``opened_attempts`` those sent to a backend server. ``outcome`` is
+    the combined outcome of all attempts so far, ``earlier_outcome`` the
+    same without the open attempt. ``engine`` is the engine whose slot
+    the request holds, empty for none. ``watchers`` are the rids of
+    callers' requests that get this request's answer. ``model`` replaces
+    the body's model, empty to leave it.
     """
 
     arrival: events.RequestArrived
@@ -53,19 +54,19 @@
     alone: bool = False
     granted_at: float = 0.0
     opened_attempts: int = 0
-    opened: bool = False
+    answer_started: bool = False
     ttft_s: float = 0.0
     tokens: int = 0
     forwarded: int = 0
     resumes: int = 0
-    given_back: int = 0
-    lost_end: str = ""
+    returned_grants: int = 0
+    first_lost_end: str = ""
     avoid: tuple[str, ...] = ()
     outcome: problems.Outcome = problems.Outcome.NOT_RUN
-    earlier: problems.Outcome = problems.Outcome.NOT_RUN
-    claim_asked: bool = False
+    earlier_outcome: problems.Outcome = problems.Outcome.NOT_RUN
+    claim_requested: bool = False
     claimed: bool = False
-    claim_until: float = 0.0
+    claim_expires_at: float = 0.0
     caller_gone: bool = False
     watchers: set[str] = dataclasses.field(default_factory=set)
 
@@ -76,17 +77,17 @@
 
     @property
     def scope(self):
-        """What an Idempotency-Key is unique in, with the key."""
+        """The Idempotency-Key with the workspace and caller it belongs to."""
         return (self.caller.workspace, self.caller.caller,
                 self.arrival.idempotency_key)
 
 
 @dataclasses.dataclass(slots=True)
-class Look:
-    """A refusal held back until the ledger was asked for its key.
+class ClaimLookup:
+    """A refusal that is delayed until the ledger lookup of its key.
 
-    ``rids`` are the callers' requests that get it, ``key`` the ledger's
-    key, ``problem`` what is said if nobody holds the key.
+    ``rids`` are the callers' requests to be refused, ``key`` is the
+    ledger key, ``problem`` the refusal to send if the key is unclaimed.
     """
 
     rid: str
@@ -97,61 +98,62 @@
     location: str = ""
 
 
-class Source(enum.StrEnum):
-    """Where a relayed answer comes from."""
+class RelaySource(enum.StrEnum):
+    """The source of a relayed answer."""
 
-    HERE = "here"
+    LOCAL = "here"
     PEER = "peer"
     ENGINE = "engine"
 
 
 @dataclasses.dataclass(slots=True)
 class Relay:
-    """A caller's request answered with an answer that exists already.
+    """A caller's request that gets the answer of another request.
 
-    ``held`` is the request whose answer it is. ``resume`` is set for a
-    caller's resume, which may go on at the engine; ``outcome`` is what
-    to say when a resend's answer can't be had.
+    ``original_rid`` is the request that produces the answer. ``resume``
+    is set for a resumed stream, which may continue at the engine.
+    ``outcome`` is reported if the answer to a resend is unavailable.
     """
 
     rid: str
-    held: str
+    original_rid: str
     resume: events.ResumeArrived | None = None
     outcome: problems.Outcome = problems.Outcome.UNKNOWN
-    source: Source = Source.HERE
-    tries: int = 0
+    source: RelaySource = RelaySource.LOCAL
+    resumes: int = 0
 
     @property
     def attempt(self):
-        """The attempt number that its end is reported under."""
-        return self.resume.attempt if self.source is Source.ENGINE else 0
+        """The attempt number in the event that reports its end."""
+        return self.resume.attempt if self.source is RelaySource.ENGINE else 0
 
     @property
     def after(self):
-        """The number of the last event that the caller has."""
+        """The number of the last event that the caller received."""
         return self.resume.after if self.resume else 0
 
 
 @dataclasses.dataclass(slots=True)
-class Business:
-    """What this host has in one cell.
+class CellState:
+    """This host's requests in one cell.
 
-    ``unsettled_at`` is since when no dispatcher can be reached, None
-    while one can. ``progress`` is not reported yet.
+    ``unreachable_since`` is when the dispatcher became unreachable, None
+    while it is reachable. ``unreported_tokens`` holds the token counts
+    not yet reported to the dispatcher.
     """
 
     dispatcher: str
     waiting: dict[str, None] = dataclasses.field(default_factory=dict)
     slots: dict[str, None] = dataclasses.field(default_factory=dict)
-    progress: dict[str, int] = dataclasses.field(default_factory=dict)
-    unsettled_at: float | None = None
-    next_try: float = 0.0
-    alone_grants: int = 0
+    unreported_tokens: dict[str, int] = dataclasses.field(default_factory=dict)
+    unreachable_since: float | None = None
+    next_reregister_at: float = 0.0
+    local_grants: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kept:
-    """An ended request whose answer or outcome is kept for resends."""
+class EndedRequest:
+    """An ended request whose answer or outcome is retained for resends."""
 
     rid: str
     workspace: str
@@ -160,45 +162,46 @@
     digest: str
     done: bool
     outcome: problems.Outcome
-    until: float
+    expires_at: float
 
 
 @dataclasses.dataclass(slots=True)
-class Budget:
-    """Retries that a class may still make."""
+class RetryBudget:
+    """The number of retries that a class may still make."""
 
     tokens: float
 
 
 @dataclasses.dataclass(slots=True)
 class DoorState:
-    """All requests by rid, and what finds them.
+    """All requests by rid, with their indexes.
 
-    ``keys`` maps the scope of an Idempotency-Key to a rid in
-    ``requests`` or ``kept``. ``abandoned`` maps a rid to the claim key
-    that it gave up before running. ``looks`` are refusals on their way,
-    by rid. ``down`` holds unreachable hosts.
+    ``rids_by_key`` maps the scope of an Idempotency-Key to a rid in
+    ``requests`` or ``kept``. ``abandoned_claims`` maps a rid to the
+    claim key that it abandoned before running. ``lookups`` holds the
+    refusals waiting for a ledger lookup, by rid.
     """
 
     requests: dict[str, Request] = dataclasses.field(
         default_factory=dict)
     relays: dict[str, Relay] = dataclasses.field(default_factory=dict)
-    cells: dict[str, Business] = dataclasses.field(default_factory=dict)
-    keys: dict[tuple, str] = dataclasses.field(default_factory=dict)
-    kept: collections.OrderedDict[str, Kept] = dataclasses.field(
-        default_factory=collections.OrderedDict)
-    abandoned: collections.OrderedDict[str, str] = dataclasses.field(
+    cells: dict[str, CellState] = dataclasses.field(default_factory=dict)
+    rids_by_key: dict[tuple, str] = dataclasses.field(default_factory=dict)
+    kept: collections.OrderedDict[str, EndedRequest] = dataclasses.field(
         default_factory=collections.OrderedDict)
-    budgets: collections.OrderedDict[str, Budget] = dataclasses.field(
+    abandoned_claims: collections.OrderedDict[str, str] = dataclasses.field(
         default_factory=collections.OrderedDict)
-    looks: dict[str, Look] = dataclasses.field(default_factory=dict)
-    down: set[str] = dataclasses.field(default_factory=set)
-    live: tuple[str, ...] = ()
-    changed_at: float = 0.0
+    retry_budgets: collections.OrderedDict[
+        str, RetryBudget] = dataclasses.field(
+            default_factory=collections.OrderedDict)
+    lookups: dict[str, ClaimLookup] = dataclasses.field(default_factory=dict)
+    unreachable_hosts: set[str] = dataclasses.field(default_factory=set)
+    live_hosts: tuple[str, ...] = ()
+    membership_changed_at: float = 0.0
     drain_at: float | None = None
     exited: bool = False
 
 
 def new_state():
-    """Return the state of a door without requests."""
+    """Return an empty state."""
     return DoorState()
--- a/tests/door/test_models.py
+++ b/tests/door/test_models.py
@@ -1,4 +1,4 @@
-"""The model that a request names, and answers in one piece."""
+"""Tests of model selection and of the first byte timeout."""
 
 import dataclasses
 import unittest
@@ -22,14 +22,14 @@
             if type(each) is effects.Answer and each.rid == rid]
 
 
-class ModelTest(unittest.TestCase):
-    """Which model an engine is asked for."""
+class ModelSelectionTest(unittest.TestCase):
+    """The model that an engine is asked for."""
 
-    def test_a_model_that_the_service_lacks_is_refused_at_once(self):
-        """One caller's misspelt model makes all engines look full.
+    def test_unknown_model_is_refused(self):
+        """A misspelled model name makes all engines look overloaded.
 
-        Each engine answered it with 503 and was taken for overloaded;
-        the caller was told to come back, though it never can work.
+        Each engine answered 503 and was treated as overloaded, and the
+        caller was told to retry a request that can never succeed.
         """
         host = driver.Host()
         rid = _arrive(host, "ramp", "gpt-of-tomorrow")
@@ -38,42 +38,42 @@
         self.assertIn("m", found[0].detail)
         self.assertEqual(["answer bad_request not_run"], host.labels())
 
-    def test_the_model_that_goes_to_the_engine(self):
+    def test_model_sent_to_the_engine(self):
         rows = (
-            # class header, model of the body, model put in its place
+            # class header, model in the body, model that replaces it
             ("ramp", "m", ""),
             ("ramp", "", "m"),
-            # Clients that can't set a header give the class as model;
-            # the engine knows no model of that name.
+            # Clients that can't set a header pass the class as the
+            # model; the engine has no model of that name.
             ("", "ramp", "m"),
         )
-        for class_name, model, wanted in rows:
+        for class_name, model, expected in rows:
             with self.subTest(class_name=class_name, model=model):
                 host = driver.Host()
                 rid = _arrive(host, class_name, model)
                 host.grant(rid)
                 opened = [each for each in host.log
                           if type(each) is effects.OpenAttempt]
-                self.assertEqual([wanted], [e.model for e in opened])
+                self.assertEqual([expected], [e.model for e in opened])
 
 
-class FirstByteTest(unittest.TestCase):
-    """How long a first byte may take."""
+class FirstByteTimeoutTest(unittest.TestCase):
+    """The timeout for the first byte."""
 
-    def test_a_whole_answer_has_until_its_deadline(self):
-        """A summary asked for in one piece is run again and again.
+    def test_non_streamed_answer_has_until_its_deadline(self):
+        """A request for a non-streamed answer is run repeatedly.
 
-        Its first byte comes when the last token is made. Bounded like a
-        stream's, it was given up as silent, cancelled and run anew.
+        Its first byte comes after the last token is generated. With the
+        timeout of a stream it was cancelled as stalled and run again.
         """
         host = driver.Host()
-        spans = {}
+        timeouts = {}
         for stream in (True, False):
             rid = _arrive(host, "bulk", "m", stream)
             req = host.request(rid)
             req.policy = dataclasses.replace(
                 req.policy, target_ttft_s=0.1, deadline_s=60.0)
             req.deadline_at = host.now + 60.0
-            spans[stream] = running.first_byte_s(req, host.now)
-        self.assertEqual(3.0, spans[True])
-        self.assertEqual(60.0, spans[False])
+            timeouts[stream] = running.first_byte_timeout_s(req, host.now)
+        self.assertEqual(3.0, timeouts[True])
+        self.assertEqual(60.0, timeouts[False])
--- a/tests/door/test_properties.py
+++ b/tests/door/test_properties.py
@@ -1,4 +1,4 @@
-"""What must hold of the door over any order of events."""
+"""Invariants of the entry host under any order of events."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 from tests.door import driver
 
 ENDS = [str(end) for end in events.AttemptEnd]
-NOT_RUN = ("busy", "refused", "unready")
+NOT_RUN_ENDS = ("busy", "refused", "unready")
 REQUESTS = (
     {}, {"stream": False}, {"class_name": "bulk", "key": "a"},
     {"class_name": "book", "key": "k", "stream": False},
@@ -20,114 +20,117 @@
     {"class_name": "book", "key": "n", "stream": False,
      "workspace": "south"},
     {"key": "n", "non_repeatable": True})
-OPS = ("arrive", "arrive", "deliver", "deliver", "deliver", "repeat", "begin",
-       "end", "end", "leave", "wait", "peer", "refuse", "list", "book")
-BOOKED = "h9.1.1"
+OPERATIONS = ("arrive", "arrive", "deliver", "deliver", "deliver", "repeat",
+              "begin", "end", "end", "leave", "wait", "peer", "refuse", "list",
+              "book")
+OTHER_HOST_RID = "h9.1.1"
 
 
-class World:
-    """The other side of a door: late, out of order, twice.
+class Environment:
+    """Peers, servers and callers of one entry host.
 
-    ``mail`` holds what is on its way to the door, ``sent`` what came.
-    ``ends`` maps an attempt to how it first ended, ``ran_before`` a rid
-    to whether its key may have run anywhere before it arrived.
+    Messages are delivered late, out of order and twice. ``in_transit``
+    holds messages not yet delivered, ``delivered`` the others. ``ends``
+    maps an attempt to its first end, ``ran_before`` maps a rid to
+    whether its key may have run on any host before it arrived.
     """
 
     def __init__(self):
         self.host = driver.Host(max_requests=4)
-        self.mail = []
-        self.sent = []
-        self.seen = 0
-        self.left = set()
+        self.in_transit = []
+        self.delivered = []
+        self.effects_checked = 0
+        self.gone_callers = set()
         self.arrivals = {}
-        self.open = {}
+        self.open_attempts = {}
         self.ends = {}
-        self.opens = {}
-        self.claims = {}
-        self.granted = set()
-        self.finals = {}
-        self.slots = set()
+        self.opened_attempts = {}
+        self.claim_holders = {}
+        self.granted_claims = set()
+        self.answer_counts = {}
+        self.held_slots = set()
         self.ran_before = {}
 
-    def step(self, op, pick):
-        getattr(self, op)(pick)
-        self.absorb()
+    def step(self, operation, pick):
+        getattr(self, operation)(pick)
+        self.process_effects()
 
-    def absorb(self):
-        """Answer what the door sent and keep account of it."""
-        while self.seen < len(self.host.log):
-            effect = self.host.log[self.seen]
-            self.seen += 1
-            self.account(effect)
+    def process_effects(self):
+        """Check the host's new effects and answer its messages."""
+        while self.effects_checked < len(self.host.log):
+            effect = self.host.log[self.effects_checked]
+            self.effects_checked += 1
+            self.check_effect(effect)
             if isinstance(effect, effects.Send):
-                self.answer(effect.host, effect.message)
+                self.answer_message(effect.host, effect.message)
 
-    def answer(self, sender, message):
+    def answer_message(self, sender, message):
         if isinstance(message, messages.Released):
-            self.slots.discard(
+            self.held_slots.discard(
                 (message.rid, message.attempt, message.engine))
         if isinstance(message, messages.Enqueue):
             names = ("d1", "d2") if message.service == "desk" else (
                 "e1", "e2", "e3")
             engine = [name for name in names
                       if name not in message.avoid] or names
-            self.mail.append((sender, messages.Grant(
+            self.in_transit.append((sender, messages.Grant(
                 message.rid, message.attempt, message.cell, engine[0])))
         elif isinstance(message, messages.ClaimAsk) and message.look:
-            holder = self.claims.get(message.key, "")
+            holder = self.claim_holders.get(message.key, "")
             status = "duplicate" if holder else "absent"
-            self.ledger_says(sender, message, status, holder)
+            self.send_claim_answer(sender, message, status, holder)
         elif isinstance(message, messages.ClaimAsk):
-            holder = self.claims.setdefault(message.key, message.rid)
+            holder = self.claim_holders.setdefault(message.key, message.rid)
             status = "granted" if holder == message.rid else "duplicate"
-            self.ledger_says(sender, message, status, holder)
+            self.send_claim_answer(sender, message, status, holder)
         elif isinstance(message, messages.ClaimSettle):
             if message.outcome == "not_run":
-                if self.claims.get(message.key) == message.rid:
-                    del self.claims[message.key]
+                if self.claim_holders.get(message.key) == message.rid:
+                    del self.claim_holders[message.key]
 
-    def ledger_says(self, sender, ask, status, holder):
-        self.mail.append((sender, messages.ClaimAnswer(
+    def send_claim_answer(self, sender, ask, status, holder):
+        self.in_transit.append((sender, messages.ClaimAnswer(
             ask.rid, ask.key, status, holder.partition(".")[0], holder)))
 
-    def account(self, effect):
+    def check_effect(self, effect):
         match effect:
             case effects.OpenAttempt(rid=rid, attempt=attempt):
-                self.opens.setdefault(rid, []).append(attempt)
-                self.open[rid, attempt] = 0
+                self.opened_attempts.setdefault(rid, []).append(attempt)
+                self.open_attempts[rid, attempt] = 0
                 assert self.may_open(rid), "ran twice or without claim"
             case effects.ResumeAttempt(rid=rid, attempt=attempt):
-                self.open[rid, attempt] = 1
+                self.open_attempts[rid, attempt] = 1
             case effects.CancelAttempt(rid=rid, attempt=attempt):
-                self.open.pop((rid, attempt), None)
+                self.open_attempts.pop((rid, attempt), None)
             case effects.Answer(rid=rid, problem=problem):
                 if problem.outcome == "not_run":
-                    assert not self.may_have_run(rid), "lied: not_run"
-                    assert not self.ran_before[rid], "lied: key ran"
-                self.final(rid)
+                    assert not self.may_have_run(rid), "not_run: may have run"
+                    assert not self.ran_before[rid], "not_run: key ran before"
+                self.count_answer(rid)
             case effects.Replay(rid=rid, held=held):
-                mine = self.arrivals[rid].get("workspace")
-                assert mine == self.arrivals[held].get("workspace")
-                self.open[rid, 0] = 1
+                own_workspace = self.arrivals[rid].get("workspace")
+                assert own_workspace == self.arrivals[held].get("workspace")
+                self.open_attempts[rid, 0] = 1
 
     def may_open(self, rid):
         request = self.arrivals[rid]
         if request.get("class_name") != "book" and not request.get(
                 "non_repeatable"):
             return True
-        earlier = self.opens[rid][:-1]
-        held = rid in self.granted
+        earlier = self.opened_attempts[rid][:-1]
+        held = rid in self.granted_claims
         return held and not self.may_have_run(rid, earlier)
 
     def may_have_run(self, rid, attempts=None):
-        attempts = self.opens.get(rid, ()) if attempts is None else attempts
-        return any(self.ends.get((rid, one)) not in NOT_RUN
-                   for one in attempts)
+        attempts = (self.opened_attempts.get(rid, ())
+                    if attempts is None else attempts)
+        return any(self.ends.get((rid, attempt)) not in NOT_RUN_ENDS
+                   for attempt in attempts)
 
-    def final(self, rid):
-        assert rid in self.arrivals, "answered nobody"
-        self.finals[rid] = self.finals.get(rid, 0) + 1
-        assert self.finals[rid] == 1, "answered twice"
+    def count_answer(self, rid):
+        assert rid in self.arrivals, "answer to an unknown request"
+        self.answer_counts[rid] = self.answer_counts.get(rid, 0) + 1
+        assert self.answer_counts[rid] == 1, "answered twice"
 
     def arrive(self, pick):
         request = REQUESTS[pick % len(REQUESTS)]
@@ -140,69 +143,71 @@
         if request.get("class_name") != "book" and not request.get(
                 "non_repeatable"):
             return False
-        key = ledger_key(request)
-        return self.claims.get(key) == BOOKED or any(
+        key = claim_key_of(request)
+        return self.claim_holders.get(key) == OTHER_HOST_RID or any(
             self.may_have_run(rid) for rid, other in self.arrivals.items()
-            if other.get("key") and ledger_key(other) == key)
+            if other.get("key") and claim_key_of(other) == key)
 
     def book(self, pick):
-        """Another host takes a booking; its answer is lost."""
+        """Another host claims a booking; its answer is lost."""
         request = REQUESTS[3 + pick % 4]
-        self.claims.setdefault(ledger_key(request), BOOKED)
+        self.claim_holders.setdefault(claim_key_of(request), OTHER_HOST_RID)
 
     def deliver(self, pick):
-        if self.mail:
-            mail = self.mail.pop(pick % len(self.mail))
-            self.sent.append(mail)
-            self.receive(*mail)
+        if self.in_transit:
+            delivery = self.in_transit.pop(pick % len(self.in_transit))
+            self.delivered.append(delivery)
+            self.receive(*delivery)
 
     def repeat(self, pick):
-        if self.sent:
-            self.receive(*self.sent[pick % len(self.sent)])
+        if self.delivered:
+            self.receive(*self.delivered[pick % len(self.delivered)])
 
     def receive(self, sender, message):
         if isinstance(message, messages.Grant):
-            self.slots.add((message.rid, message.attempt, message.engine))
+            self.held_slots.add((message.rid, message.attempt, message.engine))
         if isinstance(message, messages.ClaimAnswer):
             if message.status == "granted":
-                self.granted.add(message.rid)
+                self.granted_claims.add(message.rid)
         self.host.receive(sender, message)
 
     def refuse(self, pick):
-        if self.mail:
-            sender, grant = self.mail[pick % len(self.mail)]
+        if self.in_transit:
+            sender, grant = self.in_transit[pick % len(self.in_transit)]
             if isinstance(grant, messages.Grant):
                 self.host.receive(sender, messages.Refusal(
                     grant.rid, grant.attempt, grant.cell, "overload"))
 
     def begin(self, pick):
-        if self.open:
-            rid, attempt = sorted(self.open)[pick % len(self.open)]
+        if self.open_attempts:
+            rid, attempt = sorted(self.open_attempts)[
+                pick % len(self.open_attempts)]
             self.host.feed(events.AttemptOpened(rid, attempt, 0.1))
 
     def end(self, pick, end=""):
-        if not self.open:
+        if not self.open_attempts:
             return
-        rid, attempt = sorted(self.open)[pick % len(self.open)]
-        resumed = self.open.pop((rid, attempt))
+        rid, attempt = sorted(self.open_attempts)[
+            pick % len(self.open_attempts)]
+        resumed = self.open_attempts.pop((rid, attempt))
         end = end or ENDS[pick % len(ENDS)]
         if not resumed:
             self.ends[rid, attempt] = end
         event = events.AttemptClosed(
             rid, attempt, events.AttemptEnd(end), pick % 3)
-        if end == "done" and self.awaits(rid):
-            self.final(rid)
+        if end == "done" and self.is_pending(rid):
+            self.count_answer(rid)
         self.host.feed(event)
         self.host.feed(event)
 
-    def awaits(self, rid):
+    def is_pending(self, rid):
         door = self.host.daemon.door
         return rid in door.relays or rid in door.requests
 
     def leave(self, pick):
         if self.arrivals:
             rid = sorted(self.arrivals)[pick % len(self.arrivals)]
-            self.left.add(rid)
+            self.gone_callers.add(rid)
             self.host.feed(events.CallerGone(rid))
 
     def wait(self, pick):
@@ -216,51 +221,52 @@
         names = ("e1", "e2", "d1", "")
         self.host.list_servers((names[pick % 4],), at=pick + 2)
 
-    def settle(self):
-        """Let everything that is under way come to its end."""
+    def run_to_completion(self):
+        """Run until no request, relay or lookup is left."""
         for _ in range(200):
-            if not self.awaiting():
+            if not self.has_pending():
                 return
-            while self.mail:
+            while self.in_transit:
                 self.deliver(0)
-                self.absorb()
-            while self.open:
+                self.process_effects()
+            while self.open_attempts:
                 self.end(0, "done")
-                self.absorb()
+                self.process_effects()
             self.host.advance(1.0)
-            self.absorb()
+            self.process_effects()
 
-    def awaiting(self):
+    def has_pending(self):
         door = self.host.daemon.door
-        return door.requests or door.relays or door.looks
+        return door.requests or door.relays or door.lookups
 
 
-def ledger_key(request):
+def claim_key_of(request):
     return driver.claim_key(request.get("workspace", "north"),
                             request["key"])
 
 
-class AnyOrder(unittest.TestCase):
+class AnyOrderTest(unittest.TestCase):
 
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(strategies.lists(strategies.tuples(
-        strategies.sampled_from(OPS), strategies.integers(0, 59)),
+        strategies.sampled_from(OPERATIONS), strategies.integers(0, 59)),
         min_size=40, max_size=80))
     def test_one_true_answer(self, steps):
-        """A caller gets two answers, none, or one that is not true.
+        """A caller gets two answers, none, or a wrong one.
 
-        Peers' messages come late, twice and out of order, attempts end
-        in every way, callers leave and connections are remade at any
-        moment. Each request still gets one answer, a booking runs once
-        and after its claim, not_run is true, and no slot stays taken.
+        Messages arrive late, twice and out of order, attempts end in
+        every way, and callers and peers disconnect at any moment. Each
+        request must still get one answer, a booking must run once and
+        only after its claim, not_run must be true, and no slot may stay
+        occupied.
         """
-        world = World()
-        for op, pick in steps:
-            world.step(op, pick)
-        world.settle()
-        door = world.host.daemon.door
+        environment = Environment()
+        for operation, pick in steps:
+            environment.step(operation, pick)
+        environment.run_to_completion()
+        door = environment.host.daemon.door
         self.assertFalse(door.requests or door.relays or door.cells)
-        self.assertFalse(world.slots)
-        for rid in world.arrivals:
-            if rid not in world.left:
-                self.assertEqual(1, world.finals.get(rid), rid)
+        self.assertFalse(environment.held_slots)
+        for rid in environment.arrivals:
+            if rid not in environment.gone_callers:
+                self.assertEqual(1, environment.answer_counts.get(rid), rid)
