--- a/tests/door/driver.py
+++ b/tests/door/driver.py
@@ -1,4 +1,4 @@
-"""A door on one host, driven by hand: events in, effects out."""
+"""Test driver for the entry host component: events in, effects out."""
 
 import hashlib
 import random
@@ -17,8 +17,8 @@
 from crocuskeel.core import state
 
 DOMAINS = {"e1": "a", "e2": "b", "e3": "c"}
-_QUIET = (effects.SetTimer, effects.CancelTimer, effects.Record,
-          effects.Measure)
+_UNLABELED = (effects.SetTimer, effects.CancelTimer, effects.Record,
+              effects.Measure)
 
 
 def token(workspace):
@@ -49,13 +49,13 @@
 
 
 def member(host, status="alive", incarnation=1, load=0.0, domain="a"):
-    """Return what membership says of a host."""
+    """Return a membership update for a host."""
     return messages.MemberUpdate(host, incarnation, status, "127.0.0.1",
                                  1, 2, domain, "r", load)
 
 
 class Host:
-    """Host ``h1`` of three, with a clock and timers moved by hand."""
+    """Host ``h1`` of three, with a simulated clock and timers."""
 
     def __init__(self, max_requests=50):
         me = state.Identity("test", "h1", "a", "r", "127.0.0.1", 1, 2, 1)
@@ -71,12 +71,12 @@
             quarantine=quarantine.new_state(), dispatch=None,
             door=door.new_state(),
             claims=claims.new_state("h1", 1, random.Random(7)))
-        self.says("h2", member("h2"), member("h3"))
+        self.receive_members("h2", member("h2"), member("h3"))
         self.list_servers()
         self.feed(events.Started())
 
     def list_servers(self, leaving=(), at=1):
-        """Read a host list of three engines and two plain servers."""
+        """Receive a host list of three engines and two plain servers."""
         names = [*DOMAINS, "d1", "d2"]
         servers = tuple(messages.Backend(
             name, "llm" if name in DOMAINS else "desk", f"http://{name}",
@@ -87,7 +87,7 @@
         self.feed(event)
 
     def feed(self, event):
-        """Reduce one event; keep timers and the log of effects."""
+        """Handle one event; update the timers and the log of effects."""
         out = door.handle(self.daemon, event, self.now)
         for effect in out:
             if isinstance(effect, effects.SetTimer):
@@ -97,9 +97,9 @@
         self.log += out
         return out
 
-    def advance(self, span):
-        """Move the clock and fire what comes due, in order."""
-        until = self.now + span
+    def advance(self, seconds):
+        """Advance the clock and fire the timers that expire, in order."""
+        until = self.now + seconds
         while self.timers:
             key = min(self.timers, key=lambda key: (
                 self.timers[key], key))
@@ -117,14 +117,14 @@
         """Receive a peer's message."""
         return self.feed(events.Received(sender, 1, message))
 
-    def says(self, sender, *updates, ago=0.0):
-        """Tell membership of hosts; the door sees it at its tick."""
+    def receive_members(self, sender, *updates, seconds_ago=0.0):
+        """Update membership; the entry host sees it at its next tick."""
         membership.handle(self.daemon, events.Received(
-            sender, 1, messages.ProbeAck(1, updates)), self.now - ago)
+            sender, 1, messages.ProbeAck(1, updates)), self.now - seconds_ago)
 
     def arrive(self, class_name="ramp", workspace="north", stream=True,
                key="", digest="d", fingerprint="f", **extra):
-        """A caller's request; returns its rid."""
+        """Receive a caller's request; return its rid."""
         self.rids += 1
         rid = f"h1.1.{self.rids}"
         self.feed(events.RequestArrived(
@@ -134,7 +134,7 @@
         return rid
 
     def request(self, rid):
-        """Return the held request or None."""
+        """Return the request, or None if it has ended."""
         return self.daemon.door.requests.get(rid)
 
     def grant(self, rid, engine="e1", sender=""):
@@ -150,28 +150,28 @@
             rid, key, status, **extra))
 
     def opened(self, rid):
-        """The first byte of the current attempt comes."""
+        """Receive the first byte of the current attempt."""
         attempt = self.request(rid).attempt
         return self.feed(events.AttemptOpened(rid, attempt, 0.1))
 
     def closed(self, rid, end, attempt=None, **extra):
-        """The current attempt ends."""
+        """End the current attempt."""
         if attempt is None:
             attempt = self.request(rid).attempt
         return self.feed(events.AttemptClosed(
             rid, attempt, events.AttemptEnd(end), **extra))
 
     def labels(self):
-        """Return the story so far in words, without quiet effects."""
-        return [label(one) for one in self.log
-                if not isinstance(one, _QUIET)]
+        """Return the labels of the effects so far, minor ones left out."""
+        return [label(effect) for effect in self.log
+                if not isinstance(effect, _UNLABELED)]
 
 
 def label(effect):
-    """Return one effect in a few words, for tables."""
+    """Return a short label of one effect, for tables."""
     match effect:
         case effects.Send(message=messages.Enqueue() as ask):
-            return " ".join(["enqueue", *(f"-{one}" for one in ask.avoid)])
+            return " ".join(["enqueue", *(f"-{name}" for name in ask.avoid)])
         case effects.Send(message=messages.Released() as msg):
             return f"release {msg.engine} {msg.end}"
         case effects.Send(message=messages.ClaimSettle() as msg):
@@ -196,5 +196,5 @@
 
 
 def claim_key(workspace, key):
-    """Return the ledger's key of a caller's key."""
+    """Return the ledger key of a caller's Idempotency-Key."""
     return claims.key_digest(workspace, "desk", key)
--- a/tests/door/test_faults.py
+++ b/tests/door/test_faults.py
@@ -1,4 +1,4 @@
-"""Contract tests of the door's interfaces, from the fault tables."""
+"""Tests of the entry host's interfaces, from the fault tables."""
 
 import unittest
 
@@ -10,8 +10,8 @@
 from tests.door import rows
 
 
-class FaultTables(unittest.TestCase):
-    """Each row's story is told by the row itself."""
+class FaultTableTest(unittest.TestCase):
+    """Each row describes the failure that it guards against."""
 
     maxDiff = None
 
@@ -23,7 +23,7 @@
                 for step in row.steps:
                     step(host, rid)
                 self.assertEqual(
-                    row.expect.split(", "), host.labels(), row.story)
+                    row.expect.split(", "), host.labels(), row.failure)
 
     def test_caller(self):
         self._run(rows.CALLER)
@@ -38,38 +38,38 @@
         self._run(key_rows.KEYS)
 
 
-class SilentConnection(unittest.TestCase):
+class FirstByteTimeoutTest(unittest.TestCase):
 
-    def test_first_byte_is_not_waited_for_long(self):
-        """A briefing takes 40 s to be given up on.
+    def test_first_byte_timeout_is_a_small_multiple_of_the_target(self):
+        """A request on dead connections takes 40 s to fail.
 
-        Its connection went silent before the first byte. Each attempt
-        waits for that byte, and there are up to four.
+        Each of up to four attempts waits for a first byte that never
+        arrives.
         """
         host = driver.Host()
         rid = host.arrive()
         host.grant(rid)
-        attempt = next(one for one in host.log
-                       if isinstance(one, effects.OpenAttempt))
+        attempt = next(effect for effect in host.log
+                       if isinstance(effect, effects.OpenAttempt))
         target = host.request(rid).policy.target_ttft_s
         self.assertEqual(1.0, target)
         self.assertLessEqual(attempt.first_byte_s, 4.0 * target)
 
 
-class PlannedStop(unittest.TestCase):
+class DrainTest(unittest.TestCase):
 
     def test_nothing_is_cut(self):
-        """A stop for maintenance cuts off a booking in progress.
+        """A shutdown for maintenance cuts off a booking in progress.
 
-        The host is told to stop while one request waits and one runs.
-        New callers are sent elsewhere; both end whole; only then, and
-        not before callers can have seen the new locate, it exits.
+        The host is told to drain while one request waits and one runs.
+        New callers are redirected and both requests complete. Only then,
+        and after callers had time to locate again, does it exit.
         """
         host = driver.Host()
-        waits = host.arrive()
-        runs = host.arrive(**rows.BOOK)
-        host.grant(runs, "d1")
-        host.claim(runs)
+        waiting = host.arrive()
+        running = host.arrive(**rows.BOOK)
+        host.grant(running, "d1")
+        host.claim(running)
         membership.handle(host.daemon, events.DrainAsked(), host.now)
         host.feed(events.DrainAsked())
         refused = host.feed(events.RequestArrived(
@@ -77,11 +77,11 @@
             False, 1, 0, 0, "d", "f"))[0]
         self.assertEqual("127.0.0.1:2", refused.location)
         host.advance(5.0)
-        host.grant(waits)
-        host.closed(waits, "done")
+        host.grant(waiting)
+        host.closed(waiting, "done")
         host.advance(1.0)
         self.assertNotIn(effects.Exit(), host.log)
-        host.closed(runs, "done")
+        host.closed(running, "done")
         host.advance(1.0)
         self.assertEqual(1, host.log.count(effects.Exit()))
         self.assertNotIn("cancel", host.labels())
