--- a/crocuskeel/core/claims/reducer.py
+++ b/crocuskeel/core/claims/reducer.py
@@ -10,7 +10,7 @@
 from crocuskeel.core.claims import answers
 from crocuskeel.core.claims import commits
 from crocuskeel.core.claims import ledger as ledgers
-from crocuskeel.core.claims import looking
+from crocuskeel.core.claims import lookups
 from crocuskeel.core.claims import state as states
 from crocuskeel.core import effects
 from crocuskeel.core import events
@@ -80,7 +80,7 @@
 
 def _looked(state, event, now):
     slot = _slot(state, event.message.slot)
-    out = looking.take(state, slot, event, now)
+    out = lookups.take(state, slot, event, now)
     return out + _pump(state, slot, now)
 
 
@@ -167,7 +167,7 @@
     slot.backoff_s = 0.0
     commits.observe_epoch(slot, now)
     out = _resolve_doubt(slot) + _answer_known(state, slot)
-    return out + looking.read_done(state, slot, now)
+    return out + lookups.read_done(state, slot, now)
 
 
 def _loaded(event):
@@ -262,7 +262,7 @@
     slot.backoff_s = min(
         cfg.backoff_max_s, max(cfg.backoff_s, slot.backoff_s * 2))
     slot.down_until = now + state.rng.uniform(0.5, 1.0) * slot.backoff_s
-    out = looking.fail(state, slot, now)
+    out = lookups.fail(state, slot, now)
     for ask in list(slot.asks.values()):
         if ask.doubtful:
             continue
@@ -306,7 +306,7 @@
     if wait_s > 0:
         pump = (CONCERN, slot.number, _PUMP)
         return [*out, effects.SetTimer(pump, wait_s)]
-    if slot.ledger is None or (slot.looks and looking.due(slot) <= now):
+    if slot.ledger is None or (slot.looks and lookups.due(slot) <= now):
         return [*out, _read(state, slot, now)]
     return [*out, *_commit(state, slot, now)]
 
@@ -317,7 +317,7 @@
 
 
 def _wait_s(state, slot, now):
-    times = [looking.due(slot)] if slot.looks else []
+    times = [lookups.due(slot)] if slot.looks else []
     if _has_writes(slot):
         times.append(_write_due(state, slot))
     return min(times) - now
@@ -351,7 +351,7 @@
 
 def _read(state, slot, now):
     slot.phase = states.Phase.READING
-    looking.read_begins(slot, now)
+    lookups.read_begins(slot, now)
     return effects.StoreGet(_new_op(state, slot), _path(state, slot))
 
 
--- a/crocuskeel/core/membership/spread.py
+++ b/crocuskeel/core/membership/gossip.py
@@ -10,7 +10,7 @@
 
 from crocuskeel.core import effects
 from crocuskeel.core import follower
-from crocuskeel.core.membership import pace
+from crocuskeel.core.membership import params
 from crocuskeel.core.membership import state as st
 from crocuskeel.core import messages
 
@@ -89,10 +89,10 @@
 def pack(daemon, first=()):
     """Return ``first`` and as many queued updates as fit a datagram."""
     state = daemon.members
-    room = pace.UPDATES_BYTES - sum(_bytes(u) for u in first)
+    room = params.UPDATES_BYTES - sum(_bytes(u) for u in first)
     out = list(first)
     named = {update.host for update in first}
-    limit = pace.max_sends(len(st.peers(state)) + 1)
+    limit = params.max_sends(len(st.peers(state)) + 1)
     for host in sorted(state.queue, key=state.queue.get):
         update = _newest(daemon, host)
         if host in named and update is not None:
@@ -126,7 +126,7 @@
     enqueue(daemon, about)
     key = ("members", REPEAT, about)
     return [*_shouted(daemon, about, also),
-            effects.SetTimer(key, pace.REPEAT_S)]
+            effects.SetTimer(key, params.REPEAT_S)]
 
 
 def repeat(daemon, about):
@@ -138,7 +138,7 @@
     update = _newest(daemon, about)
     if update is None:
         return []
-    hosts = dict.fromkeys((*also, *_some_peers(daemon, pace.FANOUT)))
+    hosts = dict.fromkeys((*also, *_some_peers(daemon, params.FANOUT)))
     return [_carry(daemon, host, (update,)) for host in hosts]
 
 
@@ -147,16 +147,16 @@
     waiting = sum(_bytes(update) for update in (
         _newest(daemon, host) for host in daemon.members.queue)
         if update is not None)
-    if waiting <= pace.UPDATES_BYTES:
+    if waiting <= params.UPDATES_BYTES:
         return []
     return [_carry(daemon, host, ())
-            for host in _some_peers(daemon, pace.EXTRA_GOSSIP)]
+            for host in _some_peers(daemon, params.EXTRA_GOSSIP)]
 
 
 def start_sync(daemon, host):
     """Tell a host that joins of all others, some datagrams a period."""
     state = daemon.members
-    if len(state.syncs) >= pace.MAX_SYNCS:
+    if len(state.syncs) >= params.MAX_SYNCS:
         return []
     names = [name for name in st.peers(state) if name != host]
     daemon.rng.shuffle(names)
@@ -169,7 +169,7 @@
     syncs = daemon.members.syncs
     out = []
     turns = itertools.cycle(list(syncs))
-    for host in itertools.islice(turns, pace.SYNC_DATAGRAMS):
+    for host in itertools.islice(turns, params.SYNC_DATAGRAMS):
         if host in syncs:
             out += _sync_one(daemon, host)
     return out
@@ -178,7 +178,7 @@
 def _sync_one(daemon, host):
     state = daemon.members
     names = state.syncs[host]
-    room = pace.UPDATES_BYTES
+    room = params.UPDATES_BYTES
     updates = []
     while names and room > 0:
         update = _newest(daemon, names[-1])
--- a/crocuskeel/core/membership/handlers.py
+++ b/crocuskeel/core/membership/handlers.py
@@ -4,8 +4,8 @@
 
 from crocuskeel.core import effects
 from crocuskeel.core import events
+from crocuskeel.core.membership import gossip
 from crocuskeel.core.membership import probing
-from crocuskeel.core.membership import spread
 from crocuskeel.core.membership import state as st
 from crocuskeel.core.membership import updates
 from crocuskeel.core import messages
@@ -42,8 +42,8 @@
             return probing.failed(daemon, seq, now)
         case (_, updates.DECLARE, host):
             return updates.declare_dead(daemon, host, now)
-        case (_, spread.REPEAT, about):
-            return spread.repeat(daemon, about)
+        case (_, gossip.REPEAT, about):
+            return gossip.repeat(daemon, about)
     return []
 
 
@@ -79,7 +79,7 @@
         case messages.Probe(seq=seq):
             out = [_ack(daemon, sender, seq)]
             if newcomer:
-                out += spread.start_sync(daemon, sender)
+                out += gossip.start_sync(daemon, sender)
             return out
         case messages.ProbeAck(seq=seq) if seq:
             return probing.acked(daemon, seq)
@@ -91,12 +91,12 @@
 def _ack(daemon, host, seq):
     if seq == 0:
         # A first contact: the sender may not know this host yet.
-        mine = spread.of_me(daemon)
+        mine = gossip.of_me(daemon)
     else:
-        mine = spread.own(daemon)
-    first = (mine, *spread.told(daemon, host))
+        mine = gossip.own(daemon)
+    first = (mine, *gossip.told(daemon, host))
     return effects.Send(
-        host, messages.ProbeAck(seq, spread.pack(daemon, first)))
+        host, messages.ProbeAck(seq, gossip.pack(daemon, first)))
 
 
 def _outdated(event, member):
@@ -121,4 +121,4 @@
     state = daemon.members
     state.me = dataclasses.replace(state.me, status=st.LEAVING)
     st.changed(state)
-    return spread.shout(daemon, state.me.host)
+    return gossip.shout(daemon, state.me.host)
--- a/crocuskeel/core/membership/probing.py
+++ b/crocuskeel/core/membership/probing.py
@@ -6,8 +6,8 @@
 """
 
 from crocuskeel.core import effects
-from crocuskeel.core.membership import pace
-from crocuskeel.core.membership import spread
+from crocuskeel.core.membership import gossip
+from crocuskeel.core.membership import params
 from crocuskeel.core.membership import state as st
 from crocuskeel.core.membership import updates
 from crocuskeel.core import messages
@@ -24,10 +24,10 @@
 def start(daemon, now):
     """Begin to probe and to look for the others."""
     state = daemon.members
-    span = daemon.rng.uniform(0.0, pace.PERIOD_S)
+    span = daemon.rng.uniform(0.0, params.PERIOD_S)
     state.tick_due = now + span
-    spread.enqueue(daemon, state.me.host)
-    return [*_contact_some(daemon, pace.CONTACTS_ALONE),
+    gossip.enqueue(daemon, state.me.host)
+    return [*_contact_some(daemon, params.CONTACTS_ALONE),
             effects.SetTimer(TICK, span)]
 
 
@@ -37,8 +37,8 @@
     if state.superseded:
         return []
     out = _probe_next(daemon, now)
-    out += spread.sync_more(daemon)
-    out += spread.gossip_more(daemon)
+    out += gossip.sync_more(daemon)
+    out += gossip.gossip_more(daemon)
     out += _look_for_others(daemon, now)
     _forget_relays(state, now)
     span = _period(state) * daemon.rng.uniform(1 - _JITTER, 1 + _JITTER)
@@ -51,7 +51,7 @@
 
 
 def _period(state):
-    return pace.period(_hosts(state))
+    return params.period(_hosts(state))
 
 
 def notice_pause(state, now):
@@ -62,11 +62,11 @@
     A tick that comes late shows the pause, whichever event is first.
     """
     late = now - state.tick_due
-    if not state.tick_due or late <= pace.LATE_S:
+    if not state.tick_due or late <= params.LATE_S:
         return
     state.tick_due = now
     state.probes.clear()
-    state.doubt = min(state.doubt + 1, pace.MAX_DOUBT)
+    state.doubt = min(state.doubt + 1, params.MAX_DOUBT)
     for host in st.peers(state):
         state.members[host].deadline += late
 
@@ -131,16 +131,16 @@
     state = daemon.members
     state.seq += 1
     state.probes[state.seq] = st.PendingProbe(host, now)
-    span = pace.probe_span(_hosts(state), state.doubt)
+    span = params.probe_span(_hosts(state), state.doubt)
     key = ("members", DIRECT, state.seq)
     return [_probe_message(daemon, host, state.seq),
-            effects.SetTimer(key, span * pace.DIRECT_SHARE)]
+            effects.SetTimer(key, span * params.DIRECT_SHARE)]
 
 
 def _probe_message(daemon, host, seq):
-    first = (spread.of_me(daemon), *spread.told(daemon, host))
+    first = (gossip.of_me(daemon), *gossip.told(daemon, host))
     return effects.Send(
-        host, messages.Probe(seq, spread.pack(daemon, first)))
+        host, messages.Probe(seq, gossip.pack(daemon, first)))
 
 
 def unanswered(daemon, seq):
@@ -152,12 +152,12 @@
     others = [host for host in st.peers(state)
               if host != probe.host
               and state.members[host].update.status != st.SUSPECT]
-    helpers = daemon.rng.sample(others, min(pace.HELPERS, len(others)))
-    span = pace.probe_span(_hosts(state), state.doubt)
+    helpers = daemon.rng.sample(others, min(params.HELPERS, len(others)))
+    span = params.probe_span(_hosts(state), state.doubt)
     out = [effects.SetTimer(("members", FAILED, seq),
-                            span * (1 - pace.DIRECT_SHARE))]
+                            span * (1 - params.DIRECT_SHARE))]
     for helper in helpers:
-        ask = messages.ProbeVia(seq, probe.host, spread.pack(daemon))
+        ask = messages.ProbeVia(seq, probe.host, gossip.pack(daemon))
         out.append(effects.Send(helper, ask))
     return out
 
@@ -177,7 +177,7 @@
     state = daemon.members
     relay = state.relays.pop(seq, None)
     if relay is not None:
-        ack = messages.ProbeAck(relay.seq, spread.pack(daemon))
+        ack = messages.ProbeAck(relay.seq, gossip.pack(daemon))
         return [effects.Send(relay.asker, ack)]
     probe = state.probes.pop(seq, None)
     if probe is None:
@@ -196,7 +196,7 @@
     member = state.members.get(probe.host) if probe else None
     if member is None or member.update.status in (st.SUSPECT, st.DEAD):
         return []
-    if state.heard_at < probe.sent_at and state.doubt < pace.MAX_DOUBT:
+    if state.heard_at < probe.sent_at and state.doubt < params.MAX_DOUBT:
         # Nobody at all was heard: it is likely this host that is cut
         # off, and it would call everyone dead.
         state.doubt += 1
@@ -210,24 +210,24 @@
     # Heard while helpers were asked: datagrams were lost. But a host
     # that only sends and hears nothing can't work: it is forgiven a
     # bounded number of times.
-    asked_at = probe.sent_at + (pace.DIRECT_SHARE * pace.probe_span(
+    asked_at = probe.sent_at + (params.DIRECT_SHARE * params.probe_span(
         _hosts(state), 0))
     member.missed += 1
     return (member.heard_at > asked_at
-            and member.missed <= pace.MAX_FORGIVEN)
+            and member.missed <= params.MAX_FORGIVEN)
 
 
 def _look_for_others(daemon, now):
     state = daemon.members
     if not st.peers(state):
-        return _contact_some(daemon, pace.CONTACTS_ALONE)
+        return _contact_some(daemon, params.CONTACTS_ALONE)
     if state.contested:
         host = next(iter(state.contested))
         del state.contested[host]
         return _contact(daemon, host, _contacts(state).get(host))
     if now < state.retry_due:
         return []
-    state.retry_due = now + pace.RETRY_S
+    state.retry_due = now + params.RETRY_S
     _forget_dead(state, now)
     return _contact_some(daemon, 1)
 
@@ -256,7 +256,7 @@
 def _contact(daemon, host, place):
     if place is None:
         return []
-    first = (spread.of_me(daemon), *spread.told(daemon, host))
+    first = (gossip.of_me(daemon), *gossip.told(daemon, host))
     return [effects.Send(host, messages.Probe(0, first), *place)]
 
 
@@ -264,14 +264,14 @@
     dead = sorted((member.died_at, host)
                   for host, member in state.members.items()
                   if member.update.status == st.DEAD)
-    spare = len(dead) - pace.DEAD_KEPT
+    spare = len(dead) - params.DEAD_KEPT
     for index, (died_at, host) in enumerate(dead):
-        if index < spare or now - died_at > pace.DEAD_KEPT_S:
+        if index < spare or now - died_at > params.DEAD_KEPT_S:
             del state.members[host]
 
 
 def _forget_relays(state, now):
-    limit = 2 * pace.probe_span(_hosts(state), pace.MAX_DOUBT)
+    limit = 2 * params.probe_span(_hosts(state), params.MAX_DOUBT)
     for seq, relay in list(state.relays.items()):
         if now - relay.sent_at > limit:
             del state.relays[seq]
--- a/crocuskeel/core/membership/updates.py
+++ b/crocuskeel/core/membership/updates.py
@@ -8,8 +8,8 @@
 import dataclasses
 
 from crocuskeel.core import effects
-from crocuskeel.core.membership import pace
-from crocuskeel.core.membership import spread
+from crocuskeel.core.membership import gossip
+from crocuskeel.core.membership import params
 from crocuskeel.core.membership import state as st
 
 __all__ = ["DECLARE", "apply", "declare_dead", "newer", "suspect"]
@@ -80,11 +80,11 @@
     # split. Only a greater count makes the others take it back.
     state.me = dataclasses.replace(
         me, refutations=update.refutations + 1)
-    state.doubt = min(state.doubt + 1, pace.MAX_DOUBT)
+    state.doubt = min(state.doubt + 1, params.MAX_DOUBT)
     record = effects.Record("suspicion_refuted", "", (
         ("by", sender), ("refutations", state.me.refutations)))
     also = (sender,) if sender in state.members else ()
-    return [record, *spread.shout(daemon, me.host, also)]
+    return [record, *gossip.shout(daemon, me.host, also)]
 
 
 def _superseded(state):
@@ -106,7 +106,7 @@
         update, leaving=update.status == st.LEAVING, heard_at=now)
     _enter_round(daemon, update.host)
     st.changed(state)
-    spread.enqueue(daemon, update.host)
+    gossip.enqueue(daemon, update.host)
     return [_record("member_joined", update)]
 
 
@@ -130,7 +130,7 @@
     member.leaving = member.leaving or update.status == st.LEAVING
     if _moves(known, update):
         st.changed(state)
-    spread.enqueue(daemon, update.host)
+    gossip.enqueue(daemon, update.host)
     if update.status == st.SUSPECT:
         return [_record("member_suspect", update),
                 _give_time(daemon, member, now)]
@@ -170,9 +170,9 @@
 def _give_time(daemon, member, now):
     state = daemon.members
     hosts = len(st.peers(state)) + 1
-    span = pace.suspicion_span(hosts, state.doubt)
+    span = params.suspicion_span(hosts, state.doubt)
     member.deadline = now + span
-    member.believe_from = now + span * pace.BELIEVED_SHARE
+    member.believe_from = now + span * params.BELIEVED_SHARE
     key = ("members", DECLARE, member.update.host)
     return effects.SetTimer(key, span)
 
@@ -181,7 +181,7 @@
     """Start to suspect a host that answered no probe."""
     update = dataclasses.replace(member.update, status=st.SUSPECT)
     out = _change(daemon, member, update, now)
-    return out + spread.shout(daemon, update.host, (update.host,))
+    return out + gossip.shout(daemon, update.host, (update.host,))
 
 
 def declare_dead(daemon, host, now):
@@ -195,4 +195,4 @@
         return [effects.SetTimer(key, left)]
     update = dataclasses.replace(member.update, status=st.DEAD)
     out = _change(daemon, member, update, now)
-    return out + spread.shout(daemon, host)
+    return out + gossip.shout(daemon, host)
--- a/tests/membership/test_failures.py
+++ b/tests/membership/test_failures.py
@@ -5,7 +5,7 @@
 from bench import membership_figures as figures
 from crocuskeel.core import events
 from crocuskeel.core import membership
-from crocuskeel.core.membership import pace
+from crocuskeel.core.membership import params
 from crocuskeel.core.membership import probing
 from crocuskeel.core import messages
 
@@ -308,5 +308,5 @@
         for daemon in fleet.daemons.values():
             self.assertEqual(3, len(membership.everyone(daemon)))
             membership.handle(daemon, events.TimerFired(probing.TICK),
-                              fleet.now + pace.DEAD_KEPT_S)
+                              fleet.now + params.DEAD_KEPT_S)
             self.assertEqual(2, len(membership.everyone(daemon)))
