--- a/crocuskeel/core/membership/__init__.py
+++ b/crocuskeel/core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which entry hosts are there: a SWIM-like membership protocol."""
+"""Membership of the entry hosts: a SWIM-like gossip protocol."""
 
 from crocuskeel.core.membership.handlers import handle
 from crocuskeel.core.membership.handlers import hear
--- a/crocuskeel/core/membership/gossip.py
+++ b/crocuskeel/core/membership/gossip.py
@@ -1,8 +1,9 @@
-"""Dissemination: updates ride on probes and acks, a bounded number each.
+"""Dissemination: updates are piggybacked on probes and acks.
 
-An update is sent ``pace.max_sends`` times by each host, the least sent
-first. News that can't wait (suspicion, its denial, death, leaving) also
-goes to some hosts at once in acks of no probe (``seq`` 0).
+Each message carries a bounded number of updates. Each host sends an
+update ``params.retransmit_limit`` times, the least sent first. Urgent
+updates (suspicion, refutation, death, leaving) are also sent to some
+hosts immediately, in acks that answer no probe (``seq`` 0).
 """
 
 import dataclasses
@@ -14,24 +15,27 @@
 from crocuskeel.core.membership import state as st
 from crocuskeel.core import messages
 
-__all__ = ["compact", "enqueue", "gossip_more", "of_me", "own", "pack",
-           "repeat", "shout", "start_sync", "sync_more", "told"]
+__all__ = [
+    "compact", "continue_syncs", "enqueue", "own_compact_update", "own_update",
+    "pack", "repeat_urgent", "send_extra", "send_urgent", "start_sync",
+    "suspicion_notice",
+]
 
-# Upper bounds of an update's encoded bytes without its strings.
+# Upper bounds of the encoded size of an update without its strings.
 _FULL_BYTES = 50
 _COMPACT_BYTES = 36
-_NO_LABELS = {"address": "", "peer_port": 0, "door_port": 0,
-              "domain": "", "region": ""}
-REPEAT = "repeat"
+_COMPACT_FIELDS = {"address": "", "peer_port": 0, "door_port": 0,
+                   "domain": "", "region": ""}
+REPEAT_URGENT = "repeat"
 
 
 def compact(update):
-    """Return an update without address and labels."""
-    return dataclasses.replace(update, **_NO_LABELS)
+    """Return an update without address, ports, domain and region."""
+    return dataclasses.replace(update, **_COMPACT_FIELDS)
 
 
-def of_me(daemon):
-    """Return the whole update of this host with its generation."""
+def own_update(daemon):
+    """Return the full update of this host with its generation."""
     state = daemon.members
     generation = follower.generation(daemon)
     if state.me.generation != generation:
@@ -39,122 +43,129 @@
     return state.me
 
 
-def own(daemon):
-    """Return the short update that this host sends with each ack."""
-    return compact(of_me(daemon))
+def own_compact_update(daemon):
+    """Return the compact update that this host sends with each ack."""
+    return compact(own_update(daemon))
 
 
-def told(daemon, host):
-    """Return what a host must hear of itself: that it is not alive.
+def suspicion_notice(daemon, host):
+    """Return the update that says a host is suspect or dead, if any.
 
-    Without it a suspect that missed the news could not deny it.
+    It is sent to the host itself, which could not refute a suspicion
+    that it never received.
     """
     member = daemon.members.members.get(host)
     if member is None or member.update.status not in (st.SUSPECT, st.DEAD):
         return ()
-    return (_to_tell(member),)
+    return (_disseminated_form(member),)
 
 
 def enqueue(daemon, host):
-    """Spread the newest update of a host from now on."""
+    """Queue the newest update of a host for dissemination."""
     daemon.members.queue[host] = 0
 
 
-def _to_tell(member):
-    # Hosts that know a member keep its labels, so a suspicion goes
-    # without. Kept, as a lost failure domain is told of many times.
+def _disseminated_form(member):
+    # Hosts that know a member keep its address, domain and region, so a
+    # suspicion omits them. The compact update is cached because the loss
+    # of a failure domain causes many messages.
     if member.update.status not in (st.SUSPECT, st.DEAD):
         return member.update
-    if member.short is None:
-        member.short = dataclasses.replace(
-            member.update, load=0.0, generation=0, **_NO_LABELS)
-    return member.short
+    if member.compact_update is None:
+        member.compact_update = dataclasses.replace(
+            member.update, load=0.0, generation=0, **_COMPACT_FIELDS)
+    return member.compact_update
 
 
-def _bytes(update):
+def _encoded_bytes(update):
     fixed = _FULL_BYTES if update.address else _COMPACT_BYTES
     return (fixed + len(update.host) + len(update.status)
             + len(update.address) + len(update.domain)
             + len(update.region))
 
 
-def _newest(daemon, host):
+def _newest_update(daemon, host):
     state = daemon.members
     if host == state.me.host:
-        return of_me(daemon)
+        return own_update(daemon)
     member = state.members.get(host)
-    return None if member is None else _to_tell(member)
+    return None if member is None else _disseminated_form(member)
 
 
 def pack(daemon, first=()):
     """Return ``first`` and as many queued updates as fit a datagram."""
     state = daemon.members
-    room = params.UPDATES_BYTES - sum(_bytes(u) for u in first)
+    bytes_left = params.MAX_UPDATE_BYTES - sum(
+        _encoded_bytes(update) for update in first)
     out = list(first)
-    named = {update.host for update in first}
-    limit = params.max_sends(len(st.peers(state)) + 1)
+    included = {update.host for update in first}
+    limit = params.retransmit_limit(len(st.peers(state)) + 1)
     for host in sorted(state.queue, key=state.queue.get):
-        update = _newest(daemon, host)
-        if host in named and update is not None:
+        update = _newest_update(daemon, host)
+        if host in included and update is not None:
             continue
         if update is None or state.queue[host] >= limit:
             del state.queue[host]
             continue
-        room -= _bytes(update)
-        if room < 0:
+        bytes_left -= _encoded_bytes(update)
+        if bytes_left < 0:
             break
         out.append(update)
         state.queue[host] += 1
     return tuple(out)
 
 
-def _carry(daemon, host, first):
+def _send_updates(daemon, host, first):
     return effects.Send(host, messages.ProbeAck(0, pack(daemon, first)))
 
 
-def _some_peers(daemon, count):
+def _random_peers(daemon, count):
     others = st.peers(daemon.members)
     return daemon.rng.sample(others, min(count, len(others)))
 
 
-def shout(daemon, about, also=()):
-    """Send news of a host at once to some hosts, and soon again.
+def send_urgent(daemon, subject, extra_hosts=()):
+    """Send the update of a host to some hosts now, and soon again.
 
-    A lost datagram would else leave a host without the news until it
-    happens to be reached, perhaps after a suspect's time is up.
+    Without the repetition a lost datagram would delay the update until
+    regular gossip reaches the host, perhaps after the suspicion timeout.
     """
-    enqueue(daemon, about)
-    key = ("members", REPEAT, about)
-    return [*_shouted(daemon, about, also),
-            effects.SetTimer(key, params.REPEAT_S)]
+    enqueue(daemon, subject)
+    key = ("members", REPEAT_URGENT, subject)
+    return [*_urgent_sends(daemon, subject, extra_hosts),
+            effects.SetTimer(key, params.URGENT_REPEAT_S)]
 
 
-def repeat(daemon, about):
-    """Send the news a second time."""
-    return _shouted(daemon, about, ())
+def repeat_urgent(daemon, subject):
+    """Send an urgent update a second time."""
+    return _urgent_sends(daemon, subject, ())
 
 
-def _shouted(daemon, about, also):
-    update = _newest(daemon, about)
+def _urgent_sends(daemon, subject, extra_hosts):
+    update = _newest_update(daemon, subject)
     if update is None:
         return []
-    hosts = dict.fromkeys((*also, *_some_peers(daemon, params.FANOUT)))
-    return [_carry(daemon, host, (update,)) for host in hosts]
+    hosts = dict.fromkeys((
+        *extra_hosts, *_random_peers(daemon, params.URGENT_FANOUT)))
+    return [_send_updates(daemon, host, (update,)) for host in hosts]
 
 
-def gossip_more(daemon):
-    """Send extra datagrams while many updates wait (a split heals)."""
-    waiting = sum(_bytes(update) for update in (
-        _newest(daemon, host) for host in daemon.members.queue)
+def send_extra(daemon):
+    """Send extra datagrams while many updates are queued.
+
+    This happens when a partition heals.
+    """
+    queued_bytes = sum(_encoded_bytes(update) for update in (
+        _newest_update(daemon, host) for host in daemon.members.queue)
         if update is not None)
-    if waiting <= params.UPDATES_BYTES:
+    if queued_bytes <= params.MAX_UPDATE_BYTES:
         return []
-    return [_carry(daemon, host, ())
-            for host in _some_peers(daemon, params.EXTRA_GOSSIP)]
+    return [_send_updates(daemon, host, ())
+            for host in _random_peers(daemon, params.EXTRA_GOSSIP_TARGETS)]
 
 
 def start_sync(daemon, host):
-    """Tell a host that joins of all others, some datagrams a period."""
+    """Start to send a joining host all members, over some periods."""
     state = daemon.members
     if len(state.syncs) >= params.MAX_SYNCS:
         return []
@@ -164,8 +175,8 @@
     return _sync_one(daemon, host)
 
 
-def sync_more(daemon):
-    """Go on telling hosts that join."""
+def continue_syncs(daemon):
+    """Continue the syncs of joining hosts."""
     syncs = daemon.members.syncs
     out = []
     turns = itertools.cycle(list(syncs))
@@ -178,12 +189,12 @@
 def _sync_one(daemon, host):
     state = daemon.members
     names = state.syncs[host]
-    room = params.UPDATES_BYTES
+    bytes_left = params.MAX_UPDATE_BYTES
     updates = []
-    while names and room > 0:
-        update = _newest(daemon, names[-1])
-        room -= 0 if update is None else _bytes(update)
-        if room < 0:
+    while names and bytes_left > 0:
+        update = _newest_update(daemon, names[-1])
+        bytes_left -= 0 if update is None else _encoded_bytes(update)
+        if bytes_left < 0:
             break
         names.pop()
         if update is not None and update.address:
--- a/crocuskeel/core/membership/handlers.py
+++ b/crocuskeel/core/membership/handlers.py
@@ -1,4 +1,4 @@
-"""Reduces events into the membership state."""
+"""Applies events to the membership state."""
 
 import dataclasses
 
@@ -16,19 +16,19 @@
 
 
 def handle(daemon, event, now):
-    """Reduce one event; return effects."""
+    """Handle one event; return effects."""
     match event:
         case events.Started():
             return probing.start(daemon, now)
         case events.TimerFired(key=key) if key[0] == _PREFIX:
-            probing.notice_pause(daemon.members, now)
+            probing.detect_pause(daemon.members, now)
             return _timer(daemon, key, now)
         case events.Received():
             return _received(daemon, event, now)
         case events.HostListSeen(entries=entries):
-            _listed(daemon.members, entries)
+            _update_listed(daemon.members, entries)
         case events.DrainAsked():
-            return _leave(daemon)
+            return _start_leaving(daemon)
     return []
 
 
@@ -36,19 +36,19 @@
     match key:
         case (_, "tick"):
             return probing.tick(daemon, now)
-        case (_, probing.DIRECT, seq):
-            return probing.unanswered(daemon, seq)
-        case (_, probing.FAILED, seq):
-            return probing.failed(daemon, seq, now)
-        case (_, updates.DECLARE, host):
+        case (_, probing.DIRECT_TIMEOUT, seq):
+            return probing.direct_probe_timed_out(daemon, seq)
+        case (_, probing.PROBE_FAILED, seq):
+            return probing.probe_failed(daemon, seq, now)
+        case (_, updates.DECLARE_DEAD, host):
             return updates.declare_dead(daemon, host, now)
-        case (_, gossip.REPEAT, about):
-            return gossip.repeat(daemon, about)
+        case (_, gossip.REPEAT_URGENT, subject):
+            return gossip.repeat_urgent(daemon, subject)
     return []
 
 
 def hear(daemon, event, now):
-    """Note a sign of life; any message of a peer is one."""
+    """Record contact with a member; any of its messages counts."""
     state = daemon.members
     member = state.members.get(event.sender)
     if member is None:
@@ -65,15 +65,15 @@
     hear(daemon, event, now)
     member = state.members.get(event.sender)
     if member and event.incarnation < member.update.incarnation:
-        return _outdated(event, member)
+        return _reject_old_incarnation(event, member)
     out = []
     for update in event.message.updates:
         out += updates.apply(daemon, update, event.sender, now)
     newcomer = member is None and event.sender in state.members
-    return out + _answer(daemon, event, newcomer, now)
+    return out + _reply(daemon, event, newcomer, now)
 
 
-def _answer(daemon, event, newcomer, now):
+def _reply(daemon, event, newcomer, now):
     sender = event.sender
     match event.message:
         case messages.Probe(seq=seq):
@@ -82,26 +82,26 @@
                 out += gossip.start_sync(daemon, sender)
             return out
         case messages.ProbeAck(seq=seq) if seq:
-            return probing.acked(daemon, seq)
-        case messages.ProbeVia() as ask:
-            return probing.probe_for(daemon, sender, ask, now)
+            return probing.ack_received(daemon, seq)
+        case messages.ProbeVia() as request:
+            return probing.probe_on_behalf(daemon, sender, request, now)
     return []
 
 
 def _ack(daemon, host, seq):
     if seq == 0:
-        # A first contact: the sender may not know this host yet.
-        mine = gossip.of_me(daemon)
+        # First contact: the sender may not know this host yet.
+        own = gossip.own_update(daemon)
     else:
-        mine = gossip.own(daemon)
-    first = (mine, *gossip.told(daemon, host))
+        own = gossip.own_compact_update(daemon)
+    first = (own, *gossip.suspicion_notice(daemon, host))
     return effects.Send(
         host, messages.ProbeAck(seq, gossip.pack(daemon, first)))
 
 
-def _outdated(event, member):
-    # A second process runs under this host's name and started earlier.
-    # Told so at its own address, it stops.
+def _reject_old_incarnation(event, member):
+    # An older process still runs under this host name. A reply to its
+    # own address makes it stop taking part.
     for update in event.message.updates:
         if update.host == event.sender and update.address:
             reply = messages.ProbeAck(0, (member.update,))
@@ -110,15 +110,15 @@
     return []
 
 
-def _listed(state, entries):
+def _update_listed(state, entries):
     state.listed = {
         entry.host: (entry.address, entry.peer_port)
         for entry in entries
         if entry.address and entry.status != st.LEAVING}
 
 
-def _leave(daemon):
+def _start_leaving(daemon):
     state = daemon.members
     state.me = dataclasses.replace(state.me, status=st.LEAVING)
     st.changed(state)
-    return gossip.shout(daemon, state.me.host)
+    return gossip.send_urgent(daemon, state.me.host)
--- a/crocuskeel/core/membership/probing.py
+++ b/crocuskeel/core/membership/probing.py
@@ -1,8 +1,9 @@
-"""Probes: one a period, by turns along the ring and at random.
+"""Probes: one per period, alternating between ring and random order.
 
-The ring gives each host one watcher that probes it in every second
-period, so that a death is noticed within two periods at any size; the
-random round spreads news and finds what the ring's watcher can't see.
+In the ring, each host has one predecessor that probes it every second
+period, so that a death is detected within two periods whatever the
+number of hosts. The random round disseminates updates and detects
+failures that the predecessor can't observe.
 """
 
 from crocuskeel.core import effects
@@ -12,61 +13,65 @@
 from crocuskeel.core.membership import updates
 from crocuskeel.core import messages
 
-__all__ = ["DIRECT", "FAILED", "TICK", "acked", "failed", "notice_pause",
-           "probe_for", "start", "tick", "unanswered"]
+__all__ = [
+    "DIRECT_TIMEOUT", "PROBE_FAILED", "TICK", "ack_received", "detect_pause",
+    "direct_probe_timed_out", "probe_failed", "probe_on_behalf", "start",
+    "tick",
+]
 
 TICK = ("members", "tick")
-DIRECT = "direct"
-FAILED = "failed"
+DIRECT_TIMEOUT = "direct"
+PROBE_FAILED = "failed"
 _JITTER = 0.05
 
 
 def start(daemon, now):
-    """Begin to probe and to look for the others."""
+    """Start probing and contact the first members."""
     state = daemon.members
     span = daemon.rng.uniform(0.0, params.PERIOD_S)
     state.tick_due = now + span
     gossip.enqueue(daemon, state.me.host)
-    return [*_contact_some(daemon, params.CONTACTS_ALONE),
+    return [*_contact_random(daemon, params.CONTACTS_WITHOUT_PEERS),
             effects.SetTimer(TICK, span)]
 
 
 def tick(daemon, now):
-    """Do one period's work; return effects."""
+    """Run one protocol period; return effects."""
     state = daemon.members
     if state.superseded:
         return []
     out = _probe_next(daemon, now)
-    out += gossip.sync_more(daemon)
-    out += gossip.gossip_more(daemon)
-    out += _look_for_others(daemon, now)
-    _forget_relays(state, now)
+    out += gossip.continue_syncs(daemon)
+    out += gossip.send_extra(daemon)
+    out += _discover_members(daemon, now)
+    _remove_relays(state, now)
     span = _period(state) * daemon.rng.uniform(1 - _JITTER, 1 + _JITTER)
     state.tick_due = now + span
     return [*out, effects.SetTimer(TICK, span)]
 
 
-def _hosts(state):
+def _host_count(state):
     return len(st.peers(state)) + 1
 
 
 def _period(state):
-    return params.period(_hosts(state))
+    return params.probe_period(_host_count(state))
 
 
-def notice_pause(state, now):
-    """Doubt ourselves after this host stood still.
+def detect_pause(state, now):
+    """Raise the health score if this process was paused.
 
-    A paused host wakes with its timers due and the answers unread: it
-    would suspect everyone it had probed and declare its suspects dead.
-    A tick that comes late shows the pause, whichever event is first.
+    After a pause, timers are due while answers are still unread: this
+    host would suspect every host it had probed and declare its suspects
+    dead. A late tick reveals the pause, whichever event is handled
+    first.
     """
     late = now - state.tick_due
-    if not state.tick_due or late <= params.LATE_S:
+    if not state.tick_due or late <= params.PAUSE_THRESHOLD_S:
         return
     state.tick_due = now
     state.probes.clear()
-    state.doubt = min(state.doubt + 1, params.MAX_DOUBT)
+    state.health_score = min(state.health_score + 1, params.MAX_HEALTH_SCORE)
     for host in st.peers(state):
         state.members[host].deadline += late
 
@@ -77,25 +82,26 @@
     if state.ring_next:
         host = _ring_successor(state)
     state.ring_next = not state.ring_next
-    host = host or _next_of_round(daemon)
+    host = host or _next_in_round(daemon)
     return _probe(daemon, host, now) if host else []
 
 
 def _ring(state):
-    # Each domain's hosts are spread evenly, so that neighbours are of
-    # different domains where possible: a domain's loss would else take
-    # its hosts' watchers along and be noticed late.
+    # The hosts of each failure domain are spaced evenly, so that
+    # neighbours are in different domains where possible. Otherwise the
+    # loss of a domain would also take the predecessors of its hosts, and
+    # be detected late.
     if state.ring_cache is None:
         groups = {}
         for host in sorted((*st.peers(state), state.me.host)):
             groups.setdefault(_domain(state, host), []).append(host)
-        placed = []
+        positions = []
         for number, domain in enumerate(sorted(groups)):
             group = groups[domain]
             offset = number / len(groups)
-            placed += [((index + offset) / len(group), host)
-                       for index, host in enumerate(group)]
-        state.ring_cache = tuple(host for _, host in sorted(placed))
+            positions += [((index + offset) / len(group), host)
+                          for index, host in enumerate(group)]
+        state.ring_cache = tuple(host for _, host in sorted(positions))
     return state.ring_cache
 
 
@@ -107,14 +113,14 @@
 
 def _ring_successor(state):
     ring = _ring(state)
-    at = ring.index(state.me.host)
-    for host in ring[at + 1:] + ring[:at]:
+    position = ring.index(state.me.host)
+    for host in ring[position + 1:] + ring[:position]:
         if state.members[host].update.status != st.SUSPECT:
             return host
     return ""
 
 
-def _next_of_round(daemon):
+def _next_in_round(daemon):
     state = daemon.members
     if not state.round:
         state.round = list(st.peers(state))
@@ -131,20 +137,20 @@
     state = daemon.members
     state.seq += 1
     state.probes[state.seq] = st.PendingProbe(host, now)
-    span = params.probe_span(_hosts(state), state.doubt)
-    key = ("members", DIRECT, state.seq)
+    span = params.probe_timeout(_host_count(state), state.health_score)
+    key = ("members", DIRECT_TIMEOUT, state.seq)
     return [_probe_message(daemon, host, state.seq),
-            effects.SetTimer(key, span * params.DIRECT_SHARE)]
+            effects.SetTimer(key, span * params.DIRECT_PROBE_SHARE)]
 
 
 def _probe_message(daemon, host, seq):
-    first = (gossip.of_me(daemon), *gossip.told(daemon, host))
+    first = (gossip.own_update(daemon), *gossip.suspicion_notice(daemon, host))
     return effects.Send(
         host, messages.Probe(seq, gossip.pack(daemon, first)))
 
 
-def unanswered(daemon, seq):
-    """Ask helpers: the path may be broken and not the host."""
+def direct_probe_timed_out(daemon, seq):
+    """Ask helpers to probe: the path may have failed, not the host."""
     state = daemon.members
     probe = state.probes.get(seq)
     if probe is None:
@@ -153,98 +159,100 @@
               if host != probe.host
               and state.members[host].update.status != st.SUSPECT]
     helpers = daemon.rng.sample(others, min(params.HELPERS, len(others)))
-    span = params.probe_span(_hosts(state), state.doubt)
-    out = [effects.SetTimer(("members", FAILED, seq),
-                            span * (1 - params.DIRECT_SHARE))]
+    span = params.probe_timeout(_host_count(state), state.health_score)
+    out = [effects.SetTimer(("members", PROBE_FAILED, seq),
+                            span * (1 - params.DIRECT_PROBE_SHARE))]
     for helper in helpers:
-        ask = messages.ProbeVia(seq, probe.host, gossip.pack(daemon))
-        out.append(effects.Send(helper, ask))
+        request = messages.ProbeVia(seq, probe.host, gossip.pack(daemon))
+        out.append(effects.Send(helper, request))
     return out
 
 
-def probe_for(daemon, asker, ask, now):
-    """Probe a host for another one."""
+def probe_on_behalf(daemon, requester, request, now):
+    """Probe a host on behalf of another one."""
     state = daemon.members
-    if ask.target not in state.members:
+    if request.target not in state.members:
         return []
     state.seq += 1
-    state.relays[state.seq] = st.Relay(asker, ask.seq, now)
-    return [_probe_message(daemon, ask.target, state.seq)]
+    state.relays[state.seq] = st.Relay(requester, request.seq, now)
+    return [_probe_message(daemon, request.target, state.seq)]
 
 
-def acked(daemon, seq):
-    """Take an answer in, or pass it on to whom it was for."""
+def ack_received(daemon, seq):
+    """Handle an ack, or forward it to the host that requested it."""
     state = daemon.members
     relay = state.relays.pop(seq, None)
     if relay is not None:
         ack = messages.ProbeAck(relay.seq, gossip.pack(daemon))
-        return [effects.Send(relay.asker, ack)]
+        return [effects.Send(relay.requester, ack)]
     probe = state.probes.pop(seq, None)
     if probe is None:
         return []
-    state.doubt = max(0, state.doubt - 1)
+    state.health_score = max(0, state.health_score - 1)
     member = state.members.get(probe.host)
     if member is not None:
-        member.missed = 0
+        member.failed_probes = 0
     return []
 
 
-def failed(daemon, seq, now):
-    """Judge a probe that neither the host nor a helper answered."""
+def probe_failed(daemon, seq, now):
+    """Handle a probe that neither the host nor a helper answered."""
     state = daemon.members
     probe = state.probes.pop(seq, None)
     member = state.members.get(probe.host) if probe else None
     if member is None or member.update.status in (st.SUSPECT, st.DEAD):
         return []
-    if state.heard_at < probe.sent_at and state.doubt < params.MAX_DOUBT:
-        # Nobody at all was heard: it is likely this host that is cut
-        # off, and it would call everyone dead.
-        state.doubt += 1
+    if (state.heard_at < probe.sent_at
+            and state.health_score < params.MAX_HEALTH_SCORE):
+        # Nothing was received from any host: this host is probably
+        # the isolated one, and would declare all others dead.
+        state.health_score += 1
         return []
-    if _forgive(state, member, probe):
+    if _ignore_failure(state, member, probe):
         return []
     return updates.suspect(daemon, member, now)
 
 
-def _forgive(state, member, probe):
-    # Heard while helpers were asked: datagrams were lost. But a host
-    # that only sends and hears nothing can't work: it is forgiven a
-    # bounded number of times.
-    asked_at = probe.sent_at + (params.DIRECT_SHARE * params.probe_span(
-        _hosts(state), 0))
-    member.missed += 1
-    return (member.heard_at > asked_at
-            and member.missed <= params.MAX_FORGIVEN)
+def _ignore_failure(state, member, probe):
+    # A message arrived after the helpers were asked, so datagrams were
+    # lost. The number of ignored failures is bounded, because a host
+    # that sends but receives nothing can't do its work.
+    helpers_asked_at = probe.sent_at + (
+        params.DIRECT_PROBE_SHARE
+        * params.probe_timeout(_host_count(state), 0))
+    member.failed_probes += 1
+    return (member.heard_at > helpers_asked_at
+            and member.failed_probes <= params.MAX_IGNORED_FAILURES)
 
 
-def _look_for_others(daemon, now):
+def _discover_members(daemon, now):
     state = daemon.members
     if not st.peers(state):
-        return _contact_some(daemon, params.CONTACTS_ALONE)
+        return _contact_random(daemon, params.CONTACTS_WITHOUT_PEERS)
     if state.contested:
         host = next(iter(state.contested))
         del state.contested[host]
         return _contact(daemon, host, _contacts(state).get(host))
-    if now < state.retry_due:
+    if now < state.reconnect_due:
         return []
-    state.retry_due = now + params.RETRY_S
-    _forget_dead(state, now)
-    return _contact_some(daemon, 1)
+    state.reconnect_due = now + params.RECONNECT_INTERVAL_S
+    _remove_dead(state, now)
+    return _contact_random(daemon, 1)
 
 
 def _contacts(state):
-    # Seeds, listed hosts and dead ones: a split heals only if its
-    # sides go on trying to reach each other.
-    known = {**state.seeds, **state.listed}
+    # Seeds, listed hosts and dead hosts: a partition heals only if both
+    # sides keep trying to reach each other.
+    addresses = {**state.seeds, **state.listed}
     for host, member in state.members.items():
-        known[host] = (member.update.address, member.update.peer_port)
-    gone = {**known}
+        addresses[host] = (member.update.address, member.update.peer_port)
+    unreached = {**addresses}
     for host in (*st.peers(state), state.me.host):
-        gone.pop(host, None)
-    return gone
+        unreached.pop(host, None)
+    return unreached
 
 
-def _contact_some(daemon, count):
+def _contact_random(daemon, count):
     contacts = _contacts(daemon.members)
     names = sorted(contacts)
     out = []
@@ -253,25 +261,26 @@
     return out
 
 
-def _contact(daemon, host, place):
-    if place is None:
+def _contact(daemon, host, endpoint):
+    if endpoint is None:
         return []
-    first = (gossip.of_me(daemon), *gossip.told(daemon, host))
-    return [effects.Send(host, messages.Probe(0, first), *place)]
+    first = (gossip.own_update(daemon), *gossip.suspicion_notice(daemon, host))
+    return [effects.Send(host, messages.Probe(0, first), *endpoint)]
 
 
-def _forget_dead(state, now):
+def _remove_dead(state, now):
     dead = sorted((member.died_at, host)
                   for host, member in state.members.items()
                   if member.update.status == st.DEAD)
-    spare = len(dead) - params.DEAD_KEPT
+    excess = len(dead) - params.MAX_DEAD_HOSTS
     for index, (died_at, host) in enumerate(dead):
-        if index < spare or now - died_at > params.DEAD_KEPT_S:
+        if index < excess or now - died_at > params.DEAD_RETENTION_S:
             del state.members[host]
 
 
-def _forget_relays(state, now):
-    limit = 2 * params.probe_span(_hosts(state), params.MAX_DOUBT)
+def _remove_relays(state, now):
+    limit = 2 * params.probe_timeout(
+        _host_count(state), params.MAX_HEALTH_SCORE)
     for seq, relay in list(state.relays.items()):
         if now - relay.sent_at > limit:
             del state.relays[seq]
--- a/crocuskeel/core/membership/state.py
+++ b/crocuskeel/core/membership/state.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of the entry hosts, and how others read it."""
+"""Membership state of a daemon and the functions that read it."""
 
 import dataclasses
 
@@ -17,28 +17,30 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """One other host; ``update`` is the newest that was said of it.
-
-    ``short`` is that update as it is spread while suspect or dead.
-    ``leaving`` sticks to an incarnation. ``deadline`` is when a suspect
-    is declared dead, ``believe_from`` when others' word of its death is
-    taken; ``died_at`` when it was; ``heard_at`` when it last
-    sent anything; ``missed`` counts its failed probes in a row.
+    """Another host; ``update`` is the newest update about it.
+
+    ``compact_update`` is the form that is disseminated while the host is
+    suspect or dead. ``leaving`` stays set for the whole incarnation.
+    ``deadline`` is when a suspect is declared dead,
+    ``accept_death_from`` when other hosts' reports of its death are
+    accepted, ``died_at`` when it was declared dead, ``heard_at`` when
+    its last message arrived. ``failed_probes`` counts consecutive failed
+    probes.
     """
 
     update: messages.MemberUpdate
-    short: messages.MemberUpdate | None = None
+    compact_update: messages.MemberUpdate | None = None
     leaving: bool = False
     deadline: float = 0.0
-    believe_from: float = 0.0
+    accept_death_from: float = 0.0
     died_at: float = 0.0
     heard_at: float = 0.0
-    missed: int = 0
+    failed_probes: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class PendingProbe:
-    """A probe without an answer yet."""
+    """A probe that has not been answered yet."""
 
     host: str
     sent_at: float
@@ -46,24 +48,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Relay:
-    """A probe made for ``asker``, who knows it by ``seq``."""
+    """A probe on behalf of ``requester``, which knows it as ``seq``."""
 
-    asker: str
+    requester: str
     seq: int
     sent_at: float
 
 
 @dataclasses.dataclass(slots=True)
 class MembershipState:
-    """All that membership knows.
-
-    ``me`` is what this host says of itself. ``members`` holds the other
-    hosts, dead ones too. ``seeds`` and ``listed`` (from the host list) are
-    addresses to find others at. ``queue`` maps a host whose update is
-    being spread to the times it was sent. ``syncs`` maps a host that
-    joins to the members it is still to hear of. ``contested`` are hosts
-    that others hold alive and this one dead. ``doubt`` is the local
-    health: 0 when this host trusts its own observations.
+    """The membership state of this host.
+
+    ``me`` is the update that this host sends about itself. ``members``
+    holds the other hosts, including dead ones. ``seeds`` and ``listed``
+    (from the host list) are addresses at which members may be found.
+    ``queue`` maps a host whose update is being disseminated to the
+    number of times it was sent. ``syncs`` maps a joining host to the
+    members still to be sent to it. ``contested`` are hosts that other
+    members consider alive and this one dead. ``health_score`` lengthens
+    the timeouts; it is 0 while this host trusts its own observations.
     """
 
     me: messages.MemberUpdate
@@ -79,11 +82,11 @@
     round: list[str] = dataclasses.field(default_factory=list)
     ring_next: bool = True
     seq: int = 0
-    doubt: int = 0
+    health_score: int = 0
     superseded: bool = False
     heard_at: float = 0.0
     tick_due: float = 0.0
-    retry_due: float = 0.0
+    reconnect_due: float = 0.0
     contested: dict[str, None] = dataclasses.field(
         default_factory=dict)
     live_cache: tuple[str, ...] | None = None
@@ -92,7 +95,7 @@
 
 
 def new_state(identity):
-    """Return the state of a host that has heard of no other yet."""
+    """Return the state of a host that knows no other host yet."""
     me = messages.MemberUpdate(
         host=identity.host, incarnation=identity.incarnation,
         status=ALIVE, address=identity.address,
@@ -105,7 +108,7 @@
 
 
 def changed(state):
-    """Forget what was derived from the members."""
+    """Drop the cached values derived from the members."""
     state.live_cache = None
     state.peers_cache = None
     state.ring_cache = None
@@ -124,7 +127,7 @@
     """Return the sorted names of the live hosts, this one included.
 
     A suspect is live until it is declared dead, so that ownership does
-    not move to and fro at each lost datagram. A leaving host is not.
+    not change with each lost datagram. A leaving host is not live.
     """
     state = daemon.members
     if state.live_cache is None:
@@ -146,7 +149,7 @@
 
 
 def is_live(daemon, host):
-    """Tell whether a host is live and not leaving."""
+    """Return whether a host is live and not leaving."""
     state = daemon.members
     if host == state.me.host:
         return state.me.status == ALIVE and not state.superseded
@@ -156,20 +159,20 @@
 
 
 def has_left(daemon, host):
-    """Tell whether a host that is gone had said before that it leaves."""
+    """Return whether a dead host had announced that it leaves."""
     member = daemon.members.members.get(host)
     return (member is not None and member.leaving
             and member.update.status == DEAD)
 
 
 def everyone(daemon):
-    """Return the ``MemberUpdate`` of every known host, dead ones too."""
+    """Return the ``MemberUpdate`` of every known host, dead or alive."""
     state = daemon.members
     others = sorted(state.members)
     return (state.me, *(state.members[host].update for host in others))
 
 
 def set_load(daemon, load):
-    """Set this host's load (0 to 1) as told to others."""
+    """Set the load (0 to 1) that this host reports to others."""
     state = daemon.members
     state.me = dataclasses.replace(state.me, load=round(load, 2))
--- a/crocuskeel/core/membership/updates.py
+++ b/crocuskeel/core/membership/updates.py
@@ -1,8 +1,9 @@
-"""Judges what is said of a host against what is known of it.
+"""Applies updates about members to the membership state.
 
-Order of updates of one host: greater incarnation, then greater count of
-refutations, then the worse status. Only the host itself starts an
-incarnation or a refutation, so an old message never overrides a newer.
+Updates about one host are ordered by incarnation, then by the count of
+refutations, then by severity of the status. Only the host itself starts
+an incarnation or a refutation, so an old message never overrides a newer
+one.
 """
 
 import dataclasses
@@ -12,84 +13,86 @@
 from crocuskeel.core.membership import params
 from crocuskeel.core.membership import state as st
 
-__all__ = ["DECLARE", "apply", "declare_dead", "newer", "suspect"]
+__all__ = ["DECLARE_DEAD", "apply", "declare_dead", "overrides", "suspect"]
 
-DECLARE = "declare"
-_RANK = {st.ALIVE: 0, st.LEAVING: 1, st.SUSPECT: 2, st.DEAD: 3}
-_LABELS = ("address", "peer_port", "door_port", "domain", "region",
-           "load", "generation")
+DECLARE_DEAD = "declare"
+_SEVERITY = {st.ALIVE: 0, st.LEAVING: 1, st.SUSPECT: 2, st.DEAD: 3}
+_FULL_FIELDS = ("address", "peer_port", "door_port", "domain", "region",
+                "load", "generation")
 
 
-def _order(update):
+def _precedence(update):
     return (update.incarnation, update.refutations,
-            _RANK[update.status])
+            _SEVERITY[update.status])
 
 
-def newer(update, known):
-    """Tell whether an update overrides what is known."""
-    return _order(update) > _order(known)
+def overrides(update, known):
+    """Return whether an update overrides the known one."""
+    return _precedence(update) > _precedence(known)
 
 
 def apply(daemon, update, sender, now):
-    """Take one update in; return effects."""
+    """Apply one update; return effects."""
     state = daemon.members
-    if update.status not in _RANK:
-        # Of a later version of this program.
+    if update.status not in _SEVERITY:
+        # Sent by a later version of this program.
         return []
     if update.host == state.me.host:
-        return _of_me(daemon, update, sender)
+        return _apply_to_self(daemon, update, sender)
     member = state.members.get(update.host)
     if member is None:
         return _join(daemon, update, now)
     known = member.update
     if update.incarnation > known.incarnation and not update.address:
-        # The new incarnation may have another address; wait for it.
+        # The new incarnation may have another address; wait for an
+        # update that has it.
         return []
-    if newer(update, known):
-        update = _doubted(update, member, now)
-    if newer(update, known):
+    if overrides(update, known):
+        update = _downgrade_death(update, member, now)
+    if overrides(update, known):
         return _change(daemon, member, update, now)
     if update.incarnation == known.incarnation:
         _refresh(state, member, update, sender)
     return []
 
 
-def _doubted(update, member, now):
-    # After a split each side still tells of the other's death. Taken at
-    # its word it would kill live hosts on their own side; as suspicion
-    # it can be denied. Only of a host that has been a suspect here for
-    # a while is the death believed.
-    believed = (member.update.status == st.SUSPECT
-                and now >= member.believe_from)
-    if update.status == st.DEAD and not believed:
+def _downgrade_death(update, member, now):
+    # After a partition each side still reports the deaths of the other
+    # side. Accepting these would declare hosts dead on their own side; a
+    # suspicion can be refuted. So a reported death is accepted only for
+    # a host that has been suspect here for some time.
+    accepted = (member.update.status == st.SUSPECT
+                and now >= member.accept_death_from)
+    if update.status == st.DEAD and not accepted:
         return dataclasses.replace(update, status=st.SUSPECT)
     return update
 
 
-def _of_me(daemon, update, sender):
+def _apply_to_self(daemon, update, sender):
     state = daemon.members
     me = state.me
     if update.incarnation > me.incarnation:
-        return _superseded(state)
+        return _mark_superseded(state)
     stale = (update.incarnation < me.incarnation
              or update.refutations < me.refutations
              or update.status not in (st.SUSPECT, st.DEAD))
     if stale:
         return []
-    # Said to be gone while running: a lost datagram, a pause or a
-    # split. Only a greater count makes the others take it back.
+    # Reported suspect or dead while running, after lost datagrams, a
+    # pause or a partition. Only a greater refutation count overrides the
+    # report at the other hosts.
     state.me = dataclasses.replace(
         me, refutations=update.refutations + 1)
-    state.doubt = min(state.doubt + 1, params.MAX_DOUBT)
+    state.health_score = min(state.health_score + 1, params.MAX_HEALTH_SCORE)
     record = effects.Record("suspicion_refuted", "", (
         ("by", sender), ("refutations", state.me.refutations)))
-    also = (sender,) if sender in state.members else ()
-    return [record, *gossip.shout(daemon, me.host, also)]
+    extra_hosts = (sender,) if sender in state.members else ()
+    return [record, *gossip.send_urgent(daemon, me.host, extra_hosts)]
 
 
-def _superseded(state):
-    # Two processes with one host name: the others hold to the later
-    # incarnation, so this one only disturbs if it goes on.
+def _mark_superseded(state):
+    # Two processes share one host name. The others follow the later
+    # incarnation, so this process must stop taking part.
     if state.superseded:
         return []
     state.superseded = True
@@ -104,14 +107,14 @@
     state = daemon.members
     state.members[update.host] = st.Member(
         update, leaving=update.status == st.LEAVING, heard_at=now)
-    _enter_round(daemon, update.host)
+    _add_to_round(daemon, update.host)
     st.changed(state)
     gossip.enqueue(daemon, update.host)
     return [_record("member_joined", update)]
 
 
-def _enter_round(daemon, host):
-    # At a random place, so that a newcomer is probed within one round.
+def _add_to_round(daemon, host):
+    # At a random position, so that a new host is probed within a round.
     order = daemon.members.round
     order.insert(daemon.rng.randint(0, len(order)), host)
 
@@ -121,19 +124,19 @@
     known = member.update
     if update.incarnation > known.incarnation:
         member.leaving = False
-        member.missed = 0
+        member.failed_probes = 0
     if not update.address:
         update = dataclasses.replace(
-            update, **{name: getattr(known, name) for name in _LABELS})
+            update, **{name: getattr(known, name) for name in _FULL_FIELDS})
     member.update = update
-    member.short = None
+    member.compact_update = None
     member.leaving = member.leaving or update.status == st.LEAVING
-    if _moves(known, update):
+    if _affects_live_hosts(known, update):
         st.changed(state)
     gossip.enqueue(daemon, update.host)
     if update.status == st.SUSPECT:
         return [_record("member_suspect", update),
-                _give_time(daemon, member, now)]
+                _start_suspicion_timer(daemon, member, now)]
     if update.status == st.DEAD:
         member.died_at = now
         kind = "member_left" if member.leaving else "member_dead"
@@ -141,8 +144,8 @@
     return [_record("member_" + update.status, update)]
 
 
-def _moves(known, update):
-    # A suspicion changes neither who is live nor the ring.
+def _affects_live_hosts(known, update):
+    # A suspicion changes neither the live hosts nor the ring.
     return (update.status in (st.DEAD, st.LEAVING)
             or known.status == st.DEAD
             or update.incarnation > known.incarnation)
@@ -151,13 +154,14 @@
 def _refresh(state, member, update, sender):
     known = member.update
     if sender == update.host:
-        # Load and generation move all the time; only the host itself
-        # tells them, and they aren't worth a dissemination.
+        # Load and generation change all the time. They are taken only
+        # from the host itself and are not disseminated.
         member.update = dataclasses.replace(
             known, load=update.load, generation=update.generation)
     elif known.status == st.DEAD and update.status == st.ALIVE:
-        # Others hold it alive: after a split it has to hear from us
-        # that we don't, so that it can deny it.
+        # Other members consider it alive. After a partition, this host
+        # must tell it that it is considered dead here, so that it can
+        # refute that.
         state.contested[update.host] = None
 
 
@@ -167,32 +171,32 @@
         ("refutations", update.refutations)))
 
 
-def _give_time(daemon, member, now):
+def _start_suspicion_timer(daemon, member, now):
     state = daemon.members
     hosts = len(st.peers(state)) + 1
-    span = params.suspicion_span(hosts, state.doubt)
+    span = params.suspicion_timeout(hosts, state.health_score)
     member.deadline = now + span
-    member.believe_from = now + span * params.BELIEVED_SHARE
-    key = ("members", DECLARE, member.update.host)
+    member.accept_death_from = now + span * params.DEATH_ACCEPTANCE_SHARE
+    key = ("members", DECLARE_DEAD, member.update.host)
     return effects.SetTimer(key, span)
 
 
 def suspect(daemon, member, now):
-    """Start to suspect a host that answered no probe."""
+    """Mark a host as suspect after a failed probe."""
     update = dataclasses.replace(member.update, status=st.SUSPECT)
     out = _change(daemon, member, update, now)
-    return out + gossip.shout(daemon, update.host, (update.host,))
+    return out + gossip.send_urgent(daemon, update.host, (update.host,))
 
 
 def declare_dead(daemon, host, now):
-    """Declare a suspect dead whose time is up."""
+    """Declare a suspect dead once its suspicion timeout is over."""
     member = daemon.members.members.get(host)
     if member is None or member.update.status != st.SUSPECT:
         return []
-    left = member.deadline - now
-    if left > 0:
-        key = ("members", DECLARE, host)
-        return [effects.SetTimer(key, left)]
+    time_left = member.deadline - now
+    if time_left > 0:
+        key = ("members", DECLARE_DEAD, host)
+        return [effects.SetTimer(key, time_left)]
     update = dataclasses.replace(member.update, status=st.DEAD)
     out = _change(daemon, member, update, now)
-    return out + gossip.shout(daemon, host)
+    return out + gossip.send_urgent(daemon, host)
--- a/tests/membership/test_failures.py
+++ b/tests/membership/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures that membership is built for, over whole virtual fleets."""
+"""Failure scenarios of the membership protocol, on simulated fleets."""
 
 import unittest
 
@@ -24,16 +24,16 @@
 class FailureTests(unittest.TestCase):
 
     def assert_agreed(self, fleet):
-        want = _hosts(fleet)
+        expected = _hosts(fleet)
         for daemon in fleet.daemons.values():
-            self.assertEqual(want, membership.live(daemon))
+            self.assertEqual(expected, membership.live(daemon))
 
     def test_dead_host_is_declared_in_time(self):
-        """A host loses power; callers are still sent to it.
+        """A dead host must be declared dead by all others within 3 s.
 
-        Until all others call it dead its cells have no dispatcher and
-        its requests hang. With random probes alone it now and then goes
-        unprobed for seconds; its ring predecessor's turn bounds that.
+        Until then its cells have no dispatcher and its requests hang.
+        Random probes alone may leave a host unprobed for seconds; the
+        probes of its ring predecessor bound that time.
         """
         for seed in range(40):
             fleet = figures.new_fleet(9, seed, LOSS)
@@ -43,11 +43,11 @@
             self.assertEqual({victim}, {d[2] for d in fleet.deaths})
 
     def test_two_second_pause_kills_nobody(self):
-        """A host stands still for 2 s and its work is moved away.
+        """A host that pauses for 2 s must not be declared dead.
 
-        The others suspect it, and as it wakes it finds its own probes
-        unanswered. It must deny the suspicion in time and doubt itself
-        before it suspects those whose answers it had no time to read.
+        The others suspect it, and when it resumes its own probes seem
+        unanswered. It must refute the suspicion in time, and raise its
+        health score before it suspects hosts whose answers are unread.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed, LOSS)
@@ -64,12 +64,13 @@
             self.assertIn("suspicion_refuted",
                           {kind for *_, kind in fleet.records})
 
-    def test_pause_makes_a_host_doubt_itself(self):
-        """A host stands still and, as it wakes, calls a live one dead.
+    def test_resumed_host_declares_no_deaths(self):
+        """A host that resumes from a pause must not declare deaths.
 
-        It suspected the other, who was paused too and denied it since.
-        The timer that declares the death is due at waking, before the
-        denial is read. The late timer tells the host that it slept.
+        It suspected another host, which was paused too and has refuted
+        since. The timer that declares the death is due when the host
+        resumes, before the refutation is read. The late timer reveals
+        the pause.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
@@ -79,53 +80,53 @@
             fleet.run(8.0)
             self.assertEqual([], fleet.deaths)
 
-    def test_host_that_is_cut_off_for_a_while(self):
-        """One host's cable is out for 3 s; it calls all others dead.
+    def test_isolated_host_declares_no_deaths(self):
+        """A host isolated for 3 s must not declare the others dead.
 
-        Nobody answers its probes, which says more of itself than of
-        the whole fleet: it waits longer before it condemns anyone.
+        None of its probes is answered, so it is more likely isolated
+        itself, and waits longer before it declares any host dead.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
-            lone = _address(fleet, seed)
-            host = fleet.daemons[lone].me.host
-            fleet.lost = lambda a, b, lone=lone: lone in (a, b)
+            isolated = _address(fleet, seed)
+            host = fleet.daemons[isolated].me.host
+            fleet.lost = lambda a, b, isolated=isolated: isolated in (a, b)
             fleet.run(3.0)
             fleet.lost = lambda a, b: False
             fleet.run(5.0)
             self.assertNotIn(host, {who for _, who, _ in fleet.deaths})
             self.assert_agreed(fleet)
 
-    def test_streams_are_signs_of_life(self):
-        """A busy host loses its datagrams and its work is moved away.
+    def test_stream_messages_count_as_contact(self):
+        """A host that loses only datagrams must not be suspected soon.
 
-        Its socket buffer overflows for a while, yet its streams go on:
-        any message forgives some failed probes. Not for ever, as the
-        host takes no part in the protocol any more.
+        Its socket buffer overflows for a while, but its streams
+        continue: any message makes some failed probes ignored. The
+        number is bounded, because the host takes no part in the protocol.
         """
-        for tenths, gone in ((7, False), (120, True)):
+        for steps, expect_dead in ((7, False), (120, True)):
             fleet = figures.new_fleet(9)
             busy = fleet.daemons[_address(fleet, 4)]
             fleet.lost = lambda a, b, to=busy.me.address: to in (a, b)
             fleet.records.clear()
-            said = events.Received(busy.me.host, busy.me.incarnation,
-                                   messages.ReregisterAsk("cell"))
-            for _ in range(tenths):
+            message = events.Received(busy.me.host, busy.me.incarnation,
+                                      messages.ReregisterAsk("cell"))
+            for _ in range(steps):
                 fleet.run(0.1)
                 for daemon in fleet.daemons.values():
-                    membership.hear(daemon, said, fleet.now)
+                    membership.hear(daemon, message, fleet.now)
             suspected = {kind for _, host, kind in fleet.records
                          if host != busy.me.host}
-            self.assertEqual(gone, "member_suspect" in suspected)
+            self.assertEqual(expect_dead, "member_suspect" in suspected)
             one = fleet.daemons[_address(fleet, 0)]
             self.assertNotEqual(
-                gone, membership.is_live(one, busy.me.host))
+                expect_dead, membership.is_live(one, busy.me.host))
 
-    def test_one_way_cut_between_two_hosts(self):
-        """Two hosts can't talk, both reach all others; one is shunned.
+    def test_one_way_failure_between_two_hosts(self):
+        """A one-way failure between two hosts must not cause a suspicion.
 
-        A switch drops one direction of one path. Probes over it fail
-        for good, but helpers reach the host, so it stays a member.
+        A switch drops one direction of one path. Direct probes over it
+        always fail, but helpers reach the host, so it stays a member.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(6, seed)
@@ -137,18 +138,18 @@
             self.assertNotIn("member_suspect",
                              {kind for *_, kind in fleet.records})
 
-    def test_host_that_hears_nothing(self):
-        """Callers hang at a host that sends but receives nothing.
+    def test_host_that_receives_nothing(self):
+        """A host that sends but receives nothing must be declared dead.
 
-        Its probes look like signs of life, yet it can't do any work.
-        It must be declared dead, and what it thinks of the others,
-        whom it can't hear, must kill none of them.
+        Its probes count as contact, but it can't do any work and its
+        callers would hang. Its own suspicions of the others, from which
+        it receives nothing, must not cause any death.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(6, seed)
-            deaf = _address(fleet, 2)
-            host = fleet.daemons[deaf].me.host
-            fleet.lost = lambda a, b: b == deaf
+            receiver = _address(fleet, 2)
+            host = fleet.daemons[receiver].me.host
+            fleet.lost = lambda a, b: b == receiver
             fleet.run(20.0)
             told = {(who, whom) for _, who, whom in fleet.deaths
                     if who != host}
@@ -156,11 +157,11 @@
                               if who != host}, told)
 
     def test_split_heals(self):
-        """After a split is mended two halves still work on their own.
+        """The two sides of a partition must merge once it is repaired.
 
-        Both halves have declared the other dead and probe it no more.
-        Dead hosts are tried again now and then, are told of their
-        death, deny it, and both halves become one by themselves.
+        Each side has declared the other dead and no longer probes it.
+        Dead hosts are contacted periodically, learn that they are
+        considered dead, and refute it.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
@@ -175,31 +176,32 @@
             fleet.run(5.0)
             self.assert_agreed(fleet)
 
-    def test_short_split_kills_nobody_on_the_own_side(self):
-        """A split of 3 s heals, and hosts that never lost touch part.
+    def test_short_partition_causes_no_deaths_within_a_side(self):
+        """After a partition of 3 s no side may declare its own hosts dead.
 
-        Each side still tells of the other's death, and the dead hear
-        it on their own side. It counts as a suspicion to be denied.
+        Each side still reports the deaths of the other side, and the
+        reports reach the hosts' own side. There a report counts as a
+        suspicion, which can be refuted.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
             half = set(sorted(fleet.daemons)[:4])
-            near = {fleet.daemons[a].me.host for a in half}
+            near_hosts = {fleet.daemons[a].me.host for a in half}
             fleet.lost = lambda a, b, half=half: (a in half) != (b in half)
             fleet.run(3.2)
             fleet.lost = lambda a, b: False
             fleet.run(5.0)
             self.assertEqual([], [
                 death for death in fleet.deaths
-                if (death[1] in near) == (death[2] in near)])
+                if (death[1] in near_hosts) == (death[2] in near_hosts)])
             self.assert_agreed(fleet)
 
     def test_loss_of_a_failure_domain(self):
-        """A whole site goes dark; one of its hosts seems to live on.
+        """All hosts of a lost failure domain must be declared dead in time.
 
-        A dead host whose watcher died with it is found by chance only.
-        Ring neighbours are of different domains, so each is watched
-        from outside.
+        A dead host whose ring predecessor died too is probed only by
+        chance. Ring neighbours are in different domains, so each host
+        is probed from outside its domain.
         """
         for seed in range(24):
             fleet = figures.new_fleet(9, seed, LOSS)
@@ -210,10 +212,11 @@
             self.assert_agreed(fleet)
 
     def test_two_processes_under_one_name(self):
-        """A replaced host's old process goes on; answers get mixed up.
+        """An older process under the same host name must stop.
 
-        Both send as the same host. The later incarnation is the
-        member; the earlier one is told so and stops taking part.
+        Both processes send as the same host, and answers would be mixed
+        up. The later incarnation is the member; the older one is told
+        and stops taking part.
         """
         fleet = figures.new_fleet(6)
         old = fleet.daemons[_address(fleet, 1)]
@@ -231,16 +234,16 @@
         self.assert_agreed(fleet)
 
     def test_restart_is_a_new_incarnation(self):
-        """A host is restarted within a second; nobody noticed it go.
+        """A restart faster than failure detection must be accepted.
 
-        The others still hold its first incarnation. The second takes
-        its place, and what the first sent late changes nothing.
+        The others still know the first incarnation. The second replaces
+        it, and late messages of the first have no effect.
         """
         fleet = figures.new_fleet(6)
         old = fleet.stop(_address(fleet, 1))
         other = fleet.daemons[_address(fleet, 0)]
-        place = (other.me.host, other.me.address, 7001)
-        fleet.add(old.me.host, old.me.domain, [place],
+        seed_entry = (other.me.host, other.me.address, 7001)
+        fleet.add(old.me.host, old.me.domain, [seed_entry],
                   figures.START + 1)
         fleet.run(3.0)
         self.assert_agreed(fleet)
@@ -252,10 +255,11 @@
         self.assertTrue(membership.is_live(other, old.me.host))
 
     def test_leaving_host_is_known_at_once(self):
-        """A host drains, yet callers are still sent to it for seconds.
+        """All hosts must learn at once that a host is leaving.
 
-        The news would ride on probes to one host a period; it is sent
-        to the others at once, and twice, as a datagram may be lost.
+        Piggybacked on probes the update would reach one host per period,
+        and callers would be sent to the leaving host for seconds. It is
+        sent at once, and twice, because a datagram may be lost.
         """
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
@@ -267,10 +271,11 @@
             for other in fleet.daemons.values():
                 self.assertNotIn(daemon.me.host, membership.live(other))
 
-    def test_fleet_of_listed_hosts_finds_itself(self):
-        """All hosts were replaced at once and no seed address is left.
+    def test_hosts_join_through_the_host_list(self):
+        """Hosts must find each other if no seed address is valid.
 
-        The host list still names them; each tries those it names.
+        All hosts were replaced at once. The host list names the new
+        ones, and each host contacts those that it names.
         """
         fleet = figures.Fleet(1)
         fleet.lost = lambda a, b: fleet.rng.random() < LOSS
@@ -284,11 +289,11 @@
         fleet.run(4.0)
         self.assert_agreed(fleet)
 
-    def test_newcomer_learns_of_all(self):
-        """A host joins a larger fleet and knows few hosts for a minute.
+    def test_new_host_learns_all_members(self):
+        """A host that joins a large fleet must soon know all members.
 
-        Probes and news would tell it of the others little by little;
-        the seeds it first speaks to tell it of all at once.
+        By probes and gossip it would learn them over about a minute; the
+        seeds that it contacts first send it all members directly.
         """
         fleet = figures.new_fleet(60, 1, LOSS)
         seeds = [(d.me.host, d.me.address, 7001)
@@ -297,10 +302,10 @@
         fleet.run(2.0)
         self.assertEqual(61, len(membership.live(fleet.daemons[new])))
 
-    def test_dead_hosts_are_forgotten_after_a_while(self):
-        """Memory grows as 300 hosts a day are replaced.
+    def test_dead_hosts_are_removed_after_a_while(self):
+        """Dead hosts must be removed after a bounded time.
 
-        Those that don't come back are kept a bounded time only.
+        Otherwise memory would grow as 300 hosts a day are replaced.
         """
         fleet = figures.new_fleet(3)
         fleet.stop(_address(fleet, 0))
@@ -308,5 +313,5 @@
         for daemon in fleet.daemons.values():
             self.assertEqual(3, len(membership.everyone(daemon)))
             membership.handle(daemon, events.TimerFired(probing.TICK),
-                              fleet.now + params.DEAD_KEPT_S)
+                              fleet.now + params.DEAD_RETENTION_S)
             self.assertEqual(2, len(membership.everyone(daemon)))
--- a/tests/membership/test_updates.py
+++ b/tests/membership/test_updates.py
@@ -1,4 +1,4 @@
-"""Order of updates and the bounds of what is sent."""
+"""Order of membership updates and bounds on the messages sent."""
 
 import dataclasses
 import unittest
@@ -12,9 +12,9 @@
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 
-_fixed = hypothesis.settings(derandomize=True, deadline=None,
-                             max_examples=200, database=None)
-_few = hypothesis.settings(_fixed, max_examples=10)
+_SETTINGS = hypothesis.settings(derandomize=True, deadline=None,
+                                max_examples=200, database=None)
+_FEW_EXAMPLES = hypothesis.settings(_SETTINGS, max_examples=10)
 _UPDATES = strategies.lists(strategies.builds(
     messages.MemberUpdate, host=strategies.just("other"),
     incarnation=strategies.integers(1, 3),
@@ -29,7 +29,7 @@
     return fleet.daemons[fleet.add("me", "domain-0")]
 
 
-def _tell(daemon, *updates, sender="third"):
+def _receive(daemon, *updates, sender="third"):
     message = messages.ProbeAck(0, updates)
     return membership.handle(
         daemon, events.Received(sender, 1, message), 1.0)
@@ -37,20 +37,20 @@
 
 class UpdateTests(unittest.TestCase):
 
-    @_fixed
+    @_SETTINGS
     @hypothesis.given(_UPDATES)
     def test_incarnations_never_go_back(self, updates):
         daemon = _daemon()
         last = (0, 0)
         for update in updates:
-            _tell(daemon, update)
+            _receive(daemon, update)
             known = membership.info(daemon, "other")
             if known is not None:
                 now = (known.incarnation, known.refutations)
                 self.assertGreaterEqual(now, last)
                 last = now
 
-    @_fixed
+    @_SETTINGS
     @hypothesis.given(_UPDATES, strategies.randoms(use_true_random=False))
     def test_hosts_agree_whatever_the_order_of_news(self, updates, rng):
         first = messages.MemberUpdate("other", 1, "alive", "10.0.0.9")
@@ -60,7 +60,7 @@
         seen = []
         for order in (updates, shuffled):
             daemon = _daemon()
-            _tell(daemon, first, *order)
+            _receive(daemon, first, *order)
             late = events.TimerFired(("members", "declare", "other"))
             membership.handle(daemon, late, 100.0)
             known = membership.info(daemon, "other")
@@ -68,44 +68,46 @@
                          known.status))
         self.assertEqual(*seen)
 
-    @_few
+    @_FEW_EXAMPLES
     @hypothesis.given(strategies.integers(0, 2 ** 32),
                       strategies.integers(3, 12))
-    def test_undisturbed_host_is_never_declared_dead(self, seed, hosts):
+    def test_running_host_is_never_declared_dead(self, seed, hosts):
         fleet = figures.new_fleet(hosts, seed, 0.02)
         fleet.run(20.0)
         self.assertEqual([], fleet.deaths)
 
-    def test_host_denies_its_death_with_a_greater_count(self):
+    def test_host_refutes_its_death_with_a_greater_count(self):
         daemon = _daemon()
         dead = messages.MemberUpdate(
             "me", daemon.me.incarnation, "dead", refutations=4)
-        _tell(daemon, dead)
+        _receive(daemon, dead)
         self.assertEqual(5, daemon.members.me.refutations)
-        _tell(daemon, dead)
+        _receive(daemon, dead)
         self.assertEqual(5, daemon.members.me.refutations)
 
-    def test_denial_goes_to_others_at_once(self):
-        """A host paused for 2 s wakes with 0.35 s left to deny it.
+    def test_refutation_is_sent_at_once(self):
+        """A host that resumes after 2 s has 0.35 s left to refute.
 
-        Told by its probes alone, some hosts hear the denial too late.
+        Piggybacked on probes alone, the refutation would reach some
+        hosts too late.
         """
         fleet = figures.new_fleet(9)
         daemon = next(iter(fleet.daemons.values()))
-        out = _tell(daemon, messages.MemberUpdate(
+        out = _receive(daemon, messages.MemberUpdate(
             daemon.me.host, daemon.me.incarnation, "suspect"))
         told = {e.host for e in out if type(e) is effects.Send
                 and e.message.updates[0].refutations == 1}
         self.assertEqual(8, len(told))
 
-    def test_datagrams_stay_small_and_updates_are_sent_a_while(self):
-        """Half a region joins at once and datagrams get fragmented.
+    def test_datagrams_stay_small_and_sends_are_bounded(self):
+        """Datagrams must not be fragmented when many hosts join at once.
 
-        Many updates wait at the same time; a datagram takes only as
-        many as fit, and each update is dropped after some sendings.
+        When half a region joins, many updates are queued. A datagram
+        carries only as many as fit, and each update is dropped after a
+        bounded number of sends.
         """
         daemon = _daemon()
-        _tell(daemon, *(messages.MemberUpdate(
+        _receive(daemon, *(messages.MemberUpdate(
             f"{index:03}-" + "n" * 40, 2 ** 62, "alive",
             "fd00:1234:5678:9abc:def0:1234:5678:9abc", 65535, 65535,
             "d" * 40, "r" * 40, 0.123, 2 ** 31, 99)
