--- a/crocuskeel/core/follower/__init__.py
+++ b/crocuskeel/core/follower/__init__.py
@@ -1,4 +1,4 @@
-"""Settings in force: learns of generations and adopts them in order."""
+"""Settings follower: learns of new generations and adopts them in order."""
 
 from crocuskeel.core.follower.parking import forget
 from crocuskeel.core.follower.parking import park
--- a/crocuskeel/core/follower/force.py
+++ b/crocuskeel/core/follower/force.py
@@ -1,11 +1,11 @@
 """When a complete generation comes into force.
 
-A host that put in force what it alone has could restart, in a platform
-outage, take the older generation from its peers, and show its callers
-settings that went back. So a generation waits until one live peer holds
-it too; that takes a round trip. A host without live peers does not
-wait. What stays open: all holders restart in an outage before any other
-host was told.
+If a host adopted a generation that no other host holds and restarted
+during a platform outage, it would take the older generation from its
+peers, and its callers would see settings go back. So a generation waits
+until one live peer holds it too, which takes one round trip. A host
+without live peers does not wait. One case is not covered: all holders
+restart during an outage before any other host was told.
 """
 
 from crocuskeel.core import effects
@@ -14,45 +14,46 @@
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 
-__all__ = ["consider", "neighbours", "tell"]
+__all__ = ["adopt_if_confirmed", "announce", "neighbours"]
 
-# Each host tells the hosts 1, 3, 9, 27, ... places after it in the
-# sorted list of a new generation: at most twice that many hops lead to
-# any other host, and everyone is told by as many as it tells.
+# Each host announces a new generation to the hosts 1, 3, 9, 27, ...
+# positions after it in the sorted list. At most twice that many hops
+# reach any other host, and each host receives as many announcements as
+# it sends.
 STRIDE = 3
 
 
 def neighbours(host, live):
-    """Return the hosts that ``host`` tells of a new generation.
+    """Return the hosts to which ``host`` announces a new generation.
 
-    ``live`` is sorted. A random choice would leave one host in 400
-    without anyone to tell it.
+    ``live`` is sorted. With a random choice, one host in 400 would
+    receive no announcement.
     """
-    at = live.index(host) if host in live else 0
-    told = []
+    position = live.index(host) if host in live else 0
+    targets = []
     step = 1
     while step < len(live):
-        told.append(live[(at + step) % len(live)])
+        targets.append(live[(position + step) % len(live)])
         step *= STRIDE
-    return [name for name in told if name != host]
+    return [name for name in targets if name != host]
 
 
-def tell(daemon, source=""):
-    """Tell neighbours, and ``source``, which generation is held here."""
-    news = messages.SettingsAsk(states.held_generation(daemon))
-    near = neighbours(daemon.me.host, membership.live(daemon))
-    names = [source, *near] if source else near
-    return [effects.Send(name, news) for name in dict.fromkeys(names)]
+def announce(daemon, source=""):
+    """Announce the held generation to neighbours and to ``source``."""
+    request = messages.SettingsAsk(states.held_generation(daemon))
+    targets = neighbours(daemon.me.host, membership.live(daemon))
+    names = [source, *targets] if source else targets
+    return [effects.Send(name, request) for name in dict.fromkeys(names)]
 
 
-def consider(daemon, peer_holds):
-    """Put the held generation in force if it may be; return effects.
+def adopt_if_confirmed(daemon, held_by_peer):
+    """Adopt the held generation if allowed; return effects.
 
-    ``peer_holds``: a peer is known to hold it or a newer one.
+    ``held_by_peer``: a peer is known to hold it or a newer one.
     """
     state = daemon.follower
     alone = membership.live(daemon) in ((daemon.me.host,), ())
-    if state.held is None or not (peer_holds or alone):
+    if state.held is None or not (held_by_peer or alone):
         return []
     state.tree, state.held = state.held, None
     if state.newest <= state.tree.generation:
--- a/crocuskeel/core/follower/loading.py
+++ b/crocuskeel/core/follower/loading.py
@@ -1,8 +1,8 @@
-"""Fetching a newer generation, from a peer or the platform.
+"""Fetches a newer generation from a peer or the platform.
 
-By deltas where the head still names all that are missing; else whole,
-by the head's index and the parts not held yet. A tree is held only when
-it is complete and checked, and only if its generation is greater:
+Deltas are used if the head still names all missing ones; otherwise the
+tree is built from the head's index and the parts not held yet. A tree is
+held only if it is complete and verified and its generation is greater:
 generations never go back.
 """
 
@@ -13,17 +13,18 @@
 from crocuskeel.core.follower import state as states
 from crocuskeel.core import messages
 
-__all__ = ["begin", "go_on", "part_got"]
+__all__ = ["continue_load", "part_received", "start_load"]
 
-MAX_ASKED = 16
+MAX_PARTS_REQUESTED = 16
 MAX_DELTAS_KEPT = 64
 
 
-def begin(daemon, head, source, given=()):
+def start_load(daemon, head, source, received=()):
     """Start to load the generation of ``head``; return effects.
 
-    ``given`` are parts that came along. A load that is under way for
-    the same or a newer generation goes on instead, with them.
+    ``received`` are parts that came with the head. A load in progress
+    for the same or a newer generation continues instead, and takes the
+    parts over.
     """
     state = daemon.follower
     if head.generation <= states.held_generation(daemon):
@@ -33,25 +34,25 @@
     if load is None or load.head.generation < head.generation:
         load = states.Load(head, source)
         if state.load is not None:
-            load.got.update(state.load.got)
+            load.parts.update(state.load.parts)
         state.load = load
-    for part in given:
-        load.got[part.digest] = part
-    return go_on(daemon)
+    for part in received:
+        load.parts[part.digest] = part
+    return continue_load(daemon)
 
 
-def part_got(daemon, digest, blob):
-    """Take one part that was asked for; return effects."""
+def part_received(daemon, digest, blob):
+    """Handle a requested part; return effects."""
     load = daemon.follower.load
-    if load is None or digest not in load.asked:
+    if load is None or digest not in load.requested:
         return []
-    load.asked.discard(digest)
-    load.got[digest] = conf.Part(digest, blob)
-    return go_on(daemon)
+    load.requested.discard(digest)
+    load.parts[digest] = conf.Part(digest, blob)
+    return continue_load(daemon)
 
 
-def go_on(daemon):
-    """Ask for what is missing, or hold the tree when nothing is."""
+def continue_load(daemon):
+    """Request the missing parts, or hold the tree if none is missing."""
     load = daemon.follower.load
     try:
         missing = _missing(daemon, load)
@@ -59,22 +60,22 @@
             return _fetch(load, missing)
         tree = _build(daemon, load)
     except conf.PartCorrupt as exc:
-        # A damaged part must not be judged by; drop all that was got
+        # A corrupt part must not come into force. Drop all fetched parts
         # and let the retry timer ask another source.
-        load.got.clear()
-        load.asked.clear()
+        load.parts.clear()
+        load.requested.clear()
         fields = (("source", load.source), ("fault", str(exc)))
         return [effects.Record("settings_corrupt", "", fields)]
     if tree is None:
-        load.whole = True
-        return go_on(daemon)
+        load.use_index = True
+        return continue_load(daemon)
     return _hold(daemon, load, tree)
 
 
 def _delta_digests(daemon, load):
-    # None: some delta between ours and the head's is not named there.
+    # None: the head does not name all deltas since the held generation.
     have = states.held_generation(daemon)
-    if load.whole or have == 0:
+    if load.use_index or have == 0:
         return None
     wanted = range(have + 1, load.head.generation + 1)
     digests = [storage.delta_of(load.head, number) for number in wanted]
@@ -85,43 +86,44 @@
     digests = _delta_digests(daemon, load)
     if digests is None:
         digests = [load.head.index]
-        index = load.got.get(load.head.index)
+        index = load.parts.get(load.head.index)
         if index is not None:
             digests = sorted(storage.missing_parts(
-                storage.decode_index(index), _base(daemon.follower)))
-    return [name for name in digests if name not in load.got]
+                storage.decode_index(index), _base_tree(daemon.follower)))
+    return [name for name in digests if name not in load.parts]
 
 
 def _fetch(load, missing):
-    room = MAX_ASKED - len(load.asked)
-    fresh = [name for name in missing if name not in load.asked][:room]
-    load.asked.update(fresh)
+    room = MAX_PARTS_REQUESTED - len(load.requested)
+    new = [name for name in missing
+           if name not in load.requested][:room]
+    load.requested.update(new)
     if load.source:
         return [effects.Send(load.source, messages.PartAsk(name))
-                for name in fresh]
+                for name in new]
     return [effects.StoreGet(("follower", "part", name),
                              storage.part_key(name))
-            for name in fresh]
+            for name in new]
 
 
 def _build(daemon, load):
-    # The new tree; None where the deltas do not lead there.
+    # The new tree, or None if the deltas cannot be applied.
     digests = _delta_digests(daemon, load)
     if digests is None:
-        index = storage.decode_index(load.got[load.head.index])
-        return storage.assemble(load.head.generation, index, load.got,
-                                _base(daemon.follower))
-    tree = _base(daemon.follower)
+        index = storage.decode_index(load.parts[load.head.index])
+        return storage.assemble(load.head.generation, index, load.parts,
+                                _base_tree(daemon.follower))
+    tree = _base_tree(daemon.follower)
     for digest in digests:
-        delta = storage.decode_delta(load.got[digest])
-        reached = storage.advance(tree, delta)
-        if reached.is_err():
+        delta = storage.decode_delta(load.parts[digest])
+        advanced = storage.advance(tree, delta)
+        if advanced.is_err():
             return None
-        tree = reached.unwrap()
+        tree = advanced.unwrap()
     return tree
 
 
-def _base(state):
+def _base_tree(state):
     return state.held if state.held is not None else state.tree
 
 
@@ -135,13 +137,13 @@
     fields = (("held", tree.generation), ("source", load.source),
               ("batch", load.head.batch_id))
     out = [effects.Record("settings_held", "", fields)]
-    out += force.tell(daemon, load.source)
-    return out + force.consider(daemon, bool(load.source))
+    out += force.announce(daemon, load.source)
+    return out + force.adopt_if_confirmed(daemon, bool(load.source))
 
 
 def _keep_deltas(state, load):
     for entry in load.head.recent:
-        part = load.got.get(entry.delta)
+        part = load.parts.get(entry.delta)
         if part is not None:
             state.deltas[entry.delta] = part
     while len(state.deltas) > MAX_DELTAS_KEPT:
--- a/crocuskeel/core/follower/parking.py
+++ b/crocuskeel/core/follower/parking.py
@@ -1,8 +1,8 @@
-"""Arrivals wait, briefly, while a newer generation is being fetched.
+"""Holds arriving requests briefly while a newer generation is fetched.
 
-Refusing them instead would turn each of the day's changes into a burst
-of refusals; judging them at once would judge by settings known to be
-replaced.
+Refusing them would turn each settings change of the day into a burst of
+refusals; handling them immediately would apply settings that are known
+to be outdated.
 """
 
 from crocuskeel.core import events
@@ -10,19 +10,19 @@
 
 __all__ = ["forget", "park", "release", "unpark"]
 
-_PARKED_KINDS = (events.RequestArrived, events.ResumeArrived)
+_PARKABLE_EVENTS = (events.RequestArrived, events.ResumeArrived)
 
 
 def park(daemon, event, now):
-    """Keep an arrival if this host is behind; tell whether it did.
+    """Park an arrival if this host is behind; return whether it did.
 
-    Once the wait is over arrivals are judged, and found to meet a host
-    that is not ready.
+    After ``MAX_PARK_S`` arrivals are no longer parked, and are refused
+    because the host is not ready.
     """
     state = daemon.follower
-    if type(event) not in _PARKED_KINDS or state.behind_since is None:
+    if type(event) not in _PARKABLE_EVENTS or state.behind_since is None:
         return False
-    if now - state.behind_since >= states.PARK_S:
+    if now - state.behind_since >= states.MAX_PARK_S:
         return False
     if len(state.parked) >= daemon.limits.max_requests:
         return False
@@ -31,20 +31,23 @@
 
 
 def forget(daemon, event):
-    """Drop the parked arrival of a caller who went; tell if it was."""
+    """Drop the parked arrival of a caller that disconnected.
+
+    Return whether there was one.
+    """
     if type(event) is not events.CallerGone:
         return False
     return daemon.follower.parked.pop(event.rid, None) is not None
 
 
 def release(state):
-    """Let parked arrivals be judged next."""
+    """Release the parked arrivals for handling."""
     state.released.extend(state.parked.values())
     state.parked.clear()
 
 
 def unpark(daemon):
-    """Return and forget the arrivals that may be judged now."""
+    """Return the released arrivals and clear them."""
     state = daemon.follower
     released = state.released
     state.released = []
--- a/crocuskeel/core/follower/state.py
+++ b/crocuskeel/core/follower/state.py
@@ -1,4 +1,4 @@
-"""What the follower holds, and what other concerns read of it."""
+"""State of the settings follower and what other components read."""
 
 import dataclasses
 import typing
@@ -10,39 +10,40 @@
            "held_generation", "new_state", "policy", "ready"]
 
 # How long arrivals wait for a newer generation before they are refused.
-PARK_S = 2.0
+MAX_PARK_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """A newer generation being fetched.
+    """A newer generation that is being fetched.
 
-    ``source`` is a peer's name, "" for the platform. ``got`` maps
-    digests to parts, ``asked`` are those under way. ``whole`` says that
-    deltas can't lead there.
+    ``source`` is the name of a peer, or "" for the platform. ``parts``
+    maps digests to fetched parts; ``requested`` holds the digests of
+    requested ones. ``use_index`` is set if the deltas can't be applied.
     """
 
     head: storage.Head
     source: str
-    got: dict[str, conf.Part] = dataclasses.field(default_factory=dict)
-    asked: set[str] = dataclasses.field(default_factory=set)
-    whole: bool = False
+    parts: dict[str, conf.Part] = dataclasses.field(default_factory=dict)
+    requested: set[str] = dataclasses.field(default_factory=set)
+    use_index: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class FollowerState:
-    """Settings in force on this host.
-
-    ``tree`` is in force, None until the first are; ``held`` is a newer
-    one that is complete but not in force yet. ``head`` is the stored
-    head of the newest of both, ``version`` the head object's version
-    last seen. ``newest`` is the greatest generation heard of;
-    ``behind_since`` when one newer than ours was first heard of, None
-    when current. ``heard_at`` is when the platform or a peer last
-    spoke. ``deltas`` keeps delta parts by digest for peers.
-    ``asked_peers`` were asked for what is newer, ``asked_holder`` is
-    one that said it holds it. ``parked`` holds arrivals by rid until we
-    are current; ``released`` those to judge next.
+    """The settings of this host.
+
+    ``tree`` is in force, None until the first settings are adopted.
+    ``held`` is a newer tree that is complete but not in force yet.
+    ``head`` is the encoded head of the newer of both, ``version`` the
+    last seen version of the head object. ``newest`` is the greatest
+    generation known to exist. ``behind_since`` is when a generation
+    newer than the held one became known, None while current.
+    ``heard_at`` is when the platform or a peer last answered or sent
+    a message. ``deltas`` keeps delta parts by digest for peers.
+    ``asked_peers`` were asked for a newer generation; ``asked_holder``
+    is one that reported holding it. ``parked`` holds arrivals by rid
+    until this host is current; ``released`` holds those to handle next.
     """
 
     tree: typing.Any = None
@@ -63,7 +64,7 @@
 
 
 def new_state(tree=None):
-    """Return the follower's state, already at ``tree`` if given."""
+    """Return a new follower state, with ``tree`` in force if given."""
     state = FollowerState(tree=tree)
     if tree is not None:
         state.newest = tree.generation
@@ -71,7 +72,7 @@
 
 
 def generation(daemon):
-    """Return the generation in force here, 0 before the first."""
+    """Return the generation in force on this host, 0 before the first."""
     tree = daemon.follower.tree
     return tree.generation if tree is not None else 0
 
@@ -83,33 +84,34 @@
 
 
 def policy(daemon, workspace, class_name):
-    """Return the class's resolved ``conf.ClassPolicy`` or None."""
+    """Return the resolved ``conf.ClassPolicy`` of a class, or None."""
     if daemon.follower.tree is None:
         return None
     return conf.resolve(daemon.follower.tree, workspace, class_name)
 
 
 def caller(daemon, token_sha256):
-    """Return the ``conf.CallerIdentity`` of a token or None."""
+    """Return the ``conf.CallerIdentity`` of a token, or None."""
     if daemon.follower.tree is None:
         return None
     return conf.find_caller(daemon.follower.tree, token_sha256)
 
 
 def ready(daemon, now):
-    """Tell whether requests may be judged by these settings.
-
-    Not before the first settings are adopted. Not once neither the
-    platform nor any peer was heard for ``limits.stale_settings_s``: a
-    host cut off from all would judge by settings that the rest of the
-    fleet has left behind, and callers would see two generations. Not
-    while a newer generation is known of and could not be had in time.
+    """Return whether requests may be handled under these settings.
+
+    They may not before the first settings are adopted, nor once neither
+    the platform nor any peer was heard from for
+    ``limits.stale_settings_s``: an isolated host would apply settings
+    that the rest of the fleet has replaced, and callers would see two
+    generations. Nor if a newer generation is known to exist but could
+    not be fetched in time.
     """
     state = daemon.follower
     if state.tree is None:
         return False
     if state.behind_since is not None:
-        return now - state.behind_since < PARK_S
+        return now - state.behind_since < MAX_PARK_S
     if state.heard_at is None:
         return True
     return now - state.heard_at < daemon.limits.stale_settings_s
--- a/crocuskeel/core/follower/steps.py
+++ b/crocuskeel/core/follower/steps.py
@@ -1,10 +1,11 @@
 """How a daemon learns that there is a newer generation.
 
 A few hosts, computed from the live members, watch the head object; the
-others read it now and then. Every message between hosts carries its
-sender's generation, and a host that adopted one tells its neighbours.
-So the platform's calls stay few as the fleet grows, a change reaches
-all in a few hops, and a lost message is made up for by the next one.
+others read it periodically. Every message between hosts carries its
+sender's generation, and a host that holds a new one announces it to its
+neighbours. So the number of platform calls stays low as the fleet grows,
+a change reaches all hosts in a few hops, and later messages make up for
+a lost one.
 """
 
 from crocuskeel import conf
@@ -22,10 +23,11 @@
 __all__ = ["handle", "hear"]
 
 WATCHERS = 3
-WATCH_S = 4.0
+WATCH_TIMEOUT_S = 4.0
 RETRY_S = 1.0
-READ_S = 5.0
-# Hosts a second that read the head beside the watchers, at most.
+HEAD_READ_INTERVAL_S = 5.0
+# Maximum rate at which all hosts together read the head, in reads per
+# second. Watchers are not counted.
 READS_PER_S = 20
 _READ = ("follower", "read")
 _RETRY = ("follower", "retry")
@@ -33,9 +35,9 @@
 
 
 def hear(daemon, event, now):
-    """Note a peer's generation; return effects.
+    """Record a peer's generation; return effects.
 
-    Called for each message before the message itself is judged.
+    Called for each message before the message itself is handled.
     """
     state = daemon.follower
     if event.sender == daemon.me.host:
@@ -43,19 +45,19 @@
     state.heard_at = now
     have = states.held_generation(daemon)
     if state.held is not None and event.generation >= have:
-        return force.consider(daemon, True)
+        return force.adopt_if_confirmed(daemon, True)
     if event.generation <= have or event.sender in state.asked_peers:
         return []
-    # Each peer that is ahead is asked once: the first may have lost
-    # the platform and not hold what it has itself only heard of.
+    # Each peer that is ahead is asked once. The first one may have lost
+    # the platform and know the generation only from other hosts.
     state.asked_peers.add(event.sender)
-    _note_newer(state, event.generation, now)
+    _record_newer(state, event.generation, now)
     return [effects.Send(event.sender, messages.SettingsAsk(have)),
             effects.SetTimer(_RETRY, RETRY_S)]
 
 
 def handle(daemon, event, now):
-    """Reduce one event; return effects."""
+    """Handle one event; return effects."""
     match event:
         case events.Started():
             return _read_head(daemon)
@@ -67,23 +69,23 @@
             return _head_answered(daemon, event, now)
         case events.StoreAnswered(op=("follower", "part", digest)):
             return _part_answered(daemon, event, digest, now)
-        case events.Received(message=messages.SettingsAsk() as ask):
-            return _peer_asks(daemon, event.sender, ask, now)
-        case events.Received(message=messages.SettingsAnswer() as got):
-            return _peer_answered(daemon, event.sender, got, now)
+        case events.Received(message=messages.SettingsAsk() as request):
+            return _settings_requested(daemon, event.sender, request, now)
+        case events.Received(message=messages.SettingsAnswer() as answer):
+            return _settings_received(daemon, event.sender, answer, now)
         case events.Received(message=messages.PartAsk(digest=digest)):
             part = _held_part(daemon.follower, digest)
             blob = part.blob if part is not None else b""
             return [effects.Send(event.sender,
                                  messages.PartAnswer(digest, blob))]
-        case events.Received(message=messages.PartAnswer() as got):
-            if not got.data:
+        case events.Received(message=messages.PartAnswer() as answer):
+            if not answer.data:
                 return []
-            return loading.part_got(daemon, got.digest, got.data)
+            return loading.part_received(daemon, answer.digest, answer.data)
     return []
 
 
-def _note_newer(state, generation, now):
+def _record_newer(state, generation, now):
     state.newest = max(state.newest, generation)
     if state.behind_since is None:
         state.behind_since = now
@@ -99,18 +101,19 @@
 
 def _read_head(daemon):
     state = daemon.follower
-    again = effects.SetTimer(_READ, _read_after(daemon))
+    timer = effects.SetTimer(_READ, _read_after(daemon))
     if state.version and _is_watcher(daemon):
         return [effects.StoreWatch(_HEAD, storage.HEAD_KEY, state.version,
-                                   WATCH_S), again]
-    return [effects.StoreGet(_HEAD, storage.HEAD_KEY), again]
+                                   WATCH_TIMEOUT_S), timer]
+    return [effects.StoreGet(_HEAD, storage.HEAD_KEY), timer]
 
 
 def _read_after(daemon):
-    # The watch is renewed by its answer; this timer only makes up for
-    # an answer that never comes.
-    fleet = len(membership.live(daemon)) / READS_PER_S
-    return max(READ_S, fleet) * daemon.rng.uniform(0.9, 1.1)
+    # The answer to a watch renews it; this timer only covers a lost
+    # answer.
+    interval_s = len(membership.live(daemon)) / READS_PER_S
+    return (max(HEAD_READ_INTERVAL_S, interval_s)
+            * daemon.rng.uniform(0.9, 1.1))
 
 
 def _head_answered(daemon, event, now):
@@ -118,7 +121,7 @@
     match event.status:
         case events.StoreStatus.UNCHANGED:
             state.heard_at = now
-            return _renew(daemon)
+            return _renew_watch(daemon)
         case events.StoreStatus.NOT_FOUND:
             state.heard_at = now
             return [effects.SetTimer(_READ, RETRY_S)]
@@ -128,9 +131,9 @@
     return []
 
 
-def _renew(daemon):
-    # A waiting watch counts as one call, so it is renewed at once; a
-    # plain read waits for its timer.
+def _renew_watch(daemon):
+    # A pending watch counts as one call, so it is renewed immediately.
+    # A plain read waits for its timer.
     return _read_head(daemon) if _is_watcher(daemon) else []
 
 
@@ -142,68 +145,69 @@
     except conf.PartCorrupt as exc:
         return [effects.Record("settings_corrupt", "",
                                (("fault", str(exc)),))]
-    out = _renew(daemon)
+    out = _renew_watch(daemon)
     if head.generation <= states.held_generation(daemon):
-        # A lagging replica of the store: generations never go back.
+        # Read from a lagging replica of the store: generations never go
+        # back.
         return out
-    _note_newer(state, head.generation, now)
+    _record_newer(state, head.generation, now)
     out.append(effects.SetTimer(_RETRY, RETRY_S))
-    return out + loading.begin(daemon, head, "")
+    return out + loading.start_load(daemon, head, "")
 
 
 def _part_answered(daemon, event, digest, now):
     if event.status != events.StoreStatus.FOUND:
         return []
     daemon.follower.heard_at = now
-    return loading.part_got(daemon, digest, event.body)
+    return loading.part_received(daemon, digest, event.body)
 
 
 # Peers.
 
-def _peer_asks(daemon, sender, ask, now):
-    # The question tells what its sender holds, which may be more than
-    # we do.
+def _settings_requested(daemon, sender, request, now):
+    # The request states which generation its sender holds, which may be
+    # newer than the one held here.
     state = daemon.follower
     held = states.held_generation(daemon)
-    if ask.have > held:
-        _note_newer(state, ask.have, now)
+    if request.have > held:
+        _record_newer(state, request.have, now)
         if state.asked_holder:
-            # One holder is enough; each answer carries the head.
+            # One holder is enough, since each answer carries the head.
             return []
         state.asked_holder = sender
         return [effects.Send(sender, messages.SettingsAsk(held)),
                 effects.SetTimer(_RETRY, RETRY_S)]
-    if ask.have == held:
-        return force.consider(daemon, True)
-    return _answer_peer(state, sender, ask)
+    if request.have == held:
+        return force.adopt_if_confirmed(daemon, True)
+    return _answer_peer(state, sender, request)
 
 
-def _answer_peer(state, sender, ask):
+def _answer_peer(state, sender, request):
     if not state.head:
         return []
     head = storage.decode_head(state.head)
     digests = [storage.delta_of(head, number)
-               for number in range(ask.have + 1, head.generation + 1)]
+               for number in range(request.have + 1, head.generation + 1)]
     deltas = [state.deltas.get(digest) for digest in digests]
     blobs = () if None in deltas else tuple(p.blob for p in deltas)
     answer = messages.SettingsAnswer(
-        head.generation, ask.have, state.head, blobs)
+        head.generation, request.have, state.head, blobs)
     return [effects.Send(sender, answer)]
 
 
-def _peer_answered(daemon, sender, got, now):
-    if got.generation <= states.held_generation(daemon):
+def _settings_received(daemon, sender, answer, now):
+    if answer.generation <= states.held_generation(daemon):
         return []
     try:
-        head = storage.decode_head(got.head)
+        head = storage.decode_head(answer.head)
     except conf.PartCorrupt:
         return []
-    _note_newer(daemon.follower, head.generation, now)
-    numbers = range(got.base + 1, head.generation + 1)
+    _record_newer(daemon.follower, head.generation, now)
+    numbers = range(answer.base + 1, head.generation + 1)
     digests = [storage.delta_of(head, number) for number in numbers]
-    given = [conf.Part(digest, blob)
-             for digest, blob in zip(digests, got.deltas) if digest]
-    return loading.begin(daemon, head, sender, given)
+    received = [conf.Part(digest, blob)
+                for digest, blob in zip(digests, answer.deltas) if digest]
+    return loading.start_load(daemon, head, sender, received)
 
 
 def _held_part(state, digest):
@@ -218,44 +222,44 @@
     return storage.tree_parts(tree).get(digest)
 
 
-# Making up for answers that never came.
+# Retries after lost answers.
 
 def _retry(daemon, now):
     state = daemon.follower
     if state.behind_since is None:
         return []
-    if now - state.behind_since >= states.PARK_S:
+    if now - state.behind_since >= states.MAX_PARK_S:
         parking.release(state)
     state.asked_peers.clear()
     state.asked_holder = ""
     out = [effects.SetTimer(_RETRY, RETRY_S)]
     if state.held is not None:
-        # Nobody answered that they hold it: tell them again, or go on
-        # alone once membership says that nobody is there.
-        out += force.tell(daemon)
-        out += force.consider(daemon, False)
+        # No peer has confirmed that it holds the generation. Announce it
+        # again, or adopt it once membership has no live peers.
+        out += force.announce(daemon)
+        out += force.adopt_if_confirmed(daemon, False)
     load = state.load
     if load is None:
         if state.newest <= states.held_generation(daemon):
             return out
         return out + [effects.StoreGet(_HEAD, storage.HEAD_KEY),
-                      *_ask_some_peer(daemon)]
-    load.asked.clear()
-    load.source = _other_source(daemon, load.source)
-    return out + loading.go_on(daemon)
+                      *_ask_random_peer(daemon)]
+    load.requested.clear()
+    load.source = _alternate_source(daemon, load.source)
+    return out + loading.continue_load(daemon)
 
 
-def _ask_some_peer(daemon):
-    peer = _other_source(daemon, "")
+def _ask_random_peer(daemon):
+    peer = _alternate_source(daemon, "")
     if not peer:
         return []
     have = states.held_generation(daemon)
     return [effects.Send(peer, messages.SettingsAsk(have))]
 
 
-def _other_source(daemon, source):
-    # A peer's failure is answered by the platform, the platform's by a
-    # peer: either may be down alone.
+def _alternate_source(daemon, source):
+    # After a peer fails the platform is asked, and the other way round:
+    # either may be down alone.
     if source:
         return ""
     me = daemon.me.host
--- a/tests/follower/fleet.py
+++ b/tests/follower/fleet.py
@@ -1,4 +1,4 @@
-"""Real follower reducers of a few hosts around one in-memory store."""
+"""Runs real follower reducers on some hosts with an in-memory store."""
 
 import heapq
 import itertools
@@ -24,8 +24,9 @@
 class Fleet:
     """Hosts, a store with an outage switch, and a virtual clock.
 
-    ``cut`` holds pairs of hosts (and "platform") that can't reach each
-    other; ``log`` the events of the time line.
+    ``cut`` holds pairs of hosts (or a host and "platform") that can't
+    reach each other; "*" stands for all others. ``log`` holds the
+    recorded timeline events.
     """
 
     def __init__(self, names):
@@ -42,7 +43,7 @@
         self.hosts = {}
         self.timers = {}
         self.log = []
-        self.judged = []
+        self.handled = []
         self.calls = 0
 
     def start(self, *names):
@@ -52,7 +53,7 @@
             self.feed(name, events.Started())
 
     def commit(self, edits):
-        """Accept a batch, as an operator's command would."""
+        """Commit a batch, as an operator's command does."""
         number = self.tree.generation
         batch = conf.new_batch("op", 0.0, number, edits)
         made = storage.prepare(self.tree, self.head, batch).unwrap()
@@ -66,19 +67,19 @@
         self.objects[path] = (self.version, body)
 
     def feed(self, name, event):
-        """Reduce an event on a host and carry out its effects."""
+        """Handle an event on a host and carry out its effects."""
         daemon = self.hosts[name]
-        if event_is_judged(daemon, event, self.now, self.judged):
+        if handle_arrival(daemon, event, self.now, self.handled):
             return
         if type(event) is events.Received:
             self._do(name, follower.hear(daemon, event, self.now))
         self._do(name, follower.handle(daemon, event, self.now))
         for arrival in follower.unpark(daemon):
-            self.judged.append((arrival.rid, follower.generation(daemon),
+            self.handled.append((arrival.rid, follower.generation(daemon),
                                 follower.ready(daemon, self.now)))
 
     def arrive(self, name, rid):
-        """A caller's request arrives at a host."""
+        """Deliver a caller's request to a host."""
         event = events.RequestArrived(
             rid, "", "POST", "/", "booking", "", False, 0, 0, 0, "", "")
         self.feed(name, event)
@@ -96,13 +97,13 @@
                 for name, daemon in self.hosts.items()}
 
     def later(self, after_s, action):
-        """Do something after a span."""
+        """Schedule ``action`` after a delay."""
         heapq.heappush(self.queue,
                        (self.now + after_s, next(self.count), action))
 
-    def _reach(self, one, two):
-        return not {(one, two), (two, one), (one, "*"), (two, "*")} & (
-            self.cut)
+    def _can_reach(self, first, second):
+        return not {(first, second), (second, first), (first, "*"),
+                    (second, "*")} & self.cut
 
     def _do(self, name, wanted):
         for effect in wanted:
@@ -122,7 +123,7 @@
                                 follower.generation(sender))
 
         def deliver():
-            if host in self.hosts and self._reach(name, host):
+            if host in self.hosts and self._can_reach(name, host):
                 self.feed(host, event)
         self.later(DELAY_S, deliver)
 
@@ -139,7 +140,7 @@
         self.calls += 1
         status = events.StoreStatus
         wait = getattr(effect, "timeout_s", 0.0)
-        if not self._reach(name, "platform"):
+        if not self._can_reach(name, "platform"):
             answer = events.StoreAnswered(effect.op, status.UNAVAILABLE)
             self.later(DELAY_S, lambda: self.feed(name, answer))
         else:
@@ -165,12 +166,15 @@
         self.feed(name, answer)
 
 
-def event_is_judged(daemon, event, now, judged):
-    """Park an arrival or note by which generation it is judged."""
+def handle_arrival(daemon, event, now, handled):
+    """Park an arrival or record the generation that handles it.
+
+    Return whether the event was an arrival.
+    """
     if type(event) is not events.RequestArrived:
         return False
     if not follower.park(daemon, event, now):
-        judged.append((event.rid, follower.generation(daemon),
+        handled.append((event.rid, follower.generation(daemon),
                        follower.ready(daemon, now)))
     return True
 
@@ -186,5 +190,5 @@
 
 
 def live(daemon):
-    """Stand in for ``membership.live``: every host of the fleet."""
+    """Replace ``membership.live``: every host of the fleet is live."""
     return daemon.members.fleet.names
--- a/tests/follower/test_follower.py
+++ b/tests/follower/test_follower.py
@@ -1,4 +1,4 @@
-"""Settings are in force everywhere within seconds and never go back."""
+"""Settings come into force on all hosts in seconds and never go back."""
 
 import unittest
 from unittest import mock
@@ -21,7 +21,7 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """Nine hosts follow one head object."""
+    """Nine hosts that follow one head object."""
 
     def setUp(self):
         patch = mock.patch(
@@ -47,11 +47,11 @@
         self._assert_everywhere(2)
 
     def test_a_change_reaches_hosts_cut_off_from_the_platform(self):
-        """A release in a partial outage.
+        """In a partial outage hosts must take a change from their peers.
 
-        Only one host reaches the platform when a batch is accepted.
-        The others would go on with the old settings for the whole
-        outage if they did not take them from their peers.
+        Only one host reaches the platform when a batch is committed.
+        Without its peers' help each other host would keep the old
+        settings for the whole outage.
         """
         fleet = self._started()
         fleet.cut = {(name, "platform") for name in HOSTS[1:]}
@@ -59,10 +59,10 @@
         fleet.run(fleet.now + IN_FORCE_S + 2)
         self._assert_everywhere(2)
 
-    def test_a_late_starter_takes_the_newest_from_peers(self):
-        """A host is replaced while the platform is down.
+    def test_a_new_host_takes_the_newest_generation_from_peers(self):
+        """A host replaced in a platform outage must get its settings.
 
-        It has no disk and can't read the head; with no settings it
+        It has no disk and can't read the head. Without settings it
         would refuse every caller until the outage ends.
         """
         fleet = self._started()
@@ -71,16 +71,16 @@
         fleet.cut = {(name, "platform") for name in HOSTS}
         fleet.hosts.pop("h8")
         fleet.start("h8")
-        hello = messages.HostListAsk(-1)
-        fleet.feed("h8", events.Received("h1", 1, hello, 2))
+        message = messages.HostListAsk(-1)
+        fleet.feed("h8", events.Received("h1", 1, message, 2))
         fleet.run(fleet.now + 2)
         self.assertEqual(2, fleet.generations()["h8"])
 
     def test_generations_never_go_back(self):
-        """A lagging replica of the store answers with the old head.
+        """An old head from a lagging replica must not be adopted.
 
-        A host that took it would give callers the old price again
-        after they had seen the new one.
+        Otherwise callers would see the old price again after they had
+        seen the new one.
         """
         fleet = self._started()
         old = fleet.objects[storage.HEAD_KEY]
@@ -91,25 +91,25 @@
         self._assert_everywhere(2)
 
     def test_a_restart_in_an_outage_does_not_go_back(self):
-        """A caller sees the new settings, then the old ones again.
+        """A caller must not see old settings after the new ones.
 
-        One host alone had put a generation in force; platform and its
-        links to the others fail, it restarts, and takes the older
-        generation from its peers.
+        This would happen if one host adopted a generation that no other
+        host holds: the platform and its links to the others fail, it
+        restarts, and takes the older generation from its peers.
         """
         fleet = self._started()
         fleet.cut = {("h0", name) for name in HOSTS[1:]}
         fleet.cut |= {(name, "platform") for name in HOSTS[1:]}
         fleet.commit(_edit(2))
         fleet.run(fleet.now + 2.5)
-        judged = fleet.generations()["h0"]
+        handled = fleet.generations()["h0"]
         fleet.cut = {(name, "platform") for name in HOSTS}
         fleet.hosts.pop("h0")
         fleet.start("h0")
-        hello = messages.HostListAsk(-1)
-        fleet.feed("h0", events.Received("h1", 1, hello, 1))
+        message = messages.HostListAsk(-1)
+        fleet.feed("h0", events.Received("h1", 1, message, 1))
         fleet.run(fleet.now + 3)
-        self.assertGreaterEqual(fleet.generations()["h0"], judged)
+        self.assertGreaterEqual(fleet.generations()["h0"], handled)
 
     def test_a_host_without_peers_does_not_wait(self):
         fleet = fleets.Fleet(HOSTS[:1])
@@ -119,10 +119,10 @@
         self.assertEqual({"h0": 1}, fleet.generations())
 
     def test_an_isolated_host_says_it_is_not_ready(self):
-        """One host loses platform and peers while the fleet goes on.
+        """A host isolated from platform and peers must not be ready.
 
-        Its callers would be judged by settings that are long replaced;
-        it must notice by the silence alone.
+        Otherwise it would apply outdated settings to its callers. It
+        can detect the isolation only by the lack of messages.
         """
         fleet = self._started()
         self.assertTrue(follower.ready(fleet.hosts["h4"], fleet.now))
@@ -131,12 +131,12 @@
         self.assertFalse(follower.ready(fleet.hosts["h4"], fleet.now))
         self.assertEqual(1, fleet.generations()["h4"])
 
-    def test_an_arrival_is_judged_by_the_generation_heard_of(self):
-        """A caller sees the new settings at one host, then another.
+    def test_an_arrival_waits_for_the_newest_known_generation(self):
+        """A request must wait for a generation that is known to exist.
 
-        The second host has heard of the new generation by a message but
-        has not fetched it: judging by the old one would look to the
-        caller as if the change had been reverted.
+        The host learned of the generation from a message but has not
+        fetched it. A caller that saw the new settings at another host
+        would see the change reverted if this host applied the old ones.
         """
         fleet = self._started()
         fleet.commit(_edit(2))
@@ -144,14 +144,14 @@
         self.assertEqual(1, fleet.generations()["h7"])
         fleet.feed("h7", events.Received("h0", 1, ask, 2))
         fleet.arrive("h7", "r1")
-        self.assertEqual([], fleet.judged)
+        self.assertEqual([], fleet.handled)
         fleet.run(fleet.now + 1)
-        self.assertEqual([("r1", 2, True)], fleet.judged)
+        self.assertEqual([("r1", 2, True)], fleet.handled)
 
-    def test_an_unreachable_generation_ends_the_wait_unready(self):
-        """A host hears of a generation that nobody can give it.
+    def test_a_host_is_not_ready_if_the_newest_generation_is_unreachable(self):
+        """Requests must not wait forever for an unreachable generation.
 
-        Its callers must get a final answer, soon, and not one by the
+        Callers must soon get a final answer that does not rest on the
         old settings.
         """
         fleet = self._started()
@@ -160,13 +160,13 @@
         fleet.feed("h7", events.Received("h0", 1, ask, 9))
         fleet.arrive("h7", "r1")
         fleet.run(fleet.now + 3)
-        self.assertEqual([("r1", 1, False)], fleet.judged)
+        self.assertEqual([("r1", 1, False)], fleet.handled)
 
-    def test_a_damaged_part_is_not_adopted(self):
-        """A peer sends a part whose bytes were damaged.
+    def test_a_corrupt_part_is_not_adopted(self):
+        """A part with corrupt bytes must not come into force.
 
-        Judged by, it would change settings that no operator accepted;
-        its digest does not match and another source is asked.
+        It would apply settings that no operator committed. Its digest
+        does not match, and another source is asked.
         """
         fleet = self._started()
         fleet.hosts.pop("h8")
@@ -181,26 +181,26 @@
         self.assertEqual(1, fleet.generations()["h8"])
 
     def test_everyone_is_told_without_the_platform(self):
-        """One host of 470 stays behind for half a minute.
+        """Announcements alone must reach every host.
 
-        News went to six random neighbours, and one host in 400 was
-        nobody's neighbour: it learned of a change only by its own slow
-        read of the platform.
+        With six random neighbours per host, one host in 400 was
+        nobody's neighbour. In a fleet of 470 it learned of a change only
+        from its own read of the platform, half a minute late.
         """
         for size in (2, 3, 9, 10, 81, 470):
             live = tuple(f"h{number:03d}" for number in range(size))
             reached = {live[0]}
-            fresh = [live[0]]
-            while fresh:
-                told = {name for host in fresh
-                        for name in force.neighbours(host, live)}
-                fresh = sorted(told - reached)
-                reached |= told
+            newly_told = [live[0]]
+            while newly_told:
+                announced = {name for host in newly_told
+                             for name in force.neighbours(host, live)}
+                newly_told = sorted(announced - reached)
+                reached |= announced
             self.assertEqual(set(live), reached)
 
-    def test_calls_of_the_platform_stay_few(self):
+    def test_platform_calls_are_bounded(self):
         fleet = self._started()
         before = fleet.calls
         fleet.run(fleet.now + 60)
-        # Three watches renewed every 4 s, six hosts reading every 5 s.
+        # Three watches renewed every 4 s and six hosts reading every 5 s.
         self.assertLess((fleet.calls - before) / 60, 2.5)
