--- a/crocuskeel/core/claims/__init__.py
+++ b/crocuskeel/core/claims/__init__.py
@@ -1,9 +1,9 @@
-"""At most once: the ledger of claims on non-repeatable requests."""
+"""The ledger of claims that runs non-repeatable requests at most once."""
 
 from crocuskeel.core.claims.ledger import key_digest
 from crocuskeel.core.claims.ledger import Outcome
 from crocuskeel.core.claims.ledger import slot_of
-from crocuskeel.core.claims.reducer import CONCERN
+from crocuskeel.core.claims.reducer import COMPONENT
 from crocuskeel.core.claims.reducer import handle
 from crocuskeel.core.claims.state import ClaimsConfig
 from crocuskeel.core.claims.state import ClaimsState
@@ -11,6 +11,6 @@
 from crocuskeel.core.claims.state import owner_of
 
 __all__ = [
-    "CONCERN", "ClaimsConfig", "ClaimsState", "Outcome", "handle",
+    "COMPONENT", "ClaimsConfig", "ClaimsState", "Outcome", "handle",
     "key_digest", "new_state", "owner_of", "slot_of",
 ]
--- a/crocuskeel/core/claims/commits.py
+++ b/crocuskeel/core/claims/commits.py
@@ -1,11 +1,12 @@
-"""Group commits of one slot: what goes into a write, and its pace."""
+"""Group commits of a slot: the contents of a write and its rate."""
 
 from crocuskeel.core.claims import ledger as ledgers
 from crocuskeel.core.claims import state as states
 from crocuskeel.core import messages
 
 __all__ = [
-    "answer_for", "build", "observe_epoch", "pay", "ready_at",
+    "answer_for", "build_commit", "next_commit_at", "observe_epoch",
+    "record_commit",
 ]
 
 _STATUS = {
@@ -17,74 +18,74 @@
 }
 
 
-def ready_at(slot, cfg):
-    """Return when the next commit may go out, by the slot's pace."""
-    return slot.free_at - (cfg.burst - 1) / cfg.writes_s
+def next_commit_at(slot, cfg):
+    """Return when the rate limit of the slot allows the next commit."""
+    return slot.rate_full_at - (cfg.burst - 1) / cfg.writes_s
 
 
-def pay(slot, cfg, now):
-    """Count one commit against the slot's pace."""
-    slot.free_at = max(now, slot.free_at) + 1.0 / cfg.writes_s
+def record_commit(slot, cfg, now):
+    """Count one commit against the rate limit of the slot."""
+    slot.rate_full_at = max(now, slot.rate_full_at) + 1.0 / cfg.writes_s
 
 
 def observe_epoch(slot, now):
-    """Note when this host first saw the ledger's present epoch.
+    """Record when this host first saw the current epoch of the ledger.
 
-    An epoch ends only after one host has watched it for its whole span
-    by its own monotonic clock, and that began after the epoch was
-    written: so no entry is dropped early, whatever clocks hosts have.
+    An epoch ends only after one host has observed it for its whole
+    duration by its own monotonic clock, starting after the epoch was
+    written. So no entry is dropped early, whatever the clocks of hosts.
     """
     if slot.ledger.epoch != slot.seen_epoch:
         slot.seen_epoch = slot.ledger.epoch
-        slot.seen_at = now
+        slot.epoch_seen_at = now
 
 
-def answer_for(ask, verdict, ledger, cfg):
-    """Return the answer to an ask that needs no write."""
-    entry = ledger.entries.get(ask.key)
+def answer_for(request, verdict, ledger, cfg):
+    """Return the answer to a request that needs no write."""
+    entry = ledger.entries.get(request.key)
     if verdict is ledgers.Verdict.DUPLICATE:
         return messages.ClaimAnswer(
-            ask.rid, ask.key, _STATUS[verdict], holder_host=entry.host,
+            request.rid, request.key, _STATUS[verdict], holder_host=entry.host,
             holder_rid=entry.rid, outcome=entry.outcome.value)
     full = verdict is ledgers.Verdict.FULL
     return messages.ClaimAnswer(
-        ask.rid, ask.key, _STATUS[verdict],
+        request.rid, request.key, _STATUS[verdict],
         retry_after_s=cfg.epoch_s if full else 0.0)
 
 
-def build(slot, cfg, now):
-    """Build the next commit; return it and answers that need none.
+def build_commit(slot, cfg, now):
+    """Build the next commit; return it and the answers that need none.
 
-    Answers are pairs of ask and message. Outcomes go first, so that a
-    key which they free can be claimed in the same commit.
+    Answers are pairs of request and message. Outcomes are applied first,
+    so that a key that they free can be claimed in the same commit.
     """
-    draft = states.Draft(
-        ledger=ledgers.copy(slot.ledger), base=slot.ledger.version)
-    if now - slot.seen_at >= cfg.epoch_s:
-        ledgers.age(draft.ledger, cfg.kept_epochs)
-        draft.changed = True
-    for (key, rid), outcome in slot.settles.items():
-        changed = ledgers.settle(draft.ledger, key, rid, outcome)
-        draft.changed = draft.changed or changed
-        draft.settled.append((key, rid, outcome))
-    return draft, _add_claims(slot, draft, cfg)
-
-
-def _add_claims(slot, draft, cfg):
+    commit = states.Commit(
+        ledger=ledgers.copy(slot.ledger), base_version=slot.ledger.version)
+    if now - slot.epoch_seen_at >= cfg.epoch_s:
+        ledgers.advance_epoch(commit.ledger, cfg.kept_epochs)
+        commit.changed = True
+    for (key, rid), outcome in slot.outcomes.items():
+        changed = ledgers.settle(commit.ledger, key, rid, outcome)
+        commit.changed = commit.changed or changed
+        commit.settled.append((key, rid, outcome))
+    return commit, _add_claims(slot, commit, cfg)
+
+
+def _add_claims(slot, commit, cfg):
     answers = []
     taken = set()
-    for ask in slot.asks.values():
-        # A key that this very commit claims is held by nobody until
-        # the commit is confirmed: the ask waits for that.
-        if ask.given_up or ask.key in taken:
+    for request in slot.requests.values():
+        # A key that this commit claims has no holder until the commit
+        # is confirmed, so further requests for it wait.
+        if request.abandoned or request.key in taken:
             continue
-        verdict = ledgers.judge(draft.ledger, ask, cfg.max_bytes)
+        verdict = ledgers.check(commit.ledger, request, cfg.max_bytes)
         if verdict is ledgers.Verdict.FREE:
-            ledgers.claim(draft.ledger, ask)
-            taken.add(ask.key)
-            draft.claimed.append(ask.rid)
-            draft.changed = True
-        elif not ask.doubtful:
+            ledgers.claim(commit.ledger, request)
+            taken.add(request.key)
+            commit.claimed.append(request.rid)
+            commit.changed = True
+        elif not request.in_doubt:
             answers.append(
-                (ask, answer_for(ask, verdict, draft.ledger, cfg)))
+                (request, answer_for(request, verdict, commit.ledger, cfg)))
     return answers
--- a/crocuskeel/core/claims/concern.py
+++ b/crocuskeel/core/claims/concern.py
@@ -1,4 +1,4 @@
-"""The ledger as a concern of the daemon's reducer."""
+"""The claims ledger as a component of the daemon's reducer."""
 
 from crocuskeel.core.claims import reducer
 
@@ -6,5 +6,5 @@
 
 
 def handle(daemon, event, now):
-    """Reduce one event of a daemon; return effects."""
+    """Handle one event of a daemon; return effects."""
     return reducer.handle(daemon.claims, event, now)
--- a/crocuskeel/core/claims/ledger.py
+++ b/crocuskeel/core/claims/ledger.py
@@ -1,8 +1,9 @@
-"""The ledger of one slot: its entries, its judgement, its stored form.
+"""The ledger of a slot: its entries, checks and stored form.
 
-A ledger says who holds which key. It is stored as JSON lines: a header,
-then one line an entry. Entries are never dropped for want of room, only
-by age, counted in the ledger's own epochs: see :func:`age`.
+A ledger records which attempt holds which key. It is stored as JSON
+lines: a header, then one line per entry. Entries are never dropped for
+lack of space, only by age, counted in the ledger's own epochs: see
+:func:`advance_epoch`.
 """
 
 import base64
@@ -14,8 +15,8 @@
 import xxhash
 
 __all__ = [
-    "BadLedger", "Entry", "Ledger", "Outcome", "Verdict", "age", "claim",
-    "copy", "decode", "empty", "encode", "judge", "key_digest",
+    "Entry", "InvalidLedger", "Ledger", "Outcome", "Verdict", "advance_epoch",
+    "check", "claim", "copy", "decode", "empty", "encode", "key_digest",
     "settle", "slot_of",
 ]
 
@@ -24,12 +25,12 @@
 _DIGEST_CHARS = 16
 
 
-class BadLedger(ValueError):
-    """The stored ledger can't be read; no claim may rest on it."""
+class InvalidLedger(ValueError):
+    """The stored ledger can't be parsed; no claim may be based on it."""
 
 
 class Outcome(enum.StrEnum):
-    """What is known of a claimed request.
+    """What is known about a claimed request.
 
     NOT_RUN is never stored: it frees the key.
     """
@@ -41,7 +42,7 @@
 
 
 class Verdict(enum.Enum):
-    """Judgement of an ask against a ledger."""
+    """Result of checking a request against a ledger."""
 
     FREE = "free"
     HELD = "held"
@@ -55,9 +56,9 @@
 class Entry:
     """One claimed key; ``line`` is its stored form.
 
-    ``rid``, ``host`` and ``incarnation`` are the attempt that holds it.
-    ``issued_at`` is the caller's issue time of the key in Unix seconds,
-    0 for an undated key.
+    ``rid``, ``host`` and ``incarnation`` identify the attempt that holds
+    it. ``issued_at`` is when the caller issued the key, in Unix seconds,
+    or 0 for an undated key.
     """
 
     key: str
@@ -73,9 +74,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Ledger:
-    """Entries at one version of the object; 0: there is no object.
+    """Entries at one version of the stored object; 0 if there is none.
 
-    ``floor`` is the latest issue time among all entries ever dropped;
+    ``floor`` is the latest issue time of all entries ever dropped;
     ``size`` is the length of all lines in bytes.
     """
 
@@ -89,9 +90,9 @@
 # Keys.
 
 def key_digest(workspace, caller, key):
-    """Return the digest that names a caller's key in the ledgers."""
-    named = json.dumps([workspace, caller, key]).encode()
-    raw = hashlib.sha256(named).digest()[:_KEY_BYTES]
+    """Return the digest that identifies a caller's key in the ledgers."""
+    scope = json.dumps([workspace, caller, key]).encode()
+    raw = hashlib.sha256(scope).digest()[:_KEY_BYTES]
     return base64.urlsafe_b64encode(raw).rstrip(b"=").decode()
 
 
@@ -108,12 +109,12 @@
 
 
 def copy(ledger):
-    """Return a copy to be changed; entries are shared."""
+    """Return a copy that may be changed; entries are shared."""
     return dataclasses.replace(ledger, entries=dict(ledger.entries))
 
 
 def encode(ledger, nonce):
-    """Return the stored form; ``nonce`` names the commit."""
+    """Return the stored form; ``nonce`` identifies the commit."""
     header = json.dumps({
         "format": _FORMAT, "epoch": ledger.epoch, "floor": ledger.floor,
         "commit": nonce})
@@ -126,27 +127,27 @@
     """Return the ledger stored as ``body``; raise BadLedger."""
     try:
         header, *lines = body.split(b"\n")
-        head = json.loads(header)
-        if head["format"] != _FORMAT:
-            raise BadLedger(f"format {head['format']}")
-        entries = [_entry_of(line) for line in lines]
+        header_fields = json.loads(header)
+        if header_fields["format"] != _FORMAT:
+            raise InvalidLedger(f"format {header_fields['format']}")
+        entries = [_decode_entry(line) for line in lines]
         return Ledger(
-            version=version, epoch=int(head["epoch"]),
-            floor=float(head["floor"]),
+            version=version, epoch=int(header_fields["epoch"]),
+            floor=float(header_fields["floor"]),
             entries={each.key: each for each in entries},
             size=sum(len(line) + 1 for line in lines))
     except (KeyError, TypeError, ValueError) as exc:
-        raise BadLedger(str(exc)) from exc
+        raise InvalidLedger(str(exc)) from exc
 
 
-def _entry_of(line):
+def _decode_entry(line):
     (key, digest, rid, host, incarnation, epoch, issued_at,
      outcome) = json.loads(line)
     return Entry(key, digest, rid, host, incarnation, epoch, issued_at,
                  Outcome(outcome), line)
 
 
-def _with_line(entry):
+def _encode_entry(entry):
     line = json.dumps(
         [entry.key, entry.digest, entry.rid, entry.host,
          entry.incarnation, entry.epoch, entry.issued_at,
@@ -154,59 +155,61 @@
     return dataclasses.replace(entry, line=line)
 
 
-# Judgement and changes.
+# Checks and changes.
 
-def judge(ledger, ask, max_bytes):
-    """Judge a claim; FREE means that it may be appended.
+def check(ledger, request, max_bytes):
+    """Check a request against the ledger.
 
-    HELD: the very same attempt holds the key and has not ended.
+    FREE: the claim may be appended. HELD: the same attempt holds the
+    key and has not ended.
     """
-    entry = ledger.entries.get(ask.key)
+    entry = ledger.entries.get(request.key)
     if entry is None:
-        return _judge_new(ledger, ask, max_bytes)
-    if entry.digest != ask.digest[:_DIGEST_CHARS]:
+        return _check_new(ledger, request, max_bytes)
+    if entry.digest != request.digest[:_DIGEST_CHARS]:
         return Verdict.MISMATCH
     holder = (entry.rid, entry.host, entry.incarnation)
-    same = holder == (ask.rid, ask.host, ask.incarnation)
-    if same and entry.outcome is Outcome.CLAIMED:
+    same_attempt = holder == (request.rid, request.host, request.incarnation)
+    if same_attempt and entry.outcome is Outcome.CLAIMED:
         return Verdict.HELD
     return Verdict.DUPLICATE
 
 
-def _judge_new(ledger, ask, max_bytes):
-    # Without this a key whose entry was dropped by age would look new
-    # and run a second time. Any dropped key was issued at the floor or
-    # before, whatever the clocks of callers and hosts say.
-    if ask.issued_at and ask.issued_at <= ledger.floor:
+def _check_new(ledger, request, max_bytes):
+    # Without this check, a key whose entry was dropped by age would
+    # look new and run a second time. Every dropped key was issued at the
+    # floor or before, whatever the clocks of callers and hosts.
+    if request.issued_at and request.issued_at <= ledger.floor:
         return Verdict.TOO_OLD
-    if ledger.size + _room(ask) > max_bytes:
+    if ledger.size + _estimated_entry_bytes(request) > max_bytes:
         return Verdict.FULL
     return Verdict.FREE
 
 
-def _new_entry(ledger, ask):
-    return _with_line(Entry(
-        key=ask.key, digest=ask.digest[:_DIGEST_CHARS], rid=ask.rid,
-        host=ask.host, incarnation=ask.incarnation, epoch=ledger.epoch,
-        issued_at=ask.issued_at, outcome=Outcome.CLAIMED))
+def _new_entry(ledger, request):
+    return _encode_entry(Entry(
+        key=request.key, digest=request.digest[:_DIGEST_CHARS],
+        rid=request.rid, host=request.host,
+        incarnation=request.incarnation, epoch=ledger.epoch,
+        issued_at=request.issued_at, outcome=Outcome.CLAIMED))
 
 
-def _room(ask):
-    """Bytes a new entry may take, generously."""
-    return 160 + len(ask.rid) + len(ask.host)
+def _estimated_entry_bytes(request):
+    """Return a generous estimate of a new entry's size in bytes."""
+    return 160 + len(request.rid) + len(request.host)
 
 
-def claim(ledger, ask):
-    """Append the entry of an ask that was judged FREE."""
-    entry = _new_entry(ledger, ask)
-    ledger.entries[ask.key] = entry
+def claim(ledger, request):
+    """Append the entry of a request whose verdict is FREE."""
+    entry = _new_entry(ledger, request)
+    ledger.entries[request.key] = entry
     ledger.size += len(entry.line) + 1
 
 
 def settle(ledger, key, rid, outcome):
-    """Record the outcome of the attempt ``rid``; say if that changed it.
+    """Record the outcome of attempt ``rid``; return whether it is new.
 
-    Only the holder's own attempt can be settled, and RAN is final.
+    Only the attempt that holds the key can be settled, and RAN is final.
     """
     entry = ledger.entries.get(key)
     if entry is None or entry.rid != rid:
@@ -217,14 +220,14 @@
     if outcome is Outcome.NOT_RUN:
         del ledger.entries[key]
         return True
-    settled = _with_line(dataclasses.replace(entry, outcome=outcome))
+    settled = _encode_entry(dataclasses.replace(entry, outcome=outcome))
     ledger.entries[key] = settled
     ledger.size += len(settled.line) + 1
     return True
 
 
-def age(ledger, kept_epochs):
-    """Begin the next epoch; drop what is ``kept_epochs`` behind it."""
+def advance_epoch(ledger, kept_epochs):
+    """Start the next epoch; drop entries ``kept_epochs`` behind it."""
     ledger.epoch += 1
     oldest = ledger.epoch - kept_epochs
     dropped = [each for each in ledger.entries.values()
--- a/crocuskeel/core/claims/lookups.py
+++ b/crocuskeel/core/claims/lookups.py
@@ -1,68 +1,70 @@
-"""Looks: a door asks what the ledger holds, without claiming.
+"""Lookups: an entry host asks about a key without claiming it.
 
-A cached ledger doesn't tell that a key is absent, because another owner
-may have written since. So a look is answered by a read that began after
-it came; all looks that wait share one read.
+A cached ledger does not show that a key is absent, because another owner
+may have written since. So a lookup is answered from a read that started
+after the lookup arrived. All waiting lookups share one read.
 """
 
 from crocuskeel.core.claims import answers
 from crocuskeel.core.claims import state as states
 from crocuskeel.core import effects
 
-__all__ = ["due", "fail", "read_begins", "read_done", "take"]
+__all__ = [
+    "next_read_at", "read_done", "read_started", "receive", "store_failed",
+]
 
-LOOK_EVERY_S = 0.2
+MIN_LOOKUP_READ_INTERVAL_S = 0.2
 
 
-def take(state, slot, event, now):
-    """Answer a look that needs no read, else keep it for the next."""
+def receive(state, slot, event, now):
+    """Answer a lookup without a read, or queue it for the next read."""
     msg = event.message
-    look = states.Ask(
+    lookup = states.Ask(
         rid=msg.rid, key=msg.key, digest=msg.digest, host=event.sender,
         incarnation=event.incarnation, issued_at=msg.issued_at,
         deadline=now)
-    found = answers.known(state, slot, look)
+    found = answers.answer_from_ledger(state, slot, lookup)
     if found is not None and found.status != "granted":
-        return [effects.Send(look.host, found)]
-    full = len(slot.looks) >= state.cfg.max_waiting
-    if full or now < slot.down_until:
-        return _unavailable(state, slot, look, now)
-    slot.looks[look.rid] = look
+        return [effects.Send(lookup.host, found)]
+    full = len(slot.lookups) >= state.cfg.max_pending
+    if full or now < slot.backoff_until:
+        return _unavailable(state, slot, lookup, now)
+    slot.lookups[lookup.rid] = lookup
     return []
 
 
-def _unavailable(state, slot, look, now):
-    answer = answers.unavailable(state, slot, look, now)
-    return [effects.Send(look.host, answer)]
+def _unavailable(state, slot, lookup, now):
+    answer = answers.unavailable(state, slot, lookup, now)
+    return [effects.Send(lookup.host, answer)]
 
 
-def due(slot):
-    """Return when the next read for looks may go out."""
-    return max(slot.down_until, slot.look_at)
+def next_read_at(slot):
+    """Return when the next read for lookups may start."""
+    return max(slot.backoff_until, slot.next_lookup_read)
 
 
-def read_begins(slot, now):
-    """Note the looks that the read which begins now will answer."""
-    slot.look_at = now + LOOK_EVERY_S
-    slot.looked = set(slot.looks)
+def read_started(slot, now):
+    """Record the lookups that the read starting now will answer."""
+    slot.next_lookup_read = now + MIN_LOOKUP_READ_INTERVAL_S
+    slot.lookups_in_read = set(slot.lookups)
 
 
 def read_done(state, slot, now):
-    """Answer the looks that came before the read began."""
+    """Answer the lookups that arrived before the read started."""
     out = []
-    for rid in sorted(slot.looked & slot.looks.keys()):
-        look = slot.looks.pop(rid)
-        answer = answers.looked(state, slot, look, now)
-        out.append(effects.Send(look.host, answer))
-    slot.looked = set()
+    for rid in sorted(slot.lookups_in_read & slot.lookups.keys()):
+        lookup = slot.lookups.pop(rid)
+        answer = answers.answer_lookup(state, slot, lookup, now)
+        out.append(effects.Send(lookup.host, answer))
+    slot.lookups_in_read = set()
     return out
 
 
-def fail(state, slot, now):
-    """The store is out: nothing can be said of the keys looked for."""
+def store_failed(state, slot, now):
+    """Refuse all lookups: the store is unavailable."""
     out = []
-    for look in slot.looks.values():
-        out += _unavailable(state, slot, look, now)
-    slot.looks.clear()
-    slot.looked = set()
+    for lookup in slot.lookups.values():
+        out += _unavailable(state, slot, lookup, now)
+    slot.lookups.clear()
+    slot.lookups_in_read = set()
     return out
--- a/crocuskeel/core/claims/state.py
+++ b/crocuskeel/core/claims/state.py
@@ -1,4 +1,4 @@
-"""State of the claims concern: one part for each slot in use."""
+"""State of the claims component, kept per slot in use."""
 
 import dataclasses
 import enum
@@ -9,21 +9,22 @@
 from crocuskeel.core import placement
 
 __all__ = [
-    "Ask", "ClaimsConfig", "ClaimsState", "Draft", "Phase", "Slot",
+    "Ask", "ClaimsConfig", "ClaimsState", "Commit", "Phase", "Slot",
     "new_state", "owner_of",
 ]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimsConfig:
-    """Settings; spans in seconds, sizes in bytes.
-
-    ``slots`` is fixed for the life of a deployment: with another number
-    a key would be looked up in another ledger. ``writes_s`` and
-    ``burst`` bound the commits of a slot. An entry is kept for at least
-    ``kept_epochs`` times ``epoch_s``. ``ahead_s`` is how far ahead of
-    this host's clock a key may be dated. ``settle_wait_s`` is how long
-    outcomes wait for a claim to share a commit with.
+    """Settings; durations in seconds, sizes in bytes.
+
+    ``slots`` must not change during the life of a deployment, because
+    a key would then be looked up in another ledger. ``writes_s`` and
+    ``burst`` limit the commits per second of a slot. An entry is kept
+    for at least ``kept_epochs`` times ``epoch_s``. ``max_ahead_s`` is
+    how far ahead of this host's clock a key may be dated.
+    ``settle_wait_s`` is how long outcomes wait for a claim with which
+    they can share a commit.
     """
 
     slots: int = 64
@@ -32,17 +33,17 @@
     burst: int = 3
     epoch_s: float = 60.0
     kept_epochs: int = 15
-    ahead_s: float = 60.0
+    max_ahead_s: float = 60.0
     max_bytes: int = 512 * 1024
-    max_waiting: int = 2000
+    max_pending: int = 2000
     settle_wait_s: float = 1.0
     backoff_s: float = 0.25
     backoff_max_s: float = 4.0
-    idle_s: float = 120.0
+    evict_after_s: float = 120.0
 
 
 class Phase(enum.Enum):
-    """What a slot waits for from the store."""
+    """The store operation that a slot waits for."""
 
     IDLE = "idle"
     READING = "reading"
@@ -51,10 +52,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Ask:
-    """A claim that waits to be answered.
+    """A claim or lookup that waits for its answer.
 
-    ``doubtful``: it was in a write whose outcome is not known.
-    ``given_up``: the door said that it will never run this attempt.
+    ``in_doubt``: it was part of a write whose result is unknown.
+    ``abandoned``: the entry host will never run this attempt.
     """
 
     rid: str
@@ -64,16 +65,16 @@
     incarnation: int
     issued_at: float
     deadline: float
-    doubtful: bool = False
-    given_up: bool = False
+    in_doubt: bool = False
+    abandoned: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class Draft:
-    """A commit in flight: the ledger it makes and what rests on it."""
+class Commit:
+    """A commit in flight: the new ledger and the changes in it."""
 
     ledger: ledgers.Ledger
-    base: int
+    base_version: int
     claimed: list[str] = dataclasses.field(default_factory=list)
     settled: list[tuple] = dataclasses.field(default_factory=list)
     changed: bool = False
@@ -84,39 +85,39 @@
     """One slot as this host knows it.
 
     ``ledger`` is None until read, and after a write that did not
-    succeed. ``doubt_base``: a write on this version may still land.
-    ``free_at`` is the time at which the pacing is fully paid off.
-    ``settles`` maps (key, rid) to an outcome. ``looks`` wait for a
-    read, which for ``looked`` has begun; the next may go out at
-    ``look_at``.
+    succeed. ``in_doubt_version``: a write based on this version may
+    still be applied. ``rate_full_at`` is when the rate limit allows a
+    full burst again. ``outcomes`` maps (key, rid) to an outcome that is
+    not written yet. ``lookups`` wait for a read, which has started for
+    ``lookups_in_read``; the next may start at ``next_lookup_read``.
     """
 
     number: int
     ledger: ledgers.Ledger | None = None
     phase: Phase = Phase.IDLE
     op: tuple = ()
-    draft: Draft | None = None
-    asks: dict[str, Ask] = dataclasses.field(default_factory=dict)
-    settles: dict[tuple, ledgers.Outcome] = dataclasses.field(
+    commit: Commit | None = None
+    requests: dict[str, Ask] = dataclasses.field(default_factory=dict)
+    outcomes: dict[tuple, ledgers.Outcome] = dataclasses.field(
         default_factory=dict)
-    settle_at: float = 0.0
-    looks: dict[str, Ask] = dataclasses.field(default_factory=dict)
-    looked: set[str] = dataclasses.field(default_factory=set)
-    look_at: float = 0.0
-    doubt_base: int | None = None
-    down_until: float = 0.0
+    outcomes_due: float = 0.0
+    lookups: dict[str, Ask] = dataclasses.field(default_factory=dict)
+    lookups_in_read: set[str] = dataclasses.field(default_factory=set)
+    next_lookup_read: float = 0.0
+    in_doubt_version: int | None = None
+    backoff_until: float = 0.0
     backoff_s: float = 0.0
-    free_at: float = 0.0
+    rate_full_at: float = 0.0
     seen_epoch: int = -1
-    seen_at: float = 0.0
+    epoch_seen_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class ClaimsState:
-    """All slots in use here; changed in place by the reducer.
+    """All slots in use on this host; changed in place by the reducer.
 
-    ``wall`` turns the runtime's time into Unix seconds. It serves only
-    to refuse; nothing is ever run because of it.
+    ``wall`` converts the runtime's time to Unix seconds. It is only
+    used to refuse requests, never to run one.
     """
 
     host: str
@@ -136,9 +137,9 @@
 
 
 def owner_of(slot, hosts):
-    """Return the live host that a door should ask for ``slot``.
+    """Return the live host that entry hosts should ask for ``slot``.
 
-    A matter of efficiency: any host may serve any slot, and two that
-    serve one slot only refuse each other's commits.
+    This only matters for efficiency: any host may serve any slot, and
+    two hosts that serve the same slot only conflict in their commits.
     """
     return placement.owner(f"claims/{slot}", hosts)
--- a/tests/claims/test_faults.py
+++ b/tests/claims/test_faults.py
@@ -1,4 +1,4 @@
-"""Claims: each fault of the store, the owners and the doors by name."""
+"""Faults of the store, the owners and the entry hosts, one per test."""
 
 import unittest
 
@@ -13,19 +13,19 @@
 
 
 class ClaimFaultTest(unittest.TestCase):
-    """Stories of faults; a world is calm unless a test breaks it."""
+    """Scenarios of faults; nothing fails unless a test makes it fail."""
 
     def setUp(self):
         self.world = worlds.World(epoch_s=10.0, kept_epochs=2)
 
     def answered(self, key, **kwargs):
-        """Ask for ``key`` in a calm world; return its last answer."""
+        """Claim ``key`` without faults; return the last answer."""
         attempt = self.world.ask(key, **kwargs)
         self.world.calm(2.0)
         return attempt.answers[-1]
 
     def put_in_flight(self, key, mode):
-        """Ask owner 0; its write meets ``mode``."""
+        """Claim ``key`` at owner 0; answer its write with ``mode``."""
         attempt = self.world.ask(key)
         self.world.answer("well")
         self.world.answer(mode)
@@ -48,27 +48,28 @@
         self.assertEqual("ran", ran.outcome)
 
     def test_paused_owner_is_fenced(self):
-        """A canoe is booked twice after a pause.
+        """An owner that resumes after a pause must not grant a claim.
 
-        Owner 0 has read the ledger and is paused; the resend is granted
-        by owner 1; owner 0 wakes and commits on what it had read.
+        Owner 0 has read the ledger and is paused. The resend is granted
+        by owner 1. Owner 0 resumes and commits on the version it had
+        read; a success would run the booking twice.
         """
         self.world.ask("other")
         self.world.calm(1.0)
         self.world.pause(0, True)
         late = self.world.ask("k")
         resent = self.world.ask("k", at=1)
-        while self.world.ops:
+        while self.world.calls:
             self.world.answer("well")
         self.assertEqual(["granted"], statuses(resent))
         self.world.calm()
         self.assertEqual(["duplicate"], statuses(late))
 
     def test_lost_answer_is_settled_by_reading(self):
-        """A confirmation is refused though its claim was recorded.
+        """A recorded claim must be granted if the answer is lost.
 
-        The write lands, its answer is lost. A refusal now would leave
-        the key held by an attempt that nobody runs.
+        The write is applied and its answer is lost. A refusal would
+        leave the key held by an attempt that never runs.
         """
         attempt = self.put_in_flight("k", "lost")
         self.assertEqual([], statuses(attempt))
@@ -76,11 +77,13 @@
         self.assertEqual(["granted"], statuses(attempt))
 
     def test_given_up_in_doubt_frees_the_key(self):
-        """A booking told ``not_run`` can never be made again.
+        """A claim abandoned while in doubt must free its key.
 
-        The door gives up while its claim's write is in doubt; a read
-        shows the old version, and the write lands after that read. The
-        key stays held by an attempt that its door has forgotten.
+        The entry host abandons the claim while its write is in doubt. A
+        read shows the old version, and the write is applied after that
+        read. Otherwise the key would stay held by an attempt that its
+        entry host no longer knows, and could never run although its
+        caller was told ``not_run``.
         """
         attempt = self.put_in_flight("k", "late")
         self.world.give_up(attempt, 0)
@@ -91,16 +94,16 @@
         self.assertEqual("granted", self.answered("k").status)
 
     def test_expired_ask_is_not_settled(self):
-        """A canoe is booked twice.
+        """A claim that expires at one owner must not free its key.
 
-        Owner 0 loses the answer to a claim; the door asks owner 1, is
-        granted and runs. At the deadline owner 0 takes the claim for
-        given up and frees the key, so that a resend runs as well.
+        Owner 0 loses the answer to a claim. The entry host asks owner 1,
+        is granted and runs the request. If owner 0 freed the key at the
+        deadline, a resend would run as well.
         """
         attempt = self.put_in_flight("k", "late")
         self.world.pause(0, True)
         self.world.send_ask(attempt, 1)
-        while self.world.ops:
+        while self.world.calls:
             self.world.answer("well")
         self.assertEqual("started", attempt.state)
         self.world.advance(6.0)
@@ -108,10 +111,10 @@
         self.assertEqual("duplicate", self.answered("k").status)
 
     def test_dropped_key_is_refused(self):
-        """A canoe is booked twice, half an hour apart.
+        """A resend of a key dropped by age must be refused.
 
-        The entry of the first booking is dropped by age, and a resend
-        of the same key looks new.
+        After its entry is dropped the key would look new, and the
+        request would run again half an hour later.
         """
         first = self.world.ask("k", issued_at=100.0)
         self.world.calm(1.0)
@@ -126,10 +129,11 @@
             "granted", self.answered("new", issued_at=300.0).status)
 
     def test_no_entry_is_dropped_early(self):
-        """A resend within the kept span runs again.
+        """An entry must be kept for the whole retention time.
 
-        Owners that restart or take over each begin a new epoch at once,
-        and the entry is dropped seconds after it was made.
+        If each owner that restarts or takes over started a new epoch
+        immediately, an entry would be dropped seconds after it was
+        made, and a resend would run again.
         """
         self.answered("k")
         for at in range(8):
@@ -142,9 +146,10 @@
         return self.world.owners[0].state.slots[0].ledger.entries
 
     def test_outage_refuses_at_once(self):
-        """Callers wait out their deadlines while the store is down.
+        """During a store outage claims must be refused at once.
 
-        Each claim asks the store anew and waits for its bound.
+        If each claim called the store and waited for its timeout,
+        callers would wait until their deadlines.
         """
         first = self.world.ask("k")
         self.world.answer("out")
@@ -152,81 +157,89 @@
         for attempt in [first, *later]:
             self.assertEqual(["unavailable"], statuses(attempt))
             self.assertGreater(attempt.answers[0].retry_after_s, 0.0)
-        self.assertEqual([], self.world.ops)
+        self.assertEqual([], self.world.calls)
         self.world.advance(1.0)
         self.assertEqual("granted", self.answered("k").status)
 
     def test_look_is_not_answered_from_the_cache(self):
-        """A clerk books by hand what was booked already.
+        """A lookup must not be answered from a cached ledger.
 
         Owner 0 has read the ledger; the key is claimed and run through
-        owner 1. The refused resend's look comes to owner 0, whose cache
-        knows nothing of it.
+        owner 1. The lookup for a refused resend reaches owner 0, whose
+        cache lacks the key. Told "absent", the caller would book again
+        by hand.
         """
         self.answered("other")
         first = self.world.ask("k", at=1)
         self.world.calm(1.0)
-        look = self.world.look("k")
-        self.assertEqual([], statuses(look))
+        lookup = self.world.lookup("k")
+        self.assertEqual([], statuses(lookup))
         self.world.calm(1.0)
         self.assertEqual(["granted"], statuses(first))
-        self.assertEqual(["duplicate"], statuses(look))
-        self.assertEqual("r1", look.answers[0].holder_rid)
+        self.assertEqual(["duplicate"], statuses(lookup))
+        self.assertEqual("r1", lookup.answers[0].holder_rid)
 
     def test_look_waits_for_a_read_of_its_own(self):
-        """As above: the read under way when the look came is older."""
+        """A read in progress when a lookup arrives must not answer it."""
         self.world.ask("other")
-        look = self.world.look("k")
-        later = self.world.look("k", digest="e")
+        lookup = self.world.lookup("k")
+        later = self.world.lookup("k", digest="e")
         self.world.answer("well")
-        self.assertEqual([], statuses(look) + statuses(later))
+        self.assertEqual([], statuses(lookup) + statuses(later))
         self.world.calm(1.0)
-        self.assertEqual(["absent"] * 2, statuses(look) + statuses(later))
+        self.assertEqual(["absent"] * 2, statuses(lookup) + statuses(later))
 
-    def test_look_claims_nothing(self):
-        """A refused booking can't be made: its look took the key."""
-        look = self.world.look("k")
+    def test_lookup_claims_nothing(self):
+        """A lookup must not claim the key, or its request could not run."""
+        lookup = self.world.lookup("k")
         self.world.calm(1.0)
-        self.assertEqual(["absent"], statuses(look))
+        self.assertEqual(["absent"], statuses(lookup))
         self.assertEqual(0, self.world.version)
         self.assertEqual("granted", self.answered("k").status)
 
     def test_look_in_an_outage(self):
-        """With the store out, an absent key is taken for a free one.
+        """In a store outage a lookup must not report an absent key.
 
-        Another owner may reach the store. What is known to be held is
-        told all the same.
+        Another owner may reach the store and claim it. A key that is
+        known to be held is still reported.
         """
         self.answered("k")
         self.world.advance(1.0)
-        free = self.world.look("new")
+        free = self.world.lookup("new")
         self.world.answer("out")
-        looks = [free, self.world.look("new"), self.world.look("k")]
+        lookups = [free, self.world.lookup("new"), self.world.lookup("k")]
         self.assertEqual(
             [["unavailable"], ["unavailable"], ["duplicate"]],
-            [statuses(each) for each in looks])
-        self.assertEqual([], self.world.ops)
+            [statuses(each) for each in lookups])
+        self.assertEqual([], self.world.calls)
 
     def test_look_while_a_claim_is_in_doubt(self):
-        """``not_run`` is said of a key that another door starts next."""
+        """A key with a claim in doubt must not be reported as absent.
+
+        Otherwise a caller is told ``not_run`` and another entry host
+        then starts the request.
+        """
         self.put_in_flight("k", "late")
-        look = self.world.look("k")
+        lookup = self.world.lookup("k")
         for mode in ("well", "late", "well"):
             self.world.answer(mode)
-        self.assertEqual(["unavailable"], statuses(look))
+        self.assertEqual(["unavailable"], statuses(lookup))
+
+    def test_lookups_share_reads(self):
+        """Lookups must share reads.
 
-    def test_looks_share_reads(self):
-        """In an overload each refusal costs the store a call."""
+        Otherwise each refusal in an overload costs a store call.
+        """
         for at in range(200):
-            self.world.look(f"k{at}")
+            self.world.lookup(f"k{at}")
             self.world.calm(0.1)
         reads = self.world.owners[0].state.seq
         self.assertTrue(50 < reads <= 105, reads)
 
-    def test_same_commit_answers_wait_for_it(self):
-        """A resend is told of a holder that never was.
+    def test_answers_wait_for_their_commit(self):
+        """A resend must not be told of a holder before the commit.
 
-        Both asks meet in one commit, which the store refuses.
+        Both requests are in one commit, which the store refuses.
         """
         first = self.world.ask("k")
         second = self.world.ask("k")
@@ -237,7 +250,7 @@
             [["unavailable"]] * 2, [statuses(first), statuses(second)])
 
     def test_late_not_run_does_not_free_what_ran(self):
-        """A canoe is booked twice: a delayed outcome frees its key."""
+        """A delayed ``not_run`` must not free a key whose request ran."""
         first = self.world.ask("k")
         self.world.calm(1.0)
         self.world.end(first, True, 0)
@@ -247,10 +260,12 @@
         self.assertEqual("duplicate", self.answered("k", at=1).status)
 
     def test_overtaken_ask_is_not_claimed(self):
-        """A booking told ``not_run`` can never be made again.
+        """A claim that arrives after its outcome must be ignored.
 
-        The door gives up; its outcome overtakes its ask on a new
-        connection, and the claim is made for nobody.
+        The entry host abandons the claim, and on a new connection the
+        outcome overtakes the claim. Granting it would hold the key for
+        an attempt that never runs, though its caller was told
+        ``not_run``.
         """
         attempt = worlds.Attempt("r0", "k", state="over")
         self.world.attempts["r0"] = attempt
@@ -260,9 +275,10 @@
         self.assertEqual("granted", self.answered("k").status)
 
     def test_two_owners_both_get_on(self):
-        """Half of the doors are refused while two hosts own a slot.
+        """Two hosts that own one slot must both make progress.
 
-        The owners commit in step, and one loses every time.
+        If they commit in lockstep, one loses every time, and half of
+        the entry hosts are refused.
         """
         asked = []
         for at in range(100):
@@ -292,14 +308,17 @@
         self.world.restart(0)
         self.assertEqual("unavailable", self.answered("k2").status)
 
-    def test_key_dated_ahead_is_refused(self):
-        """One wrong clock makes all callers' keys too old."""
+    def test_key_dated_in_the_future_is_refused(self):
+        """A key dated in the future must be refused.
+
+        One wrong clock would otherwise make all callers' keys too old.
+        """
         self.world.owners[0].state.wall = lambda now: 1000.0 + now
         ahead = self.answered("k", issued_at=5000.0)
         self.assertEqual("too_new", ahead.status)
 
-    def test_commits_keep_their_pace(self):
-        """A busy slot writes 3 times a second; a quiet one at once."""
+    def test_commits_are_rate_limited(self):
+        """A busy slot writes 3 times per second; an idle one at once."""
         quiet = self.put_in_flight("k", "well")
         self.assertEqual(["granted"], statuses(quiet))
         versions = self.world.version
@@ -314,7 +333,7 @@
 class KeyTest(unittest.TestCase):
     """Keys and slots."""
 
-    def test_keys_of_callers_are_apart(self):
+    def test_keys_of_different_callers_differ(self):
         named = {claims.key_digest(*each) for each in (
             ("w", "a", "k"), ("w", "b", "k"), ("v", "a", "k"),
             ("wa", "", "k"))}
@@ -322,10 +341,10 @@
         slots = {claims.slot_of(str(at), 64) for at in range(2000)}
         self.assertEqual(set(range(64)), slots)
 
-    def test_put_names_the_version_it_rests_on(self):
+    def test_put_is_conditional_on_the_version_read(self):
         world = worlds.World()
         world.ask("k")
         world.answer("well")
-        (_, put), = world.ops
+        (_, put), = world.calls
         self.assertEqual(0, put.version)
         self.assertIsInstance(put, effects.StorePut)
--- a/tests/claims/test_properties.py
+++ b/tests/claims/test_properties.py
@@ -1,4 +1,4 @@
-"""Claims under any order of faults: at most once, and truthful."""
+"""Property tests of claims under any order of faults."""
 
 import unittest
 
@@ -27,16 +27,16 @@
 )
 
 
-def take(world, step, issue_times):
-    """Take one step in ``world``."""
+def run_step(world, step, issue_times):
+    """Run one step in ``world``."""
     name, *args = step
     attempts = list(world.attempts.values())
     if name == "ask":
         world.ask(f"k{args[0]}", args[1],
                   issued_at=issue_times[args[0]])
     elif name == "look":
-        world.look(f"k{args[0]}", args[1],
-                   issued_at=issue_times[args[0]])
+        world.lookup(f"k{args[0]}", args[1],
+                     issued_at=issue_times[args[0]])
     elif name in ("answer", "land", "pause", "restart", "advance"):
         getattr(world, name)(*args)
     elif attempts:
@@ -50,7 +50,7 @@
 
 
 class AtMostOnceTest(unittest.TestCase):
-    """The invariants of models/claims.pml, on the reducer itself."""
+    """Checks the invariants of models/claims.pml on the reducer."""
 
     @hypothesis.settings(
         derandomize=True, deadline=None, database=None,
@@ -59,17 +59,18 @@
         st.lists(STEP, min_size=20, max_size=60),
         st.lists(st.floats(1.0, 50.0), min_size=KEYS, max_size=KEYS))
     def test_any_order_of_faults(self, steps, issue_times):
-        """A canoe is booked twice.
+        """A key must run at most once under any order of faults.
 
-        Doors resend one key through two owners of its slot; owners
-        pause, restart and lose answers, writes land late, entries are
-        dropped by age. Cause: a grant that rests on no recorded claim,
-        or a key that is freed or forgotten while its attempt may run.
+        Entry hosts resend one key through two owners of its slot; owners
+        pause, restart and lose answers; writes are applied late; entries
+        are dropped by age. A key runs twice if a claim is granted
+        without being recorded, or if a key is freed or dropped while its
+        attempt may run.
         """
         world = worlds.World(
             epoch_s=0.5, kept_epochs=1, writes_s=10.0)
         for step in steps:
-            take(world, step, issue_times)
+            run_step(world, step, issue_times)
             self.check(world)
         world.calm()
         for attempt in world.attempts.values():
@@ -78,7 +79,7 @@
         self.check_answered(world)
 
     def check(self, world):
-        """A key runs at most once; ``over`` attempts never run."""
+        """Check that a key runs at most once; ``over`` attempts never run."""
         started = [
             each for each in world.attempts.values()
             if each.state in ("started", "ran")]
@@ -86,9 +87,9 @@
         self.assertEqual(len(set(keys)), len(keys), started)
 
     def check_answered(self, world):
-        """Once all is well nothing is left pending."""
+        """Check that nothing is pending after a time without faults."""
         for owner in world.owners:
             for slot in owner.state.slots.values():
-                self.assertEqual({}, slot.asks)
-                self.assertEqual({}, slot.looks)
-                self.assertIsNone(slot.doubt_base)
+                self.assertEqual({}, slot.requests)
+                self.assertEqual({}, slot.lookups)
+                self.assertIsNone(slot.in_doubt_version)
--- a/tests/claims/world.py
+++ b/tests/claims/world.py
@@ -1,8 +1,8 @@
-"""A small world for the claims reducer: one slot, two owners, one store.
+"""Simulates the claims reducer with one slot, two owners and one store.
 
-The store loses answers, lets writes land late and has outages; owners
-pause and restart; doors re-ask, give up and resend. All is driven by
-the caller's choices, on a clock that only the caller advances.
+The store loses answers, applies writes late and has outages. Owners
+pause and restart. Entry hosts repeat claims, abandon them and resend.
+The test chooses each step, and only the test advances the clock.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 from crocuskeel.core import events
 from crocuskeel.core import messages
 
-DOOR = "door"
+ENTRY_HOST = "door"
 STATUS = events.StoreStatus
 
 
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """One request at its door; it starts at most once when granted."""
+    """A request at its entry host; a grant starts it at most once."""
 
     rid: str
     key: str
@@ -41,8 +41,8 @@
 
 
 @dataclasses.dataclass
-class Look:
-    """A look for a key; ``begun`` had started when it was sent."""
+class Lookup:
+    """A lookup of a key; ``begun`` had started when it was sent."""
 
     rid: str
     key: str
@@ -51,7 +51,7 @@
 
 
 class World:
-    """Owners, store and doors; ``ops`` are calls not yet answered."""
+    """Owners, store and entry hosts; ``calls`` are not yet answered."""
 
     def __init__(self, **kwargs):
         kwargs.setdefault("slots", 1)
@@ -60,65 +60,65 @@
         self.version = 0
         self.body = b""
         self.conditional = True
-        self.ops = []
-        self.late = []
+        self.calls = []
+        self.late_calls = []
         self.runs = {}
         self.recorded = set()
         self.attempts = {}
-        self.looks = {}
+        self.lookups = {}
         self.owners = [self._new_owner(0, 1), self._new_owner(1, 1)]
 
     def _new_owner(self, at, incarnation):
         return Owner(claims.new_state(
             f"h{at}", incarnation, random.Random(at), self.cfg))
 
-    # Doors.
+    # Entry hosts.
 
     def ask(self, key, at=0, **kwargs):
-        """Let a door ask owner ``at`` to claim ``key``."""
+        """Ask owner ``at`` to claim ``key``; return the attempt."""
         attempt = Attempt(f"r{len(self.attempts)}", key, **kwargs)
         self.attempts[attempt.rid] = attempt
         self.send_ask(attempt, at)
         return attempt
 
     def send_ask(self, attempt, at, deadline_s=5.0):
-        """Deliver an ask, perhaps once more or to another owner."""
-        self.deliver(at, events.Received(DOOR, 1, messages.ClaimAsk(
+        """Deliver a claim request, perhaps again or to another owner."""
+        self.deliver(at, events.Received(ENTRY_HOST, 1, messages.ClaimAsk(
             attempt.rid, 0, attempt.key, attempt.digest, deadline_s,
             attempt.issued_at)))
 
-    def look(self, key, at=0, digest="d", issued_at=0.0):
-        """Let a door look for ``key`` at owner ``at``."""
+    def lookup(self, key, at=0, digest="d", issued_at=0.0):
+        """Look up ``key`` at owner ``at``; return the lookup."""
         begun = [each for each in self.attempts.values()
                  if each.key == key and each.state in ("started", "ran")]
-        look = Look(f"l{len(self.looks)}", key, begun)
-        self.looks[look.rid] = look
-        self.deliver(at, events.Received(DOOR, 1, messages.ClaimAsk(
-            look.rid, 0, key, digest, 0.0, issued_at, look=True)))
-        return look
-
-    def _look_answered(self, answer):
-        look = self.looks[answer.rid]
-        look.answers.append(answer)
+        lookup = Lookup(f"l{len(self.lookups)}", key, begun)
+        self.lookups[lookup.rid] = lookup
+        self.deliver(at, events.Received(ENTRY_HOST, 1, messages.ClaimAsk(
+            lookup.rid, 0, key, digest, 0.0, issued_at, look=True)))
+        return lookup
+
+    def _lookup_answered(self, answer):
+        lookup = self.lookups[answer.rid]
+        lookup.answers.append(answer)
         if answer.status == "granted":
-            raise AssertionError("a look was granted")
-        held = [each for each in look.begun if each.state != "over"]
+            raise AssertionError("a lookup was granted")
+        held = [each for each in lookup.begun if each.state != "over"]
         if answer.status == "absent" and held:
             raise AssertionError(f"absent, but held by {held}")
 
     def settle(self, attempt, outcome, at):
-        """Let the door report an outcome to one owner."""
-        self.deliver(at, events.Received(DOOR, 1, messages.ClaimSettle(
+        """Report an outcome to an owner."""
+        self.deliver(at, events.Received(ENTRY_HOST, 1, messages.ClaimSettle(
             attempt.rid, 0, attempt.key, outcome)))
 
     def give_up(self, attempt, at):
-        """The door answers its caller ``not_run`` unless it started."""
+        """Answer the caller ``not_run`` unless the attempt started."""
         if attempt.state in ("asked", "over"):
             attempt.state = "over"
             self.settle(attempt, "not_run", at)
 
     def end(self, attempt, ran, at):
-        """A started attempt ends; ``ran`` False: refused unrun."""
+        """End a started attempt; ``ran`` is False if it was refused."""
         if attempt.state != "started":
             return
         attempt.state = "ran" if ran else "over"
@@ -127,8 +127,8 @@
         self.settle(attempt, "ran" if ran else "not_run", at)
 
     def _answered(self, answer):
-        if answer.rid in self.looks:
-            self._look_answered(answer)
+        if answer.rid in self.lookups:
+            self._lookup_answered(answer)
             return
         attempt = self.attempts[answer.rid]
         attempt.answers.append(answer)
@@ -142,39 +142,39 @@
     # Owners.
 
     def deliver(self, at, event):
-        """Hand an event to an owner, later if it is paused."""
+        """Deliver an event to an owner, or queue it if it is paused."""
         owner = self.owners[at]
         if owner.paused:
             owner.inbox.append(event)
             return
         for effect in claims.handle(owner.state, event, self.now):
-            self._take(at, owner, effect)
+            self._apply_effect(at, owner, effect)
 
-    def _take(self, at, owner, effect):
+    def _apply_effect(self, at, owner, effect):
         match effect:
             case effects.Send(message=answer):
                 self._answered(answer)
             case effects.SetTimer(key=key, after_s=after_s):
                 owner.timers[key] = self.now + after_s
             case effects.StoreGet() | effects.StorePut():
-                self.ops.append((at, effect))
+                self.calls.append((at, effect))
 
     def pause(self, at, paused):
-        """Stop an owner, or wake it to all that it missed."""
+        """Pause an owner, or resume it and deliver its queued events."""
         owner = self.owners[at]
         owner.paused = paused
         while owner.inbox and not owner.paused:
             self.deliver(at, owner.inbox.pop(0))
 
     def restart(self, at):
-        """Replace an owner by one that remembers nothing."""
-        self.late.extend(op for op in self.ops if op[0] == at)
-        self.ops = [op for op in self.ops if op[0] != at]
+        """Replace an owner by one with no state."""
+        self.late_calls.extend(op for op in self.calls if op[0] == at)
+        self.calls = [op for op in self.calls if op[0] != at]
         incarnation = self.owners[at].state.incarnation + 1
         self.owners[at] = self._new_owner(at, incarnation)
 
     def advance(self, span_s):
-        """Advance the clock, then fire what is due."""
+        """Advance the clock, then fire due timers."""
         self.now += span_s
         for at, owner in enumerate(self.owners):
             due = [key for key, when in owner.timers.items()
@@ -186,20 +186,20 @@
     # The store.
 
     def _apply(self, put):
-        fits = put.version == self.version or not self.conditional
-        if fits:
+        applies = put.version == self.version or not self.conditional
+        if applies:
             self.version += 1
             self.body = put.body
             stored = ledgers.decode(self.version, put.body)
             self.recorded.update(
                 each.rid for each in stored.entries.values())
-        return fits
+        return applies
 
     def answer(self, mode, pick=0):
-        """Answer a waiting call: well, out, lost, late or dropped."""
-        if not self.ops:
+        """Answer a pending call: well, out, lost, late or dropped."""
+        if not self.calls:
             return
-        at, op = self.ops.pop(pick % len(self.ops))
+        at, op = self.calls.pop(pick % len(self.calls))
         status, version, body = STATUS.UNAVAILABLE, 0, b""
         if mode != "out" and isinstance(op, effects.StorePut):
             status = self._answer_put(mode, at, op)
@@ -212,26 +212,26 @@
 
     def _answer_put(self, mode, at, put):
         if mode == "late":
-            self.late.append((at, put))
+            self.late_calls.append((at, put))
         if mode in ("late", "dropped"):
             return STATUS.UNKNOWN
-        fits = self._apply(put)
+        applies = self._apply(put)
         if mode == "lost":
             return STATUS.UNKNOWN
-        return STATUS.WRITTEN if fits else STATUS.CONFLICT
+        return STATUS.WRITTEN if applies else STATUS.CONFLICT
 
     def land(self, pick=0):
-        """Let a write whose answer was given up on take effect."""
-        if self.late:
-            _, op = self.late.pop(pick % len(self.late))
+        """Apply a write whose owner no longer waits for its answer."""
+        if self.late_calls:
+            _, op = self.late_calls.pop(pick % len(self.late_calls))
             if isinstance(op, effects.StorePut):
                 self._apply(op)
 
     def calm(self, span_s=10.0):
-        """All is well for a while: every call is answered at once."""
+        """Answer every call at once for some time, without faults."""
         for at in range(len(self.owners)):
             self.pause(at, False)
         for _ in range(int(span_s / 0.1)):
-            while self.ops:
+            while self.calls:
                 self.answer("well")
             self.advance(0.1)
