--- a/crocuskeel/control/__init__.py
+++ b/crocuskeel/control/__init__.py
@@ -1,1 +1,1 @@
-"""Runtime of the control daemon: platform, engines, clock, records."""
+"""Runtime of the control daemon: calls, clock and timeline events."""
--- a/crocuskeel/control/assembly.py
+++ b/crocuskeel/control/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the control daemon's runtime together."""
+"""Creates the runtime of the control daemon."""
 
 import random
 import secrets
@@ -13,13 +13,13 @@
 __all__ = ["new_http", "new_runtime"]
 
 _SEED_BITS = 128
-_CONNECT_S = 1.0
+_CONNECT_TIMEOUT_S = 1.0
 
 
-def new_runtime(reactor, now, wall, cfg, on_exit):
+def new_runtime(reactor, now, wall_clock, cfg, on_exit):
     """Return a runtime that is not started; see ``context.Context``."""
-    # Two processes with one seed would make the same nonces, and each
-    # would take the other's lease for its own.
+    # Two processes with the same seed would generate the same nonces, and
+    # each would mistake the other's lease for its own.
     rng = random.Random(secrets.randbits(_SEED_BITS))
     client = objectapi.new_client(
         reactor,
@@ -27,14 +27,14 @@
         objectapi.new_treq_send(reactor), rng)
     state = control.new_state(cfg.cfg, rng, now())
     return context.new_context(
-        reactor, now, wall, state, client, new_http(reactor), on_exit)
+        reactor, now, wall_clock, state, client, new_http(reactor), on_exit)
 
 
 def new_http(reactor):
-    """Return a client that makes a new connection for each call.
+    """Return an HTTP client that opens a new connection for each call.
 
-    A kept connection can go silent for good while new ones work; these
-    calls are few, and an order must not wait on a dead one.
+    A persistent connection can hang forever while new ones work. These
+    calls are few, and an order must not wait on a dead connection.
     """
-    agent = web_client.Agent(reactor, connectTimeout=_CONNECT_S)
+    agent = web_client.Agent(reactor, connectTimeout=_CONNECT_TIMEOUT_S)
     return treq.client.HTTPClient(agent)
--- a/crocuskeel/control/context.py
+++ b/crocuskeel/control/context.py
@@ -14,16 +14,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """What the runtime holds.
+    """The state of the runtime.
 
-    ``now()`` returns monotonic seconds, ``wall()`` Unix seconds;
-    ``http`` is a treq client without a connection pool. ``common`` is
-    the digest and value of the settings part that was read last.
+    ``now()`` returns monotonic seconds, ``wall_clock()`` Unix seconds;
+    ``platform`` is an Object API client, ``http`` a treq client without
+    a connection pool. ``cached_common`` is the digest and the value of
+    the common settings part that was read last.
     """
 
     reactor: typing.Any
     now: typing.Callable[[], float]
-    wall: typing.Callable[[], float]
+    wall_clock: typing.Callable[[], float]
     state: typing.Any
     platform: typing.Any
     http: typing.Any
@@ -33,28 +34,28 @@
     queue: collections.deque
     reducing: bool = False
     stopped: bool = False
-    common: tuple[str, typing.Any] = ("", None)
+    cached_common: tuple[str, typing.Any] = ("", None)
 
 
-def new_context(reactor, now, wall, state, platform, http, on_exit):
+def new_context(reactor, now, wall_clock, state, platform, http, on_exit):
     """Return a runtime that is not started.
 
-    The incarnation is the time of the start in milliseconds.
+    Its incarnation is the time of the start in milliseconds.
     """
     return Context(
-        reactor=reactor, now=now, wall=wall, state=state,
+        reactor=reactor, now=now, wall_clock=wall_clock, state=state,
         platform=platform, http=http, on_exit=on_exit,
-        incarnation=int(wall() * 1000), clock=hlc.new_clock(),
+        incarnation=int(wall_clock() * 1000), clock=hlc.new_clock(),
         queue=collections.deque())
 
 
 def record(ctx, effect):
-    """Write an event of the time line, a JSON line."""
-    wall = ctx.wall()
-    when = ctx.clock.tick(wall * 1000)
+    """Write a timeline event as a line of JSON."""
+    unix_s = ctx.wall_clock()
+    timestamp = ctx.clock.tick(unix_s * 1000)
     event = {
-        "ts": round(wall, 6),
-        "hlc": [when.ms, when.count],
+        "ts": round(unix_s, 6),
+        "hlc": [timestamp.ms, timestamp.count],
         "host": ctx.state.cfg.host,
         "incarnation": ctx.incarnation,
         "generation": ctx.state.generation,
--- a/crocuskeel/control/engine_calls.py
+++ b/crocuskeel/control/engine_calls.py
@@ -1,4 +1,4 @@
-"""Carries out the calls to engines: their state, and orders."""
+"""HTTP calls to engines: reading their state and sending orders."""
 
 import json
 
@@ -13,11 +13,11 @@
 
 __all__ = ["CheckedBody", "read_engine", "send_order"]
 
-READ_S = 2.0
-MAX_REPORT_BYTES = 256 * 1024
-_DONE = 200
-_CONFLICT = 409
-_STALE = "stale_fence"
+READ_TIMEOUT_S = 2.0
+MAX_RESPONSE_BYTES = 256 * 1024
+_HTTP_OK = 200
+_HTTP_CONFLICT = 409
+_STALE_FENCE = "stale_fence"
 _READY = "ready"
 _JSON = {"Content-Type": "application/json"}
 Outcome = events.Outcome
@@ -25,53 +25,53 @@
 
 @implementer(iweb.IBodyProducer)
 class CheckedBody:
-    """The body of an order, written only if ``check()`` still allows.
+    """An order's request body, written only if ``check()`` returns true.
 
-    Making the connection takes time in which the process may be paused
-    and the lease pass to another host. The check stands right before
-    the write; without its body the engine takes the request for broken
-    off and does nothing.
+    While the connection is made the process may be paused and the lease
+    pass to another host, so the check runs right before the write.
+    Without a body the engine sees an aborted request and ignores it.
     """
 
     def __init__(self, data, check):
-        """Take the bytes to send and the check before it."""
+        """Take the bytes to send and the check to run before."""
         self.data = data
         self.length = len(data)
         self.check = check
         self.written = False
 
     def startProducing(self, consumer):
-        """Check, then write all at once."""
+        """Run the check, then write the whole body."""
         if not self.check():
-            return defer.fail(exceptions.LeaseNotFresh())
+            return defer.fail(exceptions.OrderNotPermitted())
         self.written = True
         consumer.write(self.data)
         return defer.succeed(None)
 
     def pauseProducing(self):
-        """Do nothing: all is written at once."""
+        """Do nothing; the body is written in one piece."""
 
     def resumeProducing(self):
-        """Do nothing: all is written at once."""
+        """Do nothing; the body is written in one piece."""
 
     def stopProducing(self):
-        """Do nothing: all is written at once."""
+        """Do nothing; the body is written in one piece."""
 
 
 async def read_engine(ctx, effect):
-    """Read an engine's state, within a bounded time."""
-    fut = defer.Deferred.fromCoroutine(
-        _exchange(ctx, "GET", effect.url + "/state"))
-    fut.addTimeout(READ_S, ctx.reactor)
+    """Read an engine's state within ``READ_TIMEOUT_S``."""
+    deferred = defer.Deferred.fromCoroutine(
+        _request(ctx, "GET", effect.url + "/state"))
+    deferred.addTimeout(READ_TIMEOUT_S, ctx.reactor)
     try:
-        _, body = await fut
-        return _seen(effect.engine, json.loads(body))
+        _, body = await deferred
+        return _parse_state(effect.engine, json.loads(body))
     except Exception:
-        # Any fault of another process: it is not well, no more.
+        # Whatever is wrong with the engine's answer means only that the
+        # engine is not healthy.
         return events.EngineSeen(effect.engine, False)
 
 
-def _seen(name, report):
+def _parse_state(name, report):
     models = tuple(
         (model, str(each["version"]), each["status"] == _READY)
         for model, each in report["models"].items())
@@ -82,17 +82,17 @@
 
 
 async def send_order(ctx, effect):
-    """Send an order once, and give it up after its span."""
+    """Send an order once; abort the call after ``span_s`` seconds."""
     order = effect.order
-    data = json.dumps(_document(order)).encode()
+    data = json.dumps(_order_document(order)).encode()
     body = CheckedBody(data, lambda: control.may_send(
         ctx.state, order, ctx.now()))
-    fut = defer.Deferred.fromCoroutine(
-        _exchange(ctx, "POST", effect.url + "/orders", body))
-    fut.addTimeout(effect.span_s, ctx.reactor)
+    deferred = defer.Deferred.fromCoroutine(
+        _request(ctx, "POST", effect.url + "/orders", body))
+    deferred.addTimeout(effect.span_s, ctx.reactor)
     try:
-        status, answer = await fut
-        outcome, detail = _judge(status, answer)
+        status, response_body = await deferred
+        outcome, detail = _classify_response(status, response_body)
     except Exception as exc:
         outcome = Outcome.UNKNOWN if body.written else Outcome.NOT_SENT
         detail = type(exc).__name__
@@ -100,7 +100,7 @@
         order.order_id, order.engine, outcome, detail)
 
 
-def _document(order):
+def _order_document(order):
     item = order.item
     doc = {"order_id": order.order_id, "kind": item.kind.value,
            "fence": order.fence}
@@ -109,23 +109,23 @@
     return {**doc, "model": item.name, "version": item.version}
 
 
-def _judge(status, answer):
-    if status == _DONE:
+def _classify_response(status, response_body):
+    if status == _HTTP_OK:
         return Outcome.DONE, ""
-    code = _error_code(answer)
-    if status == _CONFLICT and code == _STALE:
+    code = _error_code(response_body)
+    if status == _HTTP_CONFLICT and code == _STALE_FENCE:
         return Outcome.STALE_FENCE, code
     return Outcome.REFUSED, f"{status} {code}"
 
 
-def _error_code(answer):
+def _error_code(response_body):
     try:
-        return str(json.loads(answer)["error"]["code"])
+        return str(json.loads(response_body)["error"]["code"])
     except (KeyError, TypeError, ValueError):
         return ""
 
 
-async def _exchange(ctx, method, url, body=None):
-    rsp = await ctx.http.request(
+async def _request(ctx, method, url, body=None):
+    response = await ctx.http.request(
         method, url, data=body, headers=_JSON, allow_redirects=False)
-    return rsp.code, await bodies.read(rsp, MAX_REPORT_BYTES)
+    return response.code, await bodies.read(response, MAX_RESPONSE_BYTES)
--- a/crocuskeel/control/exceptions.py
+++ b/crocuskeel/control/exceptions.py
@@ -1,15 +1,15 @@
-"""Errors of the control daemon's runtime."""
+"""Exceptions of the control daemon's runtime."""
 
-__all__ = ["BadSettingsFile", "ControlError", "LeaseNotFresh"]
+__all__ = ["BadSettingsFile", "ControlError", "OrderNotPermitted"]
 
 
 class ControlError(Exception):
-    """Base of this layer's errors."""
+    """Base class of the exceptions in this package."""
 
 
 class BadSettingsFile(ControlError):
-    """The settings file can't be used; the text says where."""
+    """The settings file is invalid; the message says where."""
 
 
-class LeaseNotFresh(ControlError):
-    """An order was held back right before its sending."""
+class OrderNotPermitted(ControlError):
+    """An order may no longer be sent; its body was not written."""
--- a/crocuskeel/control/platform_calls.py
+++ b/crocuskeel/control/platform_calls.py
@@ -1,4 +1,4 @@
-"""Carries out the calls to the Object API and the host list."""
+"""Calls to the Object API and the host list."""
 
 from crocuskeel import conf
 from crocuskeel.conf import parts
@@ -11,7 +11,7 @@
 
 LEASE_KEY = "control/lease"
 Status = events.Status
-_FAILED = {
+_FAILURE_STATUS = {
     objectapi.NotFound: Status.NOT_FOUND,
     objectapi.Conflict: Status.CONFLICT,
     objectapi.Unavailable: Status.UNAVAILABLE,
@@ -26,11 +26,11 @@
     if isinstance(result, objectapi.Found):
         return events.LeaseRead(
             Status.FOUND, result.version, result.body)
-    return events.LeaseRead(_FAILED[type(result)])
+    return events.LeaseRead(_FAILURE_STATUS[type(result)])
 
 
 async def write_lease(ctx, effect):
-    """Write the lease object once, on its condition."""
+    """Write the lease object once, conditional on ``effect.version``."""
     if effect.version == 0:
         result = await ctx.platform.create(LEASE_KEY, effect.body)
     else:
@@ -40,11 +40,11 @@
         return events.LeaseWritten(
             effect.nonce, effect.number, Status.WRITTEN, result.version)
     return events.LeaseWritten(
-        effect.nonce, effect.number, _FAILED[type(result)])
+        effect.nonce, effect.number, _FAILURE_STATUS[type(result)])
 
 
 async def check_settings(ctx, effect):
-    """Read the head, and the common sections if they are newer."""
+    """Read the head, and the common sections if it is newer."""
     result = await ctx.platform.get(storage.HEAD_KEY)
     if isinstance(result, objectapi.NotFound):
         return events.SettingsChecked(True)
@@ -54,29 +54,29 @@
         head = storage.decode_head(result.body)
         if head.generation <= effect.have:
             return events.SettingsChecked(True, head.generation)
-        common = await _common(ctx, head)
+        common = await _read_common(ctx, head)
     except conf.ConfError:
         return events.SettingsChecked(False)
     ok = common is not None
     return events.SettingsChecked(ok, head.generation, common)
 
 
-async def _common(ctx, head):
+async def _read_common(ctx, head):
     """Return the common sections, or None if they can't be read."""
-    index = await _part(ctx, head.index)
+    index = await _read_part(ctx, head.index)
     if index is None:
         return None
     digest = storage.decode_index(index).common
-    if digest == ctx.common[0]:
-        return ctx.common[1]
-    part = await _part(ctx, digest)
+    if digest == ctx.cached_common[0]:
+        return ctx.cached_common[1]
+    part = await _read_part(ctx, digest)
     if part is None:
         return None
-    ctx.common = (digest, parts.decode_part(part))
-    return ctx.common[1]
+    ctx.cached_common = (digest, parts.decode_part(part))
+    return ctx.cached_common[1]
 
 
-async def _part(ctx, digest):
+async def _read_part(ctx, digest):
     result = await ctx.platform.get(storage.part_key(digest))
     if not isinstance(result, objectapi.Found):
         return None
@@ -89,10 +89,10 @@
     if not isinstance(result, objectapi.HostList):
         return events.HostsSeen(None)
     return events.HostsSeen(tuple(
-        _entry(each) for each in result.hosts if each.role == "engine"))
+        _engine_entry(each) for each in result.hosts if each.role == "engine"))
 
 
-def _entry(host):
+def _engine_entry(host):
     return events.EngineEntry(
         name=host.name, service=host.service,
         url=f"http://{host.address}:{host.port}", domain=host.domain,
--- a/crocuskeel/control/program.py
+++ b/crocuskeel/control/program.py
@@ -1,4 +1,4 @@
-"""Feeds events to the control reducer and carries out its effects."""
+"""Passes events to the control reducer and executes its effects."""
 
 from loguru import logger
 from twisted.internet import defer
@@ -25,12 +25,12 @@
 
 
 def start(ctx):
-    """Begin to tick."""
+    """Start the periodic timer."""
     _tick(ctx)
 
 
 def stop(ctx):
-    """Begin the planned stop; it ends with ``ctx.on_exit()``."""
+    """Start the planned stop; ``ctx.on_exit()`` is called at its end."""
     feed(ctx, events.StopAsked())
 
 
@@ -41,23 +41,23 @@
 
 
 def feed(ctx, event):
-    """Reduce an event, and run its effects before the next event."""
-    turns.feed(ctx, event, _one)
+    """Reduce an event and run its effects before the next event."""
+    turns.feed(ctx, event, _handle_event)
 
 
-def _one(ctx, event):
+def _handle_event(ctx, event):
     try:
         effs = control.reduce(ctx.state, event, ctx.now())
     except Exception:
-        # A fault of the program shows as a traceback in the log; the
-        # lease must still be renewed or lapse by the next events.
-        logger.exception("reducer failed on {}", type(event).__name__)
+        # Log the traceback and continue: later events must still renew
+        # the lease or let it expire.
+        logger.exception("reducer failed on event {}", type(event).__name__)
         return
     for effect in effs:
-        _run(ctx, effect)
+        _run_effect(ctx, effect)
 
 
-def _run(ctx, effect):
+def _run_effect(ctx, effect):
     if isinstance(effect, effects.Record):
         context.record(ctx, effect)
     elif isinstance(effect, effects.Exit):
@@ -65,11 +65,11 @@
         ctx.on_exit()
     else:
         call = _CALLS[type(effect)](ctx, effect)
-        fut = defer.Deferred.fromCoroutine(call)
-        fut.addCallback(lambda answer: feed(ctx, answer))
-        fut.addErrback(_log_failure, effect)
+        deferred = defer.Deferred.fromCoroutine(call)
+        deferred.addCallback(lambda answer: feed(ctx, answer))
+        deferred.addErrback(_log_failure, effect)
 
 
-def _log_failure(fail, effect):
-    logger.error("{} failed: {}", type(effect).__name__,
-                 fail.getErrorMessage())
+def _log_failure(failure, effect):
+    logger.error("effect {} failed: {}", type(effect).__name__,
+                 failure.getErrorMessage())
--- a/crocuskeel/control/settings.py
+++ b/crocuskeel/control/settings.py
@@ -13,7 +13,7 @@
 
 _NAME = {"type": "string", "pattern": "^[A-Za-z0-9_-]{1,63}$"}
 _TEXT = {"type": "string", "minLength": 1}
-_SPAN = {"type": "number", "exclusiveMinimum": 0, "maximum": 86400}
+_SECONDS = {"type": "number", "exclusiveMinimum": 0, "maximum": 86400}
 _SHARE = {"type": "number", "exclusiveMinimum": 0, "maximum": 1}
 _RATE = {"type": "number", "exclusiveMinimum": 0}
 _COUNT = {"type": "integer", "minimum": 1}
@@ -24,11 +24,11 @@
             "required": list(required), "additionalProperties": False}
 
 
-_LEASE = _section({"span_s": _SPAN, "margin_s": _SPAN, "renew_s": _SPAN,
-                   "order_s": _SPAN})
+_LEASE = _section({"span_s": _SECONDS, "margin_s": _SECONDS,
+                   "renew_s": _SECONDS, "order_s": _SECONDS})
 _ROLLOUT = _section({
     "share": _SHARE, "domain_share": _SHARE, "max_failures": _COUNT,
-    "load_s": _SPAN, "observe_s": _SPAN, "idle_observe_s": _SPAN,
+    "load_s": _SECONDS, "observe_s": _SECONDS, "idle_observe_s": _SECONDS,
     "reads_per_s": _RATE})
 _WEIGHT_STORE = _section({
     "loads_per_s": _RATE, "load_burst": {"type": "number", "minimum": 1}})
@@ -47,9 +47,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramSettings:
-    """One program's settings file, the token read from its file.
+    """The content of a settings file, with the token read from its file.
 
-    ``log_file`` empty means standard error.
+    An empty ``log_file`` means standard error.
     """
 
     cfg: control.Config
@@ -64,25 +64,25 @@
     return parse(_read_text(path), path.parent)
 
 
-def parse(text, folder):
-    """Parse a settings text; its file names are under ``folder``."""
+def parse(text, directory):
+    """Parse settings; ``token_file`` is relative to ``directory``."""
     doc = documents.load(text, _VALIDATOR, exceptions.BadSettingsFile)
     values = {key: value for section in _SECTIONS
               for key, value in doc.get(section, {}).items()}
     cfg = control.Config(host=doc["host"], **values)
-    _check_spans(cfg)
-    place = doc["platform"]
-    token = _read_text(pathlib.Path(folder) / place["token_file"])
+    _check_lease_timing(cfg)
+    platform = doc["platform"]
+    token = _read_text(pathlib.Path(directory) / platform["token_file"])
     return ProgramSettings(
-        cfg=cfg, platform_url=place["url"].rstrip("/"),
+        cfg=cfg, platform_url=platform["url"].rstrip("/"),
         platform_token=token.strip(), log_file=doc.get("log_file", ""))
 
 
-def _check_spans(cfg):
-    # With one lost renewal the lease must not lapse.
+def _check_lease_timing(cfg):
+    # The lease must not expire when a single renewal is lost.
     if 2 * cfg.renew_s >= cfg.span_s - cfg.margin_s:
         raise exceptions.BadSettingsFile(
-            "$.lease: two of renew_s must fit into span_s less margin_s")
+            "$.lease: 2 * renew_s must be less than span_s - margin_s")
 
 
 def _read_text(path):
--- a/crocuskeel/core/control/__init__.py
+++ b/crocuskeel/core/control/__init__.py
@@ -1,5 +1,6 @@
-"""The control daemon's decisions: a reducer of its own."""
+"""The decisions of the control daemon, as a reducer without I/O."""
 
+from crocuskeel.core.control.desired import desired_states
 from crocuskeel.core.control.orders import Item
 from crocuskeel.core.control.orders import Kind
 from crocuskeel.core.control.orders import Order
@@ -8,7 +9,6 @@
 from crocuskeel.core.control.state import Config
 from crocuskeel.core.control.state import ControlState
 from crocuskeel.core.control.state import new_state
-from crocuskeel.core.control.wanted import wanted
 
 __all__ = ["Config", "ControlState", "Item", "Kind", "Order",
-           "may_send", "new_state", "reduce", "wanted"]
+           "desired_states", "may_send", "new_state", "reduce"]
--- a/crocuskeel/core/control/wanted.py
+++ b/crocuskeel/core/control/desired.py
@@ -1,18 +1,18 @@
-"""Wanted state: what the settings say a service's engines should have."""
+"""The desired state of each service's engines, from the settings."""
 
 import dataclasses
 
 from crocuskeel.core.control import orders
 
-__all__ = ["Wanted", "split_model", "wanted"]
+__all__ = ["DesiredState", "desired_states", "split_model"]
 
 _ENGINE = "engine"
 Kind = orders.Kind
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
-    """What each engine of one service should have, in order."""
+class DesiredState:
+    """The items that each engine of a service should have, in order."""
 
     service: str
     items: tuple[orders.Item, ...]
@@ -20,24 +20,25 @@
 
 
 def split_model(text):
-    """Return name and version of ``name:version``; no version: empty."""
+    """Split ``name:version``; the version is empty if there is none."""
     name, colon, version = text.rpartition(":")
     return (name, version) if colon and name else (text, "")
 
 
-def wanted(common):
-    """Return a :class:`Wanted` for each engine service.
+def desired_states(common):
+    """Return a :class:`DesiredState` for each engine service.
 
-    ``common`` is a settings tree's sections without the workspaces.
+    ``common`` holds the sections of the settings but the workspaces.
     """
     services = common.get("services", {})
     return tuple(
-        Wanted(name, _items(body), body.get("checks_fence", False))
+        DesiredState(name, _desired_items(body),
+                     body.get("checks_fence", False))
         for name, body in sorted(services.items())
         if body.get("kind") == _ENGINE)
 
 
-def _items(body):
+def _desired_items(body):
     loads = [orders.Item(Kind.LOAD_MODEL, *split_model(each))
              for each in body.get("models", ())]
     adapters = [orders.Item(Kind.LOAD_ADAPTER, each)
--- a/crocuskeel/core/control/effects.py
+++ b/crocuskeel/core/control/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the control daemon, as data for its runtime."""
+"""Effects that the reducer returns for the runtime to carry out."""
 
 import dataclasses
 
@@ -8,14 +8,17 @@
 from crocuskeel.core.leadership.effects import WriteLease
 
 __all__ = ["CheckSettings", "Effect", "Exit", "ReadEngine", "ReadHosts",
-           "ReadLease", "Record", "SendOrder", "WriteLease", "record_order"]
+           "ReadLease", "Record", "SendOrder", "WriteLease", "order_record"]
 
 _effect = dataclasses.dataclass(frozen=True, slots=True)
 
 
 @_effect
 class CheckSettings:
-    """Read the settings if they are newer than generation ``have``."""
+    """Read the settings if a generation after ``have`` is in force.
+
+    Answered by ``SettingsChecked``.
+    """
 
     have: int
 
@@ -35,10 +38,10 @@
 
 @_effect
 class SendOrder:
-    """Send an order, after ``may_send`` allowed it once more.
+    """Send an order, if ``may_send`` still allows it.
 
-    It must be given up after ``span_s`` seconds, its connection closed;
-    answered by ``OrderAnswered``.
+    The runtime must abort the call and close its connection after
+    ``span_s`` seconds. Answered by ``OrderAnswered``.
     """
 
     order: orders.Order
@@ -46,8 +49,8 @@
     span_s: float
 
 
-def record_order(kind, order, *fields):
-    """Return the record of an event of an order."""
+def order_record(kind, order, *fields):
+    """Return the timeline event ``kind`` of an order."""
     return Record(kind, (
         ("engine", order.engine), ("order", order.item.kind.value),
         ("name", order.item.name), ("version", order.item.version),
@@ -57,7 +60,7 @@
 
 @_effect
 class Exit:
-    """The program may end."""
+    """End the process; the planned stop is complete."""
 
 
 Effect = (
--- a/crocuskeel/core/control/events.py
+++ b/crocuskeel/core/control/events.py
@@ -1,4 +1,4 @@
-"""Events of the control daemon."""
+"""Events that the reducer of the control daemon handles."""
 
 import dataclasses
 import enum
@@ -18,11 +18,12 @@
 
 
 class Outcome(enum.StrEnum):
-    """How the sending of an order ended.
+    """The outcome of sending an order.
 
-    DONE: the engine has taken it. STALE_FENCE: the engine knows a newer
-    holder. REFUSED: another refusal. NOT_SENT: no byte of the order
-    left. UNKNOWN: it may have been taken, or may be later.
+    DONE: the engine accepted it. STALE_FENCE: the engine has seen a
+    higher fencing number. REFUSED: the engine refused it for another
+    reason. NOT_SENT: no byte of the order was sent. UNKNOWN: the engine
+    may have accepted it, or may still do so.
     """
 
     DONE = "done"
@@ -34,15 +35,16 @@
 
 @_event
 class Ticked:
-    """Time went on; comes at a steady pace."""
+    """The periodic timer fired."""
 
 
 @_event
 class SettingsChecked:
-    """The settings in force, or None as ``common`` if unchanged.
+    """The answer to ``CheckSettings``.
 
-    ``ok`` is False where they could not be read. ``common`` holds
-    every section but the workspaces.
+    ``ok`` is False if the settings could not be read. ``common`` holds
+    every section but the workspaces; it is None if no newer generation
+    is in force.
     """
 
     ok: bool
@@ -52,7 +54,7 @@
 
 @_event
 class EngineEntry:
-    """One engine of the host list."""
+    """An engine in the host list."""
 
     name: str
     service: str
@@ -63,16 +65,17 @@
 
 @_event
 class HostsSeen:
-    """The host list's engines; None where it could not be read."""
+    """The engines in the host list; None if it could not be read."""
 
     engines: tuple[EngineEntry, ...] | None
 
 
 @_event
 class EngineSeen:
-    """The answer to ``ReadEngine``; not ``ok``: none came.
+    """The answer to ``ReadEngine``.
 
-    ``models`` are (name, version, ready) of each model it has.
+    ``ok`` is False if the engine gave no valid answer. ``models`` has
+    (name, version, ready) for each model that the engine holds.
     """
 
     engine: str
@@ -86,7 +89,7 @@
 
 @_event
 class OrderAnswered:
-    """How an order ended; ``detail`` is for operators."""
+    """The outcome of an order; ``detail`` is text for operators."""
 
     order_id: str
     engine: str
@@ -96,7 +99,7 @@
 
 @_event
 class StopAsked:
-    """Planned stop of this program."""
+    """A planned stop of this process was requested."""
 
 
 Event = (
--- a/crocuskeel/core/control/observing.py
+++ b/crocuskeel/core/control/observing.py
@@ -1,10 +1,10 @@
-"""Settings, host list and engines as read, and how orders ended."""
+"""Reads the settings, host list and engines; tracks sent orders."""
 
+from crocuskeel.core.control import desired
 from crocuskeel.core.control import effects
 from crocuskeel.core.control import events
 from crocuskeel.core.control import planning
 from crocuskeel.core.control import state as states
-from crocuskeel.core.control import wanted
 from crocuskeel.core.leadership import lease as leases
 
 __all__ = ["on_engine", "on_hosts", "on_order", "on_settings", "step"]
@@ -13,18 +13,18 @@
 
 
 def step(state, now):
-    """Ask for what is due to be read; only the holder reads engines."""
+    """Return the reads that are due; only the lease holder reads engines."""
     effs = []
     cfg = state.cfg
-    due = now - state.settings_asked_at >= cfg.settings_s
-    if due and not state.settings_open:
-        state.settings_open = True
-        state.settings_asked_at = now
+    due = now - state.settings_requested_at >= cfg.settings_s
+    if due and not state.settings_read_pending:
+        state.settings_read_pending = True
+        state.settings_requested_at = now
         effs.append(effects.CheckSettings(state.generation))
-    due = now - state.hosts_asked_at >= cfg.hosts_s
-    if due and not state.hosts_open:
-        state.hosts_open = True
-        state.hosts_asked_at = now
+    due = now - state.hosts_requested_at >= cfg.hosts_s
+    if due and not state.hosts_read_pending:
+        state.hosts_read_pending = True
+        state.hosts_requested_at = now
         effs.append(effects.ReadHosts())
     if state.lease.holding:
         effs += _read_engines(state, now)
@@ -33,90 +33,93 @@
 
 def _read_engines(state, now):
     views = state.engines.values()
-    busy = _busy_services(state)
-    # The rate of reads is bounded. Were the pace of a large pool not
-    # lower, most of its engines would always count as unknown, and so
-    # as out, and no order would ever go out.
-    count = sum(engine.service in busy for engine in views)
-    state.pace_s = max(
+    unconverged = _unconverged_services(state)
+    # Reads are rate limited. Without a longer interval for a large pool
+    # most of its engines would always lack a recent observation and
+    # count as unavailable, so that no order would ever be sent.
+    count = sum(engine.service in unconverged for engine in views)
+    state.read_interval_s = max(
         state.cfg.observe_s, count / state.cfg.reads_per_s)
-    room = state.cfg.max_reads - sum(each.reading for each in views)
+    free_slots = state.cfg.max_reads - sum(
+        each.read_pending for each in views)
     due = [engine for engine in views
-           if not engine.reading and now - engine.asked_at >= _pace_s(
-               state, engine, busy)]
-    due.sort(key=lambda engine: engine.asked_at)
+           if not engine.read_pending
+           and now - engine.requested_at >= _read_interval_s(
+               state, engine, unconverged)]
+    due.sort(key=lambda engine: engine.requested_at)
     effs = []
-    for engine in due[:max(0, room)]:
-        engine.reading = True
-        engine.asked_at = now
+    for engine in due[:max(0, free_slots)]:
+        engine.read_pending = True
+        engine.requested_at = now
         effs.append(effects.ReadEngine(engine.name, engine.url))
     return effs
 
 
-def _pace_s(state, engine, busy):
-    if engine.taken or engine.loading_since is not None:
+def _read_interval_s(state, engine, unconverged):
+    if engine.accepted_order or engine.loading_since is not None:
         return state.cfg.observe_s
-    if engine.service in busy:
-        return state.pace_s
-    return max(state.cfg.idle_observe_s, state.pace_s)
+    if engine.service in unconverged:
+        return state.read_interval_s
+    return max(state.cfg.idle_observe_s, state.read_interval_s)
 
 
-def _busy_services(state):
-    """Return the services of which not every engine is as wanted."""
+def _unconverged_services(state):
+    """Return the services with an engine not known in its desired state."""
     return {
         engine.service for engine in state.engines.values()
         if engine.service in state.pools and (
-            not engine.boot_id or engine.order or engine.taken
-            or engine.lacking)}
+            not engine.boot_id or engine.sent_order
+            or engine.accepted_order or engine.pending_items)}
 
 
 def on_settings(state, event, now):
-    """Follow the newest accepted generation, never an older one."""
-    state.settings_open = False
+    """Apply the settings, unless their generation is not a newer one."""
+    state.settings_read_pending = False
     if not event.ok:
         return []
-    state.settings_at = state.settings_asked_at
+    state.settings_read_at = state.settings_requested_at
     if event.common is None or event.generation <= state.generation:
         return []
     state.generation = event.generation
     effs = []
     pools = {}
-    for each in wanted.wanted(event.common):
+    for each in desired.desired_states(event.common):
         pool = state.pools.get(each.service)
         if pool is None or pool.items != each.items:
-            effs += _resume(each.service, pool)
+            effs += _resume_rollout(each.service, pool)
             pool = states.Pool(each.items)
         pool.checks_fence = each.checks_fence
         pools[each.service] = pool
     state.pools = pools
-    _refresh_all(state)
+    _update_all_pending_items(state)
     return effs
 
 
-def _refresh_all(state):
+def _update_all_pending_items(state):
     for engine in state.engines.values():
-        planning.refresh(state, engine)
+        planning.update_pending_items(state, engine)
 
 
-def _resume(service, pool):
+def _resume_rollout(service, pool):
     if pool is None or not pool.paused:
         return []
     return [effects.Record("rollout_resumed", (("service", service),))]
 
 
 def on_hosts(state, event, now):
-    """Take the host list's engines; keep what is known of them."""
-    state.hosts_open = False
+    """Update the engines from the host list, keeping observed state."""
+    state.hosts_read_pending = False
     if event.engines is None:
         return []
-    # An order on its way is waited for, also where its engine has left.
+    # An engine with an order in flight is kept until the order's outcome
+    # is known, even if the host list no longer has it.
     views = {name: view for name, view in state.engines.items()
-             if view.order}
+             if view.sent_order}
     for view in views.values():
         view.leaving = True
     for entry in event.engines:
         view = state.engines.get(entry.name)
-        if view is None or (view.url != entry.url and not view.order):
+        if view is None or (view.url != entry.url and not view.sent_order):
             view = states.EngineView(
                 entry.name, entry.service, entry.url, entry.domain)
         view.service = entry.service
@@ -124,83 +127,83 @@
         view.leaving = entry.leaving
         views[entry.name] = view
     state.engines = views
-    _refresh_all(state)
+    _update_all_pending_items(state)
     return []
 
 
 def on_engine(state, event, now):
-    """Take an engine's state; settle the order that it had taken."""
+    """Store an engine's state and verify the order that it accepted."""
     engine = state.engines.get(event.engine)
     if engine is None:
         return []
-    engine.reading = False
+    engine.read_pending = False
     if not event.ok:
-        return _overdue(state, engine, now)
+        return _fail_if_overdue(state, engine, now)
     restarted = engine.boot_id not in ("", event.boot_id)
-    _take_report(engine, event)
-    planning.refresh(state, engine)
+    _update_engine(engine, event)
+    planning.update_pending_items(state, engine)
     effs = []
     if restarted:
         effs.append(effects.Record(
             "engine_restarted", (("engine", engine.name),)))
-    if engine.taken and engine.taken_at < engine.asked_at:
-        effs += _settle(state, engine, restarted, now)
+    if engine.accepted_order and engine.accepted_at < engine.requested_at:
+        effs += _verify_order(state, engine, restarted, now)
     return effs + leases.seen_fence(state, event.highest_fence, now)
 
 
-def _take_report(engine, event):
+def _update_engine(engine, event):
     engine.boot_id = event.boot_id
     engine.models = {name: (version, ready)
                      for name, version, ready in event.models}
     engine.adapters = event.adapters
     engine.role = event.role
-    engine.seen_at = engine.asked_at
+    engine.observed_at = engine.requested_at
     if all(ready for _, ready in engine.models.values()):
         engine.loading_since = None
     elif engine.loading_since is None:
-        engine.loading_since = engine.asked_at
+        engine.loading_since = engine.requested_at
 
 
-def _settle(state, engine, restarted, now):
-    """Confirm by reading back, or give the order up."""
-    item = engine.taken.item
+def _verify_order(state, engine, restarted, now):
+    """Confirm the accepted order from the state read, or fail it."""
+    item = engine.accepted_order.item
     if restarted:
-        return _failed(state, engine, "engine restarted", now)
-    if planning.has(engine, item):
-        return _confirmed(engine)
+        return _fail_order(state, engine, "engine restarted", now)
+    if planning.has_item(engine, item):
+        return _confirm_order(engine)
     version, ready = engine.models.get(item.name, ("", True))
     if not ready and item.version in ("", version):
-        return _overdue(state, engine, now)
-    return _failed(state, engine, "undone", now)
+        return _fail_if_overdue(state, engine, now)
+    return _fail_order(state, engine, "undone", now)
 
 
-def _overdue(state, engine, now):
-    late = now - engine.taken_at >= state.cfg.load_s
-    if engine.taken and late:
-        return _failed(state, engine, "not ready in time", now)
+def _fail_if_overdue(state, engine, now):
+    late = now - engine.accepted_at >= state.cfg.load_s
+    if engine.accepted_order and late:
+        return _fail_order(state, engine, "not ready in time", now)
     return []
 
 
-def _confirmed(engine):
-    order = _end(engine)
+def _confirm_order(engine):
+    order = _clear_order(engine)
     engine.failures = 0
-    return [effects.record_order("order_confirmed", order)]
+    return [effects.order_record("order_confirmed", order)]
 
 
-def _end(engine):
-    """Forget the order; its item's next one gets another id."""
-    order = engine.order or engine.taken
-    engine.order = None
-    engine.taken = None
-    engine.rounds[order.item] = engine.rounds.get(order.item, 0) + 1
+def _clear_order(engine):
+    """Remove the order; the next one of its item gets another id."""
+    order = engine.sent_order or engine.accepted_order
+    engine.sent_order = None
+    engine.accepted_order = None
+    engine.attempts[order.item] = engine.attempts.get(order.item, 0) + 1
     return order
 
 
-def _failed(state, engine, why, now):
-    """Back off this engine; pause the rollout after too many."""
-    order = _end(engine)
+def _fail_order(state, engine, reason, now):
+    """Back off this engine; pause the rollout after too many failures."""
+    order = _clear_order(engine)
     _back_off(state, engine, now)
-    effs = [effects.record_order("order_failed", order, ("why", why))]
+    effs = [effects.order_record("order_failed", order, ("why", reason))]
     pool = state.pools.get(engine.service)
     if pool is None or order.item not in pool.items:
         return effs
@@ -210,7 +213,7 @@
     pool.paused = True
     return effs + [effects.Record("rollout_paused", (
         ("service", engine.service), ("failures", pool.failures),
-        ("why", why)))]
+        ("why", reason)))]
 
 
 def _back_off(state, engine, now):
@@ -222,44 +225,44 @@
 
 
 def on_order(state, event, now):
-    """Take the end of an order's sending."""
+    """Handle the outcome of sending an order."""
     engine = state.engines.get(event.engine)
-    if (engine is None or engine.order is None
-            or engine.order.order_id != event.order_id):
+    if (engine is None or engine.sent_order is None
+            or engine.sent_order.order_id != event.order_id):
         return []
-    order = engine.order
+    order = engine.sent_order
     match event.outcome:
         case Outcome.DONE:
-            engine.order = None
-            engine.taken = order
-            engine.taken_at = now
-            return [effects.record_order("order_taken", order)]
+            engine.sent_order = None
+            engine.accepted_order = order
+            engine.accepted_at = now
+            return [effects.order_record("order_taken", order)]
         case Outcome.STALE_FENCE:
-            engine.order = None
-            return _refused(state, order, event, now)
+            engine.sent_order = None
+            return _handle_stale_fence(state, order, event, now)
         case Outcome.REFUSED:
-            return _failed(state, engine, event.detail, now)
+            return _fail_order(state, engine, event.detail, now)
         case Outcome.NOT_SENT:
-            engine.order = None
-            return [effects.record_order("order_not_sent", order)]
-    return _unknown(state, engine, now)
+            engine.sent_order = None
+            return [effects.order_record("order_not_sent", order)]
+    return _handle_unknown_outcome(state, engine, now)
 
 
-def _refused(state, order, event, now):
-    effs = [effects.record_order(
+def _handle_stale_fence(state, order, event, now):
+    effs = [effects.order_record(
         "order_refused", order, ("why", event.detail))]
     if order.fence == state.lease.fence:
         effs += leases.step_down(state, order.fence, now)
     return effs
 
 
-def _unknown(state, engine, now):
-    """Wait until the order can't land any more, then read and repeat.
+def _handle_unknown_outcome(state, engine, now):
+    """Wait until the order can't arrive any more, then read and retry.
 
-    Another order sent at once could be overtaken by this one, which
-    would leave the engine with what is no longer wanted.
+    Another order sent at once could arrive before this one, which would
+    then leave the engine in a state that is no longer desired.
     """
-    order, engine.order = engine.order, None
+    order, engine.sent_order = engine.sent_order, None
     engine.hold_until = now + state.cfg.margin_s
-    engine.seen_at = states.NEVER
-    return [effects.record_order("order_unknown", order)]
+    engine.observed_at = states.NEVER
+    return [effects.order_record("order_unknown", order)]
--- a/crocuskeel/core/control/orders.py
+++ b/crocuskeel/core/control/orders.py
@@ -1,4 +1,4 @@
-"""What an engine should have, and the orders that bring it there."""
+"""Items of an engine's desired state, and orders that establish them."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class Kind(enum.StrEnum):
-    """Kinds of orders that engines take."""
+    """Kinds of orders that engines accept."""
 
     LOAD_MODEL = "load_model"
     UNLOAD_MODEL = "unload_model"
@@ -17,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """One thing that an engine should have, or should not.
+    """An item of an engine's desired state, or a model to unload.
 
-    ``name`` is a model, an adapter or a role; ``version`` is that of a
-    model, empty for any.
+    ``name`` is that of a model, an adapter or a role; ``version`` is a
+    model's version, empty for any.
     """
 
     kind: Kind
@@ -30,10 +30,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order to one engine.
+    """An order to one engine.
 
-    ``fence`` is the fencing number of the holder that gives it and
-    ``generation`` that of the settings which want it.
+    ``fence`` is the fencing number of the lease holder that sends it,
+    ``generation`` that of the settings it follows from.
     """
 
     order_id: str
@@ -44,17 +44,17 @@
 
 
 def new_order(engine, item, fence, generation):
-    """Return the order that makes ``item`` so on an engine.
-
-    The id is the same for each repeat whose outcome is unknown, so
-    that the engine carries it out once. The round grows when an order
-    of the item has ended: without it, an engine whose state was undone
-    later would take the order that repairs it for a repeat and do
-    nothing. The boot id tells a restarted engine, which forgot its
-    orders, from one that has carried the order out.
+    """Return the order that establishes ``item`` on an engine.
+
+    A retry after an unknown outcome has the same id, so that the engine
+    executes the order once. The attempt number grows when an order of
+    the item ends: without it, an engine whose state was reverted later
+    would treat the order that repairs it as a duplicate and ignore it.
+    The boot id distinguishes a restarted engine, which lost its orders,
+    from one that has executed the order.
     """
-    turn = engine.rounds.get(item, 0)
+    attempt = engine.attempts.get(item, 0)
     order_id = "/".join((
         str(fence), engine.name, engine.boot_id, item.kind, item.name,
-        item.version, str(turn)))
+        item.version, str(attempt)))
     return Order(order_id, engine.name, item, fence, generation)
--- a/crocuskeel/core/control/planning.py
+++ b/crocuskeel/core/control/planning.py
@@ -1,4 +1,4 @@
-"""The difference of wanted and observed state, and the next orders."""
+"""Compares desired with observed state and plans the next orders."""
 
 import dataclasses
 
@@ -8,8 +8,8 @@
 from crocuskeel.core.control import staging
 from crocuskeel.core.leadership import lease as leases
 
-__all__ = ["Plan", "difference", "has", "may_send", "refresh",
-           "step"]
+__all__ = ["Plan", "difference", "has_item", "may_send", "step",
+           "update_pending_items"]
 
 Kind = orders.Kind
 _FROM_WEIGHT_STORE = (Kind.LOAD_MODEL, Kind.LOAD_ADAPTER)
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """How much is left to do, under one generation of the settings."""
+    """The remaining engines and items under one settings generation."""
 
     generation: int
     engines: int
     items: int
 
 
-def has(engine, item):
-    """Say whether the engine has ``item`` in full, as last observed."""
+def has_item(engine, item):
+    """Return whether the last observed state fully satisfies ``item``."""
     match item.kind:
         case Kind.LOAD_MODEL:
             version, ready = engine.models.get(item.name, (None, False))
@@ -40,33 +40,34 @@
 
 
 def difference(engine, items):
-    """Return what the engine lacks, then the models that it must drop.
+    """Return the missing items, then the models to unload.
 
-    A service that names no models has no say about them: settings from
-    before the models were listed must not empty its engines.
+    If a service names no models, none are unloaded: settings written
+    before models could be listed must not empty the engines.
     """
-    lacking = [item for item in items if not has(engine, item)]
+    missing = [item for item in items if not has_item(engine, item)]
     named = {item.name for item in items
              if item.kind is Kind.LOAD_MODEL}
     surplus = [orders.Item(Kind.UNLOAD_MODEL, name)
                for name in sorted(engine.models) if name not in named]
-    return (*lacking, *(surplus if named else ()))
+    return (*missing, *(surplus if named else ()))
 
 
-def refresh(state, engine):
-    """Work out anew what an engine lacks."""
+def update_pending_items(state, engine):
+    """Recompute the difference of an engine's desired and observed state."""
     pool = state.pools.get(engine.service)
-    known = pool is not None and engine.boot_id
-    engine.lacking = difference(engine, pool.items) if known else ()
+    comparable = pool is not None and engine.boot_id
+    engine.pending_items = (
+        difference(engine, pool.items) if comparable else ())
 
 
 def step(state, now):
-    """Give the next orders, if this process may give any now."""
+    """Return the next orders, if this process may send any now."""
     if not leases.fresh(state, now):
         return []
     if not _settings_fresh(state, now):
         return []
-    effs = _note_plan(state)
+    effs = _record_plan(state)
     for service, members in staging.by_service(state).items():
         pool = state.pools.get(service)
         if pool is not None and not pool.paused:
@@ -75,59 +76,62 @@
 
 
 def _settings_fresh(state, now):
-    # Where the settings can't be read, a newer generation may be in
-    # force that this process would work against.
-    return now - state.settings_at < state.cfg.span_s
+    # While the settings can't be read, a newer generation may be in
+    # force, which further orders would contradict.
+    return now - state.settings_read_at < state.cfg.span_s
 
 
-def _note_plan(state):
-    lacking = [len(each.lacking) for each in state.engines.values()]
-    plan = Plan(state.generation, sum(map(bool, lacking)), sum(lacking))
-    if plan == state.planned:
+def _record_plan(state):
+    counts = [len(each.pending_items) for each in state.engines.values()]
+    plan = Plan(state.generation, sum(map(bool, counts)), sum(counts))
+    if plan == state.last_plan:
         return []
-    state.planned = plan
+    state.last_plan = plan
     return [effects.Record("plan", (
         ("generation", plan.generation), ("engines", plan.engines),
         ("items", plan.items), ("fence", state.lease.fence)))]
 
 
 def _step_pool(state, pool, members, now):
-    if not any(engine.lacking for engine in members):
+    if not any(engine.pending_items for engine in members):
         pool.failures = 0
         return []
-    room = staging.new_room(state, pool, members, now)
+    budget = staging.new_disruption_budget(state, pool, members, now)
     effs = []
-    for engine in staging.worst_first(room, members):
-        if not engine.lacking or not _ready(state, pool, engine, now):
+    for engine in staging.unavailable_first(budget, members):
+        if not engine.pending_items or not _may_order(
+                state, pool, engine, now):
             continue
-        if not staging.allows(room, engine):
+        if not staging.allows(budget, engine):
             continue
-        item = engine.lacking[0]
-        if item.kind in _FROM_WEIGHT_STORE and not rates.take(
-                state.bucket, now):
+        item = engine.pending_items[0]
+        if item.kind in _FROM_WEIGHT_STORE and not rates.take_token(
+                state.load_bucket, now):
             break
-        staging.take_out(room, engine)
+        staging.mark_unavailable(budget, engine)
         effs += _send(state, engine, item)
     return effs
 
 
-def _ready(state, pool, engine, now):
-    """Say whether the engine may get its next order."""
-    if engine.leaving or engine.order or engine.taken:
+def _may_order(state, pool, engine, now):
+    """Return whether the next order may be sent to the engine."""
+    if engine.leaving or engine.sent_order or engine.accepted_order:
         return False
-    if now < engine.hold_until or not staging.known(state, engine, now):
+    if now < engine.hold_until or not staging.recently_observed(
+            state, engine, now):
         return False
-    if staging.loading(state, engine, now):
+    if staging.is_loading(state, engine, now):
         return False
-    return pool.checks_fence or now >= _waited_at(state)
+    return pool.checks_fence or now >= _former_orders_expire_at(state)
 
 
-def _waited_at(state):
-    """Return when a former holder's orders can no longer land.
+def _former_orders_expire_at(state):
+    """Return when a former holder's orders can no longer arrive.
 
-    An engine that checks no fencing numbers would take a former
-    holder's order after ours. That holder's last order went out while
-    its lease was fresh and was given up ``order_s`` later.
+    An engine that does not check fencing numbers would accept a former
+    holder's order after one of this process. The former holder sent its
+    last order while its lease was valid and aborted it ``order_s``
+    later.
     """
     lease = state.lease
     return lease.acquired_at + lease.order_s + state.cfg.margin_s
@@ -136,18 +140,18 @@
 def _send(state, engine, item):
     order = orders.new_order(
         engine, item, state.lease.fence, state.generation)
-    engine.order = order
-    return [effects.record_order("order_sent", order),
+    engine.sent_order = order
+    return [effects.order_record("order_sent", order),
             effects.SendOrder(order, engine.url, state.cfg.order_s)]
 
 
 def may_send(state, order, now):
-    """Say whether an order may still go out; asked right before it does.
+    """Return whether an order may still be sent, right before sending.
 
-    Between the decision and the sending the process may have been
-    paused, the lease lost or another generation accepted.
+    Since the decision the process may have been paused, the lease lost
+    or another generation accepted.
     """
-    awake = 0 <= now - state.last_step <= state.cfg.jump_s
-    return (awake and leases.fresh(state, now)
+    recently_active = 0 <= now - state.last_step <= state.cfg.jump_s
+    return (recently_active and leases.fresh(state, now)
             and order.fence == state.lease.fence
             and order.generation == state.generation)
--- a/crocuskeel/core/control/rates.py
+++ b/crocuskeel/core/control/rates.py
@@ -1,18 +1,18 @@
-"""The weight store's rate limit over all engines: a token bucket."""
+"""Token bucket that limits loads from the weight store, all engines."""
 
 import dataclasses
 
-__all__ = ["Bucket", "drain", "new_bucket", "take"]
+__all__ = ["Bucket", "drain", "new_bucket", "take_token"]
 
 
 @dataclasses.dataclass(slots=True)
 class Bucket:
-    """Holds up to ``burst`` tokens, ``rate`` more a second."""
+    """A bucket of up to ``burst`` tokens, refilled at ``rate`` a second."""
 
     rate: float
     burst: float
     tokens: float
-    at: float
+    updated_at: float
 
 
 def new_bucket(rate, burst, now):
@@ -23,19 +23,19 @@
 def drain(bucket, now):
     """Empty the bucket.
 
-    The holder before may have spent its whole burst a moment ago. A new
-    holder that began with a full bucket would let twice the burst reach
-    the weight store; from empty, both together keep the one limit.
+    The previous lease holder may just have spent its whole burst. If the
+    new holder started with a full bucket, twice the burst could reach
+    the weight store; starting empty keeps both within the limit.
     """
     bucket.tokens = 0.0
-    bucket.at = now
+    bucket.updated_at = now
 
 
-def take(bucket, now):
-    """Take a token if there is one; say whether there was."""
-    grown = bucket.tokens + (now - bucket.at) * bucket.rate
-    bucket.tokens = min(bucket.burst, grown)
-    bucket.at = now
+def take_token(bucket, now):
+    """Take a token if one is available; return whether one was."""
+    refilled = bucket.tokens + (now - bucket.updated_at) * bucket.rate
+    bucket.tokens = min(bucket.burst, refilled)
+    bucket.updated_at = now
     if bucket.tokens < 1.0:
         return False
     bucket.tokens -= 1.0
--- a/crocuskeel/core/control/reducer.py
+++ b/crocuskeel/core/control/reducer.py
@@ -1,4 +1,4 @@
-"""The control daemon's reducer: one event in, effects out."""
+"""The reducer of the control daemon: handles events, returns effects."""
 
 from crocuskeel.core.control import effects
 from crocuskeel.core.control import events
@@ -11,7 +11,7 @@
 
 
 def reduce(state, event, now):
-    """Take one event; change the state and return effects.
+    """Handle an event: update the state and return effects.
 
     ``now`` is in seconds of a monotonic clock.
     """
@@ -21,20 +21,21 @@
     fence = state.lease.fence
     effs += _HANDLERS[type(event)](state, event, now)
     if state.lease.fence != fence:
-        _note_holding(state, now)
+        _handle_lease_change(state, now)
     if state.stopping:
-        effs += _stop(state, now)
+        effs += _continue_stop(state, now)
     return effs
 
 
-def _note_holding(state, now):
-    """Begin anew: this process has just become the holder, or lost it.
+def _handle_lease_change(state, now):
+    """Reset the plan after the lease was acquired or lost.
 
-    What the holder before loaded counts against the weight store's limit.
+    A new holder starts with an empty load bucket: loads of the previous
+    holder count against the weight store's limit.
     """
-    state.planned = None
+    state.last_plan = None
     if state.lease.holding:
-        rates.drain(state.bucket, now)
+        rates.drain(state.load_bucket, now)
 
 
 def _tick(state, event, now):
@@ -46,15 +47,15 @@
     return effs + orders
 
 
-def _ask_stop(state, event, now):
+def _begin_stop(state, event, now):
     state.stopping = True
     return [effects.Record("stop_asked")]
 
 
-def _stop(state, now):
-    """Let what is on its way end, release the lease, then exit."""
+def _continue_stop(state, now):
+    """Wait for orders in flight, release the lease, then exit."""
     lease = state.lease
-    in_flight = any(each.order for each in state.engines.values())
+    in_flight = any(each.sent_order for each in state.engines.values())
     if in_flight or lease.open_call:
         return []
     if not state.releasing and leases.fresh(state, now):
@@ -74,5 +75,5 @@
     events.HostsSeen: observing.on_hosts,
     events.EngineSeen: observing.on_engine,
     events.OrderAnswered: observing.on_order,
-    events.StopAsked: _ask_stop,
+    events.StopAsked: _begin_stop,
 }
--- a/crocuskeel/core/control/staging.py
+++ b/crocuskeel/core/control/staging.py
@@ -1,4 +1,4 @@
-"""How many engines of a pool may be out of service at once."""
+"""Limits how many engines of a pool are unavailable at once."""
 
 import collections
 import dataclasses
@@ -6,15 +6,17 @@
 
 from crocuskeel.core.control import orders
 
-__all__ = ["Room", "allows", "by_service", "known", "limit", "loading",
-           "new_room", "out", "take_out", "worst_first"]
+__all__ = ["DisruptionBudget", "allows", "by_service", "is_loading",
+           "is_unavailable", "mark_unavailable", "max_unavailable",
+           "new_disruption_budget", "recently_observed",
+           "unavailable_first"]
 
-_FRESH_ROUNDS = 3
+_MAX_AGE_INTERVALS = 3
 Kind = orders.Kind
 
 
 def by_service(state):
-    """Return the engines of each service, by name."""
+    """Return the engines of each service, in order of their names."""
     found = {}
     for name in sorted(state.engines):
         engine = state.engines[name]
@@ -22,94 +24,99 @@
     return found
 
 
-def known(state, engine, now):
-    """Say whether the last observation is new enough to act upon."""
-    return now - engine.seen_at <= _FRESH_ROUNDS * state.pace_s
+def recently_observed(state, engine, now):
+    """Return whether the last observation is recent enough to act on."""
+    return (now - engine.observed_at
+            <= _MAX_AGE_INTERVALS * state.read_interval_s)
 
 
-def loading(state, engine, now):
-    """Say whether the engine loads, and not yet for too long."""
+def is_loading(state, engine, now):
+    """Return whether the engine is loading within the time limit."""
     since = engine.loading_since
     return since is not None and now - since < state.cfg.load_s
 
 
-def _serves(engine, items):
-    """Say whether each model of the service is ready, in any version."""
+def _all_models_ready(engine, items):
+    """Return whether each model of the service is ready, in any version."""
     return all(
         engine.models.get(item.name, ("", False))[1]
         for item in items if item.kind is Kind.LOAD_MODEL)
 
 
-def out(state, pool, engine, now):
-    """Say whether the engine must be counted as out of service.
+def is_unavailable(state, pool, engine, now):
+    """Return whether the engine counts as out of service.
 
-    One of which nothing was heard lately counts: it may have crashed,
-    and the engines that are left must not be taken out besides.
+    An engine without a recent observation counts: it may have crashed,
+    and orders to the remaining engines must not reduce the pool further.
     """
     return bool(
-        engine.leaving or engine.order or engine.taken
-        or not known(state, engine, now)
+        engine.leaving or engine.sent_order or engine.accepted_order
+        or not recently_observed(state, engine, now)
         or engine.loading_since is not None
-        or not _serves(engine, pool.items))
+        or not _all_models_ready(engine, pool.items))
 
 
-def limit(share, count):
-    """Return how many of ``count`` engines may be out at once.
+def max_unavailable(share, count):
+    """Return how many of ``count`` engines may be unavailable at once.
 
-    It is at least one: else a small pool could never be changed.
+    It is at least one, since otherwise a small pool could never change.
     """
     return max(1, math.floor(share * count))
 
 
 @dataclasses.dataclass(slots=True)
-class Room:
-    """What of a pool is out, and how much more may be.
+class DisruptionBudget:
+    """The unavailable engines of a pool and the limits on them.
 
-    ``near`` counts engines by failure domain; its limits stand in
-    ``near_limit``.
+    ``unavailable_by_domain`` counts the unavailable engines in each
+    failure domain, ``domain_limits`` holds the limits on these counts.
     """
 
-    out: set[str]
-    limit: int
-    near: collections.Counter
-    near_limit: dict[str, int]
+    unavailable: set[str]
+    max_unavailable: int
+    unavailable_by_domain: collections.Counter
+    domain_limits: dict[str, int]
 
 
-def new_room(state, pool, members, now):
-    """Return the room of a pool as it is now."""
-    away = [each for each in members if out(state, pool, each, now)]
+def new_disruption_budget(state, pool, members, now):
+    """Return the disruption budget of a pool as it is now."""
+    unavailable = [each for each in members
+                   if is_unavailable(state, pool, each, now)]
     sizes = collections.Counter(each.domain for each in members)
-    return Room(
-        out={each.name for each in away},
-        limit=limit(state.cfg.share, len(members)),
-        near=collections.Counter(each.domain for each in away),
-        near_limit={domain: limit(state.cfg.domain_share, size)
-                    for domain, size in sizes.items()})
+    return DisruptionBudget(
+        unavailable={each.name for each in unavailable},
+        max_unavailable=max_unavailable(state.cfg.share, len(members)),
+        unavailable_by_domain=collections.Counter(
+            each.domain for each in unavailable),
+        domain_limits={
+            domain: max_unavailable(state.cfg.domain_share, size)
+            for domain, size in sizes.items()})
 
 
-def allows(room, engine):
-    """Say whether taking this engine out keeps the shares.
+def allows(budget, engine):
+    """Return whether an order to this engine keeps the budget.
 
-    An engine that is out already takes nothing away by being ordered.
+    An order to an engine that is already unavailable costs nothing.
     """
-    if engine.name in room.out:
+    if engine.name in budget.unavailable:
         return True
-    near = room.near[engine.domain]
-    return (len(room.out) < room.limit
-            and near < room.near_limit[engine.domain])
+    in_domain = budget.unavailable_by_domain[engine.domain]
+    return (len(budget.unavailable) < budget.max_unavailable
+            and in_domain < budget.domain_limits[engine.domain])
 
 
-def take_out(room, engine):
-    """Count an engine as out from here on."""
-    if engine.name not in room.out:
-        room.out.add(engine.name)
-        room.near[engine.domain] += 1
+def mark_unavailable(budget, engine):
+    """Count an engine as unavailable from now on."""
+    if engine.name not in budget.unavailable:
+        budget.unavailable.add(engine.name)
+        budget.unavailable_by_domain[engine.domain] += 1
 
 
-def worst_first(room, members):
-    """Return the engines in the order in which to help them.
+def unavailable_first(budget, members):
+    """Return the engines in the order in which to send them orders.
 
-    Those that serve nothing come first: the weight store's rate must
-    not go to engines that can wait.
+    Unavailable engines come first, so that engines still in service do
+    not use up the weight store's rate limit before them.
     """
-    return sorted(members, key=lambda each: each.name not in room.out)
+    return sorted(
+        members, key=lambda each: each.name not in budget.unavailable)
--- a/crocuskeel/core/control/state.py
+++ b/crocuskeel/core/control/state.py
@@ -18,14 +18,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Config(leadership.Config):
-    """Settings of the control daemon, those of its lease among them.
-
-    Spans are in seconds; ``load_s`` bounds a load. ``share`` and
-    ``domain_share`` are the shares of a service's engines, in all and
-    in one failure domain, that may be out of service at once.
-    ``loads_per_s`` and ``load_burst`` are the weight store's limit.
-    ``max_reads`` bounds reads of engines open at once, ``reads_per_s``
-    those a second.
+    """Settings of the control daemon, including those of its lease.
+
+    Durations are in seconds; ``load_s`` bounds a load. ``share`` and
+    ``domain_share`` are the fractions of a service's engines, in total
+    and in one failure domain, that may be unavailable at once.
+    ``loads_per_s`` and ``load_burst`` are the weight store's rate limit.
+    ``max_reads`` bounds concurrent reads of engines, ``reads_per_s``
+    their rate.
     """
 
     load_s: float = 600.0
@@ -46,13 +46,14 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineView:
-    """One engine as last observed, and the order it was given.
-
-    ``models`` is name to (version, ready). ``order`` is on its way,
-    ``taken`` was accepted and is not confirmed yet. No order goes out
-    before ``hold_until``. ``lacking`` is the difference of wanted and
-    observed state. ``seen_at`` is when the newest answer was
-    asked for.
+    """An engine as last observed, and its current order.
+
+    ``models`` maps a name to (version, ready). ``sent_order`` is in
+    flight, ``accepted_order`` was accepted but is not confirmed yet. No
+    order is sent before ``hold_until``. ``pending_items`` is the
+    difference of desired and observed state. ``observed_at`` is when the
+    newest answer was requested, ``requested_at`` when the newest read
+    began. ``attempts`` counts the ended orders by item.
     """
 
     name: str
@@ -64,22 +65,22 @@
     models: dict = dataclasses.field(default_factory=dict)
     adapters: tuple[str, ...] = ()
     role: str = ""
-    seen_at: float = NEVER
-    asked_at: float = NEVER
-    reading: bool = False
+    observed_at: float = NEVER
+    requested_at: float = NEVER
+    read_pending: bool = False
     loading_since: float | None = None
-    lacking: tuple[orders.Item, ...] = ()
-    order: orders.Order | None = None
-    taken: orders.Order | None = None
-    taken_at: float = NEVER
+    pending_items: tuple[orders.Item, ...] = ()
+    sent_order: orders.Order | None = None
+    accepted_order: orders.Order | None = None
+    accepted_at: float = NEVER
     hold_until: float = NEVER
     failures: int = 0
-    rounds: dict = dataclasses.field(default_factory=dict)
+    attempts: dict = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(slots=True)
 class Pool:
-    """A service's rollout: ``items`` are what its engines should have."""
+    """A service's rollout; ``items`` is the desired state of its engines."""
 
     items: tuple[orders.Item, ...] = ()
     checks_fence: bool = False
@@ -89,36 +90,36 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class ControlState(leadership.Candidate):
-    """All that the control daemon knows; nothing of it is stored.
+    """The whole state of the control daemon; none of it is persisted.
 
-    ``pace_s`` is the time between two reads of an engine whose service
-    is not as wanted.
+    ``read_interval_s`` is the time between two reads of an engine whose
+    service has not reached its desired state.
     """
 
     cfg: Config
-    bucket: rates.Bucket
+    load_bucket: rates.Bucket
     generation: int = 0
     pools: dict[str, Pool] = dataclasses.field(default_factory=dict)
     engines: dict[str, EngineView] = dataclasses.field(
         default_factory=dict)
-    settings_at: float = NEVER
-    settings_asked_at: float = NEVER
-    settings_open: bool = False
-    hosts_asked_at: float = NEVER
-    hosts_open: bool = False
-    planned: typing.Any = None
-    pace_s: float = 0.0
+    settings_read_at: float = NEVER
+    settings_requested_at: float = NEVER
+    settings_read_pending: bool = False
+    hosts_requested_at: float = NEVER
+    hosts_read_pending: bool = False
+    last_plan: typing.Any = None
+    read_interval_s: float = 0.0
     releasing: bool = False
     ended: bool = False
 
 
 def new_state(cfg, rng, now):
-    """Return the state of a control daemon that has just started.
+    """Return the initial state of a control daemon.
 
-    ``rng`` is a ``random.Random`` that no other process shares: lease
-    nonces come from it.
+    ``rng`` is a ``random.Random`` for lease nonces; its seed must differ
+    from that of every other process.
     """
     return ControlState(
         cfg=cfg, rng=rng,
-        bucket=rates.new_bucket(cfg.loads_per_s, cfg.load_burst, now),
-        pace_s=cfg.observe_s)
+        load_bucket=rates.new_bucket(cfg.loads_per_s, cfg.load_burst, now),
+        read_interval_s=cfg.observe_s)
--- a/tests/control/test_runtime.py
+++ b/tests/control/test_runtime.py
@@ -26,16 +26,16 @@
 
 
 class FakeHttp:
-    """Connects after 1 s, writes the body, then answers or not."""
+    """Connects after 1 s, writes the body, then answers, fails or hangs."""
 
     def __init__(self, clock, end):
-        """``end`` is (status, body), an exception, or None: silence."""
+        """``end`` is (status, body), an exception, or None to hang."""
         self.clock = clock
         self.end = end
         self.written = []
 
     async def request(self, method, url, data, headers, allow_redirects):
-        """Act as a treq client."""
+        """Imitate ``treq.client.HTTPClient.request``."""
         await task.deferLater(self.clock, 1.0)
         if isinstance(self.end, ConnectionRefusedError):
             raise self.end
@@ -56,7 +56,7 @@
             failure.Failure(web_client.ResponseDone()))
 
 
-def holder(now):
+def holder_state(now):
     """Return the state of a holder whose lease was renewed at ``now``."""
     state = control.new_state(control.Config("x"), random.Random(1), now)
     state.generation = ORDER.generation
@@ -68,30 +68,30 @@
 
 
 class SendOrderTest(unittest.TestCase):
-    """How the sending of an order may end."""
+    """The possible outcomes of sending an order."""
 
     def send(self, end, pause_s=0.0):
         """Send an order; return what was written and the outcome."""
         clock = task.Clock()
         http = FakeHttp(clock, end)
         ctx = types.SimpleNamespace(
-            reactor=clock, http=http, state=holder(0.0),
+            reactor=clock, http=http, state=holder_state(0.0),
             now=lambda: clock.seconds() + pause_s)
-        fut = defer.Deferred.fromCoroutine(engine_calls.send_order(
+        deferred = defer.Deferred.fromCoroutine(engine_calls.send_order(
             ctx, effects.SendOrder(ORDER, "http://127.0.0.1:1", 5.0)))
         clock.pump([0.5] * 12)
-        return http.written, self.successResultOf(fut)
+        return http.written, self.successResultOf(deferred)
 
-    def successResultOf(self, fut):
+    def successResultOf(self, deferred):
         """Return the result of a Deferred that has fired."""
-        found = []
-        fut.addCallback(found.append)
-        self.assertEqual(1, len(found))
-        return found[0]
+        results = []
+        deferred.addCallback(results.append)
+        self.assertEqual(1, len(results))
+        return results[0]
 
     def test_outcomes(self):
-        """Each end of a call, and what may have happened by then."""
-        rows = (
+        """Each end of a call maps to what the engine may have done."""
+        cases = (
             ((200, b"{}"), Outcome.DONE),
             ((409, STALE), Outcome.STALE_FENCE),
             ((409, b"no json"), Outcome.REFUSED),
@@ -100,17 +100,17 @@
             (ConnectionResetError(), Outcome.UNKNOWN),
             (None, Outcome.UNKNOWN),
         )
-        for end, outcome in rows:
+        for end, outcome in cases:
             with self.subTest(end=end):
                 _, answer = self.send(end)
                 self.assertIs(outcome, answer.outcome)
 
     def test_pause_while_connecting(self):
-        """An engine gets an order from a host that lost its lease.
+        """A host that lost its lease must not send an order.
 
-        The lease is fresh when the order is decided; the process is
-        paused while the connection is made. Cause: a check before the
-        call only, and not before the bytes.
+        The lease is valid when the order is decided; the process is
+        paused while the connection is made. The failure occurs if the
+        lease is checked only before the call and not before the write.
         """
         written, answer = self.send((200, b"{}"), pause_s=60.0)
         self.assertEqual([], written)
@@ -129,18 +129,18 @@
     }"""
 
     def parse(self, text):
-        """Parse a text beside a token file."""
-        with tempfile.TemporaryDirectory() as folder:
-            (pathlib.Path(folder) / "token").write_text("t0\n")
-            return settings.parse(text, folder)
+        """Parse a text in a directory with a token file."""
+        with tempfile.TemporaryDirectory() as directory:
+            (pathlib.Path(directory) / "token").write_text("t0\n")
+            return settings.parse(text, directory)
 
     def test_good_file(self):
-        found = self.parse(self.GOOD)
-        self.assertEqual("t0", found.platform_token)
-        self.assertEqual(0.2, found.cfg.share)
+        parsed = self.parse(self.GOOD)
+        self.assertEqual("t0", parsed.platform_token)
+        self.assertEqual(0.2, parsed.cfg.share)
 
     def test_faults(self):
-        rows = (
+        cases = (
             ("{", ""),
             (self.GOOD.replace("share", "shares"), "rollout"),
             (self.GOOD.replace("0.2", "0"), "share"),
@@ -148,8 +148,8 @@
             (self.GOOD.replace("rollout: {share: 0.2}",
                                "lease: {span_s: 6, renew_s: 3}"), "lease"),
         )
-        for text, where in rows:
+        for text, pattern in cases:
             with self.subTest(text=text):
                 with self.assertRaisesRegex(
-                        exceptions.BadSettingsFile, where):
+                        exceptions.BadSettingsFile, pattern):
                     self.parse(text)
--- a/tests/control/world.py
+++ b/tests/control/world.py
@@ -1,7 +1,7 @@
-"""A small world for the control reducer: hosts, a store, engines.
+"""Simulation for the control reducer: hosts, a store and engines.
 
-Each host has its own clock, which starts anywhere and may run at
-another rate. All faults are the caller's choice.
+Each host has its own clock, with its own offset and rate. The caller
+chooses all faults.
 """
 
 import collections
@@ -14,166 +14,169 @@
 
 Status = events.Status
 Outcome = events.Outcome
-LEASE = "control/lease"
+LEASE_KEY = "control/lease"
 STEP_S = 0.5
 
 
 @dataclasses.dataclass
 class Host:
-    """One control daemon; ``fault`` is that of its lease's writes.
+    """A control daemon; ``lease_fault`` is the fault of lease calls.
 
-    ``well``, ``lost`` (takes effect, answer lost), ``late`` (answer
-    lost, takes effect with ``World.land_writes``) or ``out``.
-    ``transit``: orders that left it, where they are held back.
+    ``none``, ``lost`` (a write takes effect, its answer is lost),
+    ``late`` (the answer is lost, the write takes effect at
+    ``World.apply_late_writes``) or ``unavailable``. ``held_orders``, if
+    not None, collects orders before the check that precedes sending,
+    ``in_transit`` orders that were sent but not delivered.
     """
 
     name: str
     state: control.ControlState
-    clock_zero: float
+    clock_offset_s: float
     clock_rate: float = 1.0
-    fault: str = "well"
+    lease_fault: str = "none"
     paused: bool = False
     exited: bool = False
     inbox: list = dataclasses.field(default_factory=list)
-    unsent: list | None = None
-    transit: list | None = None
+    held_orders: list | None = None
+    in_transit: list | None = None
 
     def now(self, world):
         """Return this host's own monotonic time."""
-        return self.clock_zero + world.now * self.clock_rate
+        return self.clock_offset_s + world.now * self.clock_rate
 
 
 @dataclasses.dataclass
 class Engine:
-    """A fake engine; ``models`` is name to (version, ready from)."""
+    """A fake engine; ``models`` maps a name to (version, ready at)."""
 
     name: str
     service: str
     domain: str
-    checks: bool
+    checks_fence: bool
     models: dict
     load_s: float = 2.0
-    refuses: bool = False
-    up_from: float = 0.0
-    boot: int = 1
-    highest: int = 0
-    done: set = dataclasses.field(default_factory=set)
-    out_since: float | None = None
-
-    def take(self, order, now):
-        """Carry an order out and return the outcome."""
-        if now < self.up_from:
+    refuses_orders: bool = False
+    up_at: float = 0.0
+    boot_number: int = 1
+    highest_fence: int = 0
+    executed_order_ids: set = dataclasses.field(default_factory=set)
+    unavailable_since: float | None = None
+
+    def receive(self, order, now):
+        """Execute an order and return the outcome."""
+        if now < self.up_at:
             return Outcome.NOT_SENT
-        if self.checks and order.fence < self.highest:
+        if self.checks_fence and order.fence < self.highest_fence:
             return Outcome.STALE_FENCE
-        if self.refuses:
+        if self.refuses_orders:
             return Outcome.REFUSED
-        self.highest = max(self.highest, order.fence)
-        if order.order_id not in self.done:
-            self.done.add(order.order_id)
-            self._obey(order.item, now)
+        self.highest_fence = max(self.highest_fence, order.fence)
+        if order.order_id not in self.executed_order_ids:
+            self.executed_order_ids.add(order.order_id)
+            self._apply(order.item, now)
         return Outcome.DONE
 
-    def _obey(self, item, now):
+    def _apply(self, item, now):
         if item.kind is control.Kind.LOAD_MODEL:
             self.models[item.name] = (item.version, now + self.load_s)
         elif item.kind is control.Kind.UNLOAD_MODEL:
             self.models.pop(item.name, None)
 
-    def crash(self, now, span_s=3.0):
-        """Forget all but the models of the command line."""
-        self.boot += 1
-        self.up_from = now + span_s
-        self.highest = 0
-        self.done = set()
-        self.models = {"m": ("1", self.up_from)}
+    def crash(self, now, duration_s=3.0):
+        """Restart with only the model given on the command line."""
+        self.boot_number += 1
+        self.up_at = now + duration_s
+        self.highest_fence = 0
+        self.executed_order_ids = set()
+        self.models = {"m": ("1", self.up_at)}
 
     def serves(self, now):
-        """Say whether all its models are ready."""
-        return now >= self.up_from and all(
+        """Return whether all its models are ready."""
+        return now >= self.up_at and all(
             now >= ready for _, ready in self.models.values())
 
     def version(self):
         """Return the version of model ``m``."""
         return self.models["m"][0]
 
-    def seen(self, now):
-        """Return the answer to a read of its state."""
-        if now < self.up_from:
+    def state_event(self, now):
+        """Return the event that answers a read of its state."""
+        if now < self.up_at:
             return events.EngineSeen(self.name, False)
         return events.EngineSeen(
-            self.name, True, f"b{self.boot}", tuple(
+            self.name, True, f"b{self.boot_number}", tuple(
                 (name, version, now >= ready)
                 for name, (version, ready) in self.models.items()),
-            (), "", self.highest if self.checks else 0)
+            (), "", self.highest_fence if self.checks_fence else 0)
 
 
 class World:
-    """Hosts x and y, engines of the service ``s`` in three domains."""
+    """Hosts x and y, and engines of service ``s`` in three domains."""
 
-    def __init__(self, count=6, checks=True, rates=(1.0, 1.0), **cfg):
-        """``cfg`` are overrides of ``control.Config``."""
+    def __init__(self, count=6, checks_fence=True,
+                 clock_rates=(1.0, 1.0), **cfg):
+        """``cfg`` overrides fields of ``control.Config``."""
         self.now = 0.0
         self.version = 0
         self.objects = {}
-        self.late = []
-        self.landed = []
+        self.late_writes = []
+        self.delivered = []
         self.records = []
         self.queue = collections.deque()
         self.hosts = {
             name: Host(name, control.new_state(
-                control.Config(name, **cfg), random.Random(name), zero),
-                zero, rate)
-            for (name, zero), rate in zip(
-                (("x", 0.0), ("y", 5000.0)), rates)}
+                control.Config(name, **cfg), random.Random(name), offset_s),
+                offset_s, rate)
+            for (name, offset_s), rate in zip(
+                (("x", 0.0), ("y", 5000.0)), clock_rates)}
         self.engines = {}
         self.generation = 0
         self.services = {}
         for number in range(count):
             domain = "abc"[number * 3 // count]
-            self.add_engine(f"e{number}", "s", domain, checks)
-        self.want("s", "m:1", checks)
+            self.add_engine(f"e{number}", "s", domain, checks_fence)
+        self.want("s", "m:1", checks_fence)
 
-    def add_engine(self, name, service, domain, checks):
+    def add_engine(self, name, service, domain, checks_fence):
         """Add an engine that has version 1 of model ``m``."""
         self.engines[name] = Engine(
-            name, service, domain, checks, {"m": ("1", 0.0)})
+            name, service, domain, checks_fence, {"m": ("1", 0.0)})
 
-    def want(self, service, model, checks=True):
+    def want(self, service, model, checks_fence=True):
         """Accept a new generation of the settings."""
         self.generation += 1
         self.services = {**self.services, service: {
-            "kind": "engine", "models": [model], "checks_fence": checks}}
+            "kind": "engine", "models": [model], "checks_fence": checks_fence}}
 
     # Time.
 
-    def run(self, span_s, names="xy"):
-        """Let time go on; the hosts named tick, if not paused."""
-        for _ in range(round(span_s / STEP_S)):
+    def run(self, duration_s, names="xy"):
+        """Advance the time; the named hosts tick, unless paused."""
+        for _ in range(round(duration_s / STEP_S)):
             self.now += STEP_S
             for name in names:
                 host = self.hosts[name]
                 if not host.paused and not host.exited:
                     self.feed(host, events.Ticked())
-            self.note_engines()
+            self.track_availability()
 
-    def note_engines(self):
-        """Note since when each engine does not serve."""
+    def track_availability(self):
+        """Record since when each engine has not been serving."""
         for engine in self.engines.values():
             if engine.serves(self.now):
-                engine.out_since = None
-            elif engine.out_since is None:
-                engine.out_since = self.now
+                engine.unavailable_since = None
+            elif engine.unavailable_since is None:
+                engine.unavailable_since = self.now
 
-    def wake(self, host):
-        """End a pause: what waited is handled, in order."""
+    def resume(self, host):
+        """End a pause and handle the queued events in order."""
         host.paused = False
         inbox, host.inbox = host.inbox, []
         for event in inbox:
             self.feed(host, event)
 
     def feed(self, host, event):
-        """Reduce an event and carry out what comes of it."""
+        """Reduce an event and execute its effects."""
         if host.paused:
             host.inbox.append(event)
             return
@@ -181,15 +184,15 @@
         if len(self.queue) > 1:
             return
         while self.queue:
-            at, event = self.queue[0]
+            target, event = self.queue[0]
             for effect in control.reduce(
-                    at.state, event, at.now(self)):
-                self._carry_out(at, effect)
+                    target.state, event, target.now(self)):
+                self._execute_effect(target, effect)
             self.queue.popleft()
 
     # Effects.
 
-    def _carry_out(self, host, effect):
+    def _execute_effect(self, host, effect):
         match effect:
             case effects.Record():
                 self.records.append(
@@ -199,14 +202,14 @@
             case effects.SendOrder():
                 self._send(host, effect.order)
             case _:
-                self.feed(host, self._answer(host, effect))
+                self.feed(host, self._execute_call(host, effect))
 
-    def _answer(self, host, effect):
+    def _execute_call(self, host, effect):
         match effect:
             case effects.ReadLease():
-                if host.fault == "out":
+                if host.lease_fault == "unavailable":
                     return events.LeaseRead(Status.UNAVAILABLE)
-                version, body = self.objects.get(LEASE, (0, b""))
+                version, body = self.objects.get(LEASE_KEY, (0, b""))
                 status = Status.FOUND if version else Status.NOT_FOUND
                 return events.LeaseRead(status, version, body)
             case effects.WriteLease():
@@ -223,80 +226,80 @@
                         each.name, each.service, "u", each.domain)
                     for each in self.engines.values()))
             case effects.ReadEngine(engine=name):
-                return self.engines[name].seen(self.now)
+                return self.engines[name].state_event(self.now)
 
     def _write(self, host, effect):
         status = Status.UNKNOWN
-        if host.fault == "out":
+        if host.lease_fault == "unavailable":
             status = Status.UNAVAILABLE
-        elif host.fault == "late":
-            self.late.append(effect)
-        elif not self.put(effect):
+        elif host.lease_fault == "late":
+            self.late_writes.append(effect)
+        elif not self.write_lease(effect):
             status = Status.CONFLICT
-        elif host.fault == "well":
+        elif host.lease_fault == "none":
             status = Status.WRITTEN
         return events.LeaseWritten(
             effect.nonce, effect.number, status, self.version)
 
-    def put(self, effect):
-        """Carry out a conditional write; say whether it took effect."""
-        if self.objects.get(LEASE, (0, b""))[0] != effect.version:
+    def write_lease(self, effect):
+        """Apply a conditional write; return whether it took effect."""
+        if self.objects.get(LEASE_KEY, (0, b""))[0] != effect.version:
             return False
         self.version += 1
-        self.objects[LEASE] = (self.version, effect.body)
+        self.objects[LEASE_KEY] = (self.version, effect.body)
         return True
 
-    def land_writes(self):
-        """Let the late writes take effect, where they still can."""
-        late, self.late = self.late, []
-        for effect in late:
-            self.put(effect)
+    def apply_late_writes(self):
+        """Apply the late writes whose condition still holds."""
+        late_writes, self.late_writes = self.late_writes, []
+        for effect in late_writes:
+            self.write_lease(effect)
 
     # Orders.
 
     def _send(self, host, order):
-        if host.unsent is not None:
-            host.unsent.append(order)
+        if host.held_orders is not None:
+            host.held_orders.append(order)
             return
         if not control.may_send(host.state, order, host.now(self)):
-            self.answer(host, order, Outcome.NOT_SENT)
-        elif host.transit is not None:
-            host.transit.append((self.now, order))
+            self.report_outcome(host, order, Outcome.NOT_SENT)
+        elif host.in_transit is not None:
+            host.in_transit.append((self.now, order))
         else:
-            self.answer(host, order, self.land(host, order))
+            self.report_outcome(host, order, self.deliver_order(host, order))
 
-    def send_unsent(self, host):
-        """Go on with the sending that was held up before its check."""
-        held, host.unsent = host.unsent, None
-        for order in held:
+    def send_held_orders(self, host):
+        """Resume sending the orders held before the check."""
+        held_orders, host.held_orders = host.held_orders, None
+        for order in held_orders:
             self._send(host, order)
 
-    def land(self, host, order):
-        """Let an order reach its engine; return the outcome."""
+    def deliver_order(self, host, order):
+        """Deliver an order to its engine; return the outcome."""
         engine = self.engines[order.engine]
         served = engine.serves(self.now)
-        outcome = engine.take(order, self.now)
-        self.landed.append((self.now, host.name, order, outcome, served))
+        outcome = engine.receive(order, self.now)
+        self.delivered.append((self.now, host.name, order, outcome, served))
         return outcome
 
-    def answer(self, host, order, outcome):
-        """Tell a host how the sending of an order ended."""
+    def report_outcome(self, host, order, outcome):
+        """Report the outcome of an order to the host."""
         self.feed(host, events.OrderAnswered(
             order.order_id, order.engine, outcome))
 
-    # For asserts.
+    # For assertions.
 
-    def holder(self):
-        """Return the names of the hosts that believe they hold."""
+    def holders(self):
+        """Return the names of the hosts that believe they hold the lease."""
         return "".join(name for name, host in self.hosts.items()
                        if host.state.lease.holding)
 
-    def kinds(self, host):
-        """Return the kinds of records of a host."""
+    def record_kinds(self, host):
+        """Return the kinds of the timeline events of a host."""
         return [kind for name, kind, _ in self.records if name == host]
 
-    def taken(self, name):
-        """Return the (host, fence) of orders an engine has taken."""
+    def accepted_orders(self, name):
+        """Return (host, fence) of the orders that an engine accepted."""
         return [(host, order.fence)
-                for _, host, order, outcome, _ in self.landed
+                for _, host, order, outcome, _ in self.delivered
                 if order.engine == name and outcome is Outcome.DONE]
