--- a/crocuskeel/objectapi/__init__.py
+++ b/crocuskeel/objectapi/__init__.py
@@ -4,14 +4,14 @@
 from crocuskeel.objectapi.client import new_client
 from crocuskeel.objectapi.exceptions import AnswerLost
 from crocuskeel.objectapi.exceptions import NotSent
-from crocuskeel.objectapi.exceptions import PlatformError
+from crocuskeel.objectapi.exceptions import TransportError
 from crocuskeel.objectapi.results import Conflict
 from crocuskeel.objectapi.results import Found
 from crocuskeel.objectapi.results import HostEntry
 from crocuskeel.objectapi.results import HostList
 from crocuskeel.objectapi.results import HttpAnswer
-from crocuskeel.objectapi.results import Listed
 from crocuskeel.objectapi.results import NotFound
+from crocuskeel.objectapi.results import ObjectList
 from crocuskeel.objectapi.results import ObjectRef
 from crocuskeel.objectapi.results import Rejected
 from crocuskeel.objectapi.results import Unavailable
@@ -22,8 +22,8 @@
 
 __all__ = [
     "AnswerLost", "ClientConfig", "Conflict", "Found", "HostEntry",
-    "HostList", "HttpAnswer", "Listed", "NotFound", "NotSent",
-    "ObjectRef", "PlatformError", "Rejected", "Unavailable",
+    "HostList", "HttpAnswer", "NotFound", "NotSent", "ObjectList",
+    "ObjectRef", "Rejected", "TransportError", "Unavailable",
     "Unchanged", "WriteUnknown", "Written", "new_client",
     "new_treq_send",
 ]
--- a/crocuskeel/objectapi/budget.py
+++ b/crocuskeel/objectapi/budget.py
@@ -1,4 +1,4 @@
-"""Token bucket: bounds calls a second of this host, or writes a slot."""
+"""Token bucket that limits the rate of calls or writes."""
 
 import dataclasses
 
@@ -7,20 +7,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Budget:
-    """A bucket of ``burst`` tokens that refills at ``rate`` a second."""
+    """A bucket of ``burst`` tokens, refilled at ``rate`` a second."""
 
     rate: float
     burst: float
     tokens: float
-    at: float
+    updated_at: float
 
     def _refill(self, now):
         self.tokens = min(
-            self.burst, self.tokens + (now - self.at) * self.rate)
-        self.at = now
+            self.burst, self.tokens + (now - self.updated_at) * self.rate)
+        self.updated_at = now
 
     def take(self, now):
-        """Take a token if there is one; say whether there was."""
+        """Take a token if one is available; return whether one was."""
         self._refill(now)
         if self.tokens < 1.0:
             return False
@@ -33,11 +33,11 @@
         return max(0.0, (1.0 - self.tokens) / self.rate)
 
     def drain(self, now):
-        """Empty the bucket, so that calls start again at ``rate``."""
+        """Empty the bucket, so that calls resume at ``rate``."""
         self.tokens = 0.0
-        self.at = now
+        self.updated_at = now
 
 
 def new_budget(rate, burst, now):
-    """Return a full bucket; ``rate`` a second, ``burst`` tokens."""
-    return Budget(rate=rate, burst=burst, tokens=burst, at=now)
+    """Return a full bucket of ``burst`` tokens, refilled at ``rate``."""
+    return Budget(rate=rate, burst=burst, tokens=burst, updated_at=now)
--- a/crocuskeel/objectapi/circuit.py
+++ b/crocuskeel/objectapi/circuit.py
@@ -1,10 +1,10 @@
-"""Circuit breaker: few calls in an outage, no stampede at its end.
+"""Circuit breaker: few calls in an outage, no burst when it ends.
 
-closed: calls pass; failures in a row open it. open: calls are refused
-at once until a jittered time, so that the probes of many hosts spread.
-probing: one call passes; its success closes the circuit and empties the
-budget, so that calls start again at the budget's rate and not all at
-once; its failure opens it again, for up to twice as long.
+closed: calls pass; consecutive failures open the circuit. open: calls
+are refused immediately until a jittered time, which spreads the probes
+of many hosts. probing: one call passes. Its success closes the circuit
+and empties the budget, so that calls resume at the budget's rate and
+not all at once; its failure reopens the circuit for up to twice as long.
 """
 
 import dataclasses
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CircuitConfig:
-    """``failures`` in a row open it; spans in seconds."""
+    """``failures`` consecutive ones open it; durations in seconds."""
 
     failures: int = 5
     open_s: float = 0.5
@@ -36,29 +36,29 @@
 
 @dataclasses.dataclass(slots=True)
 class _Core:
-    """What the transitions change.
+    """The data that the transitions change.
 
-    ``epoch`` grows at each transition: results of calls begun before it
-    say nothing of the present state and are ignored.
+    ``epoch`` grows at each transition. Results of calls that began
+    before it say nothing about the present state and are ignored.
     """
 
     cfg: CircuitConfig
     rng: random.Random
     budget: budgets.Budget
     failures: int = 0
-    span_s: float = 0.0
+    open_span_s: float = 0.0
     retry_at: float = 0.0
     epoch: int = 0
 
 
 class _Inputs(typing.Protocol):
-    """Inputs of the state machine; ``now`` in seconds."""
+    """Inputs of the state machine; ``now`` is in seconds."""
 
     def trip(self, now: float) -> None:
         """Too many failures, or the probe failed."""
 
     def probe(self, now: float) -> None:
-        """The open span is over; the next call is the probe."""
+        """The open period is over; the next call is the probe."""
 
     def restore(self, now: float) -> None:
         """The probe succeeded."""
@@ -81,10 +81,10 @@
 def _trip(inputs: _Inputs, core: _Core, now: float) -> None:
     core.epoch += 1
     core.failures = 0
-    core.span_s = min(core.cfg.open_max_s,
-                      max(core.cfg.open_s, core.span_s * 2))
+    core.open_span_s = min(core.cfg.open_max_s,
+                           max(core.cfg.open_s, core.open_span_s * 2))
     jitter = core.rng.uniform(_JITTER_LOW, _JITTER_HIGH)
-    core.retry_at = now + core.span_s * jitter
+    core.retry_at = now + core.open_span_s * jitter
 
 
 @_open.upon(_Inputs.probe).to(_probing)
@@ -95,7 +95,7 @@
 @_probing.upon(_Inputs.restore).to(_closed)
 def _restore(inputs: _Inputs, core: _Core, now: float) -> None:
     core.epoch += 1
-    core.span_s = 0.0
+    core.open_span_s = 0.0
     core.budget.drain(now)
 
 
@@ -104,7 +104,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Circuit:
-    """The state machine with its guards on time and counts."""
+    """The state machine and its conditions on time and failure counts."""
 
     core: _Core
     machine: _Inputs
@@ -114,19 +114,19 @@
         return self.machine.name()
 
     def refuses(self, now):
-        """Say whether a call must not be made now."""
+        """Return whether a call must not be made now."""
         if self.state() == OPEN:
             return now < self.core.retry_at
         return self.state() == PROBING
 
     def admit(self, now):
-        """Return the epoch of a call that is not refused."""
+        """Return the epoch for a call that is not refused."""
         if self.state() == OPEN:
             self.machine.probe(now)
         return self.core.epoch
 
     def succeeded(self, epoch, now):
-        """Take the success of a call that ran under ``epoch``."""
+        """Handle the success of a call that began in ``epoch``."""
         if epoch != self.core.epoch:
             return
         self.core.failures = 0
@@ -134,7 +134,7 @@
             self.machine.restore(now)
 
     def failed(self, epoch, now):
-        """Take the failure of a call that ran under ``epoch``."""
+        """Handle the failure of a call that began in ``epoch``."""
         if epoch != self.core.epoch:
             return
         self.core.failures += 1
@@ -143,7 +143,7 @@
             self.machine.trip(now)
 
     def retry_after_s(self, now):
-        """Return the seconds until a refused caller should come back."""
+        """Return the seconds after which a refused caller should retry."""
         return max(self.core.cfg.open_s, self.core.retry_at - now)
 
 
--- a/crocuskeel/objectapi/client.py
+++ b/crocuskeel/objectapi/client.py
@@ -1,8 +1,8 @@
-"""One client for the Object API and the host list.
+"""Client of the Object API and the host list.
 
-Every call is bounded in time, counted by kind, and paid for from one
-budget of this host; a circuit refuses calls in an outage. Only what is
-known not to have happened, or only reads, is sent again.
+Every call has a timeout, is counted by kind and takes a token from the
+budget of this host; a circuit breaker refuses calls during an outage. A
+call is retried only if it is known to have had no effect or only reads.
 """
 
 import collections
@@ -14,10 +14,10 @@
 from twisted.internet import defer
 from twisted.internet import task
 
-from crocuskeel.objectapi import answers
 from crocuskeel.objectapi import budget as budgets
 from crocuskeel.objectapi import circuit as circuits
 from crocuskeel.objectapi import exceptions
+from crocuskeel.objectapi import responses
 from crocuskeel.objectapi import results
 
 __all__ = ["ClientConfig", "PlatformClient", "new_client"]
@@ -29,12 +29,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientConfig:
-    """Settings of the client; spans in seconds.
+    """Settings of the client; durations in seconds.
 
     ``call_s`` bounds one call with all its attempts, ``attempt_s`` one
-    attempt. ``rate`` and ``burst`` are this host's calls a second;
-    ``max_in_flight`` bounds its open calls, watches aside.
-    Back-off is drawn from 0 to ``backoff_s`` times 2 to the attempt.
+    attempt. ``rate`` and ``burst`` limit this host's calls a second;
+    ``max_in_flight`` bounds its concurrent calls other than watches.
+    The backoff is drawn from 0 to ``backoff_s * 2 ** attempt``, at most
+    ``backoff_max_s``.
     """
 
     base_url: str
@@ -52,12 +53,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Call:
-    """One call: what to send and how to read its answer."""
+    """A call: the request to send and the parser of its response."""
 
     kind: str
     method: str
     url: str
-    read: typing.Callable
+    parse: typing.Callable
     headers: tuple[tuple[str, str], ...] = ()
     data: bytes | None = None
     attempt_s: float = 0.0
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PlatformClient:
-    """State of the client; made by :func:`new_client`."""
+    """The client; created by :func:`new_client`."""
 
     reactor: typing.Any
     cfg: ClientConfig
@@ -76,37 +77,37 @@
     counts: collections.Counter
     in_flight: int = 0
 
-    # Calls. Each returns a Deferred that fires with a result, within a
-    # bounded time. Cancelling one ends it as lost.
+    # Calls. Each returns a Deferred that fires with a result within a
+    # bounded time. A cancelled call has the result of a lost response.
 
     def get(self, path):
         """Read an object: Found, NotFound, Unavailable, Rejected."""
         return self._start(_Call(
-            READ, "GET", self._object_url(path), answers.found))
+            READ, "GET", self._object_url(path), responses.parse_found))
 
     def put(self, path, body, version):
         """Replace the object that has ``version``: a write result."""
         return self._start(_Call(
-            WRITE, "PUT", self._object_url(path), answers.written,
-            (("If-Match", answers.etag(version)),), body))
+            WRITE, "PUT", self._object_url(path), responses.parse_written,
+            (("If-Match", responses.etag(version)),), body))
 
     def create(self, path, body):
         """Write an object that must not exist yet: a write result."""
         return self._start(_Call(
-            WRITE, "PUT", self._object_url(path), answers.written,
+            WRITE, "PUT", self._object_url(path), responses.parse_written,
             (("If-None-Match", "*"),), body))
 
     def delete(self, path, version):
         """Delete the object that has ``version``: a write result."""
         return self._start(_Call(
-            WRITE, "DELETE", self._object_url(path), answers.deleted,
-            (("If-Match", answers.etag(version)),)))
+            WRITE, "DELETE", self._object_url(path), responses.parse_deleted,
+            (("If-Match", responses.etag(version)),)))
 
     def watch(self, path, version, timeout_s):
         """Wait for another version: Found, NotFound or Unchanged.
 
         While the circuit is not closed the platform is asked not to
-        wait: a probe that waits would hold all other calls back.
+        wait: a waiting probe would block all other calls.
         """
         if self.circuit.state() != circuits.CLOSED:
             timeout_s = 0.0
@@ -114,7 +115,7 @@
             {"watch": version, "timeout_s": f"{timeout_s:g}"})
         url = f"{self._object_url(path)}?{query}"
         return self._start(_Call(
-            WATCH, "GET", url, answers.watched(version),
+            WATCH, "GET", url, responses.watch_parser(version),
             attempt_s=timeout_s + self.cfg.attempt_s))
 
     def list_objects(self, prefix):
@@ -122,67 +123,67 @@
         query = urllib.parse.urlencode({"prefix": prefix})
         return self._start(_Call(
             READ, "GET", f"{self.cfg.base_url}/objects?{query}",
-            answers.listed))
+            responses.parse_listing))
 
     def hosts(self):
         """Read the host list: HostList, Unavailable or Rejected."""
         return self._start(_Call(
-            READ, "GET", f"{self.cfg.base_url}/hosts", answers.hosts))
+            READ, "GET", f"{self.cfg.base_url}/hosts", responses.parse_hosts))
 
-    # How a call goes.
+    # Execution of a call.
 
     def _object_url(self, path):
         quoted = urllib.parse.quote(path)
         return f"{self.cfg.base_url}/objects/{quoted}"
 
     def _start(self, call):
-        return defer.Deferred.fromCoroutine(self._run(call))
+        return defer.Deferred.fromCoroutine(self._run_with_retries(call))
 
-    async def _run(self, call):
+    async def _run_with_retries(self, call):
         span_s = max(self.cfg.call_s, call.attempt_s)
-        ends = self.reactor.seconds() + span_s
+        deadline = self.reactor.seconds() + span_s
         attempt = 0
         while True:
-            result = await self._attempt(call, ends)
+            result = await self._attempt(call, deadline)
             attempt += 1
             wait_s = self._backoff_s(result, attempt)
-            left_s = ends - self.reactor.seconds() - wait_s
-            if not self._again(result, attempt) or left_s <= 0:
+            remaining_s = deadline - self.reactor.seconds() - wait_s
+            if not self._may_retry(result, attempt) or remaining_s <= 0:
                 return result
             await task.deferLater(self.reactor, wait_s)
 
-    def _again(self, result, attempt):
-        """Only what is known not to have happened is sent again."""
+    def _may_retry(self, result, attempt):
+        """Return whether the call had no effect and has attempts left."""
         return (
             isinstance(result, results.Unavailable)
-            and result.reason in answers.WORTH_A_REPEAT
+            and result.reason in responses.RETRYABLE_REASONS
             and attempt < self.cfg.max_attempts)
 
     def _backoff_s(self, result, attempt):
-        cap = min(self.cfg.backoff_max_s,
-                  self.cfg.backoff_s * 2 ** attempt)
-        jitter = self.rng.uniform(0.0, cap)
+        max_wait_s = min(self.cfg.backoff_max_s,
+                         self.cfg.backoff_s * 2 ** attempt)
+        jitter = self.rng.uniform(0.0, max_wait_s)
         return max(jitter, getattr(result, "retry_after_s", 0.0))
 
-    async def _attempt(self, call, ends):
+    async def _attempt(self, call, deadline):
         now = self.reactor.seconds()
         if self.circuit.refuses(now):
             return results.Unavailable(
-                answers.CIRCUIT_OPEN, self.circuit.retry_after_s(now))
-        # A store that hangs gives no failure before the first timeout:
-        # until then only this bound keeps calls from piling up.
+                responses.CIRCUIT_OPEN, self.circuit.retry_after_s(now))
+        # A store that hangs causes no failure before the first timeout;
+        # until then only this limit keeps calls from accumulating.
         if call.kind != WATCH and (
                 self.in_flight >= self.cfg.max_in_flight):
-            return results.Unavailable(answers.IN_FLIGHT)
+            return results.Unavailable(responses.IN_FLIGHT)
         if not self.budget.take(now):
             return results.Unavailable(
-                answers.BUDGET_SPENT, self.budget.wait_s(now))
+                responses.BUDGET_SPENT, self.budget.wait_s(now))
         epoch = self.circuit.admit(now)
         self.counts[call.kind] += 1
-        held = 0 if call.kind == WATCH else 1
-        self.in_flight += held
-        result, healthy = await self._exchange(call, ends - now)
-        self.in_flight -= held
+        slots = 0 if call.kind == WATCH else 1
+        self.in_flight += slots
+        result, healthy = await self._send_once(call, deadline - now)
+        self.in_flight -= slots
         now = self.reactor.seconds()
         if healthy:
             self.circuit.succeeded(epoch, now)
@@ -190,34 +191,34 @@
             self.circuit.failed(epoch, now)
         return result
 
-    async def _exchange(self, call, left_s):
-        """Send once; return the result and whether the API is well."""
+    async def _send_once(self, call, remaining_s):
+        """Send once; return the result and whether the API is healthy."""
         is_write = call.kind == WRITE
         headers = dict(call.headers)
         headers["Authorization"] = f"Bearer {self.cfg.token}"
-        timeout = min(left_s, call.attempt_s or self.cfg.attempt_s)
-        fut = self.send(
-            call.method, call.url, headers, call.data, timeout)
-        # A transport whose own bound fails must not hold the caller:
-        # an open connection can go silent for good.
-        fut.addTimeout(timeout, self.reactor)
+        timeout_s = min(remaining_s, call.attempt_s or self.cfg.attempt_s)
+        deferred = self.send(
+            call.method, call.url, headers, call.data, timeout_s)
+        # Don't rely on the transport's own timeout: an open connection
+        # can hang forever, and the caller must not wait for it.
+        deferred.addTimeout(timeout_s, self.reactor)
         try:
-            answer = await fut
+            response = await deferred
         except exceptions.NotSent:
-            return results.Unavailable(answers.NOT_SENT), False
+            return results.Unavailable(responses.NOT_SENT), False
         except defer.CancelledError:
-            return answers.lost(is_write, answers.CANCELLED), False
+            return responses.lost_result(is_write, responses.CANCELLED), False
         except (exceptions.AnswerLost, defer.TimeoutError):
-            return answers.lost(is_write, answers.LOST), False
-        return answers.judge(call.read, answer, is_write)
+            return responses.lost_result(is_write, responses.LOST), False
+        return responses.classify(call.parse, response, is_write)
 
 
 def new_client(reactor, cfg, send, rng):
     """Return a client.
 
-    ``send(method, url, headers, data, timeout)`` returns a Deferred of
+    ``send(method, url, headers, data, timeout_s)`` returns a Deferred of
     an ``HttpAnswer`` that fails with ``NotSent`` or ``AnswerLost``;
-    ``rng`` is a seeded ``random.Random``, another one on each host.
+    ``rng`` is a ``random.Random`` whose seed differs on each host.
     """
     budget = budgets.new_budget(cfg.rate, cfg.burst, reactor.seconds())
     return PlatformClient(
--- a/crocuskeel/objectapi/exceptions.py
+++ b/crocuskeel/objectapi/exceptions.py
@@ -1,19 +1,19 @@
-"""Errors between the transport and the client.
+"""Exceptions that the transport raises for the client.
 
-Callers of the client never see them: every call's result is one of the
-types of :mod:`crocuskeel.objectapi.results`.
+Callers of the client never see them: the result of every call is one of
+the types in :mod:`crocuskeel.objectapi.results`.
 """
 
-__all__ = ["AnswerLost", "NotSent", "PlatformError"]
+__all__ = ["AnswerLost", "NotSent", "TransportError"]
 
 
-class PlatformError(Exception):
-    """Base of the platform layer's own errors."""
+class TransportError(Exception):
+    """Base class of the transport's exceptions."""
 
 
-class NotSent(PlatformError):
-    """No byte of the request left this host; it had no effect."""
+class NotSent(TransportError):
+    """No byte of the request was sent; it had no effect."""
 
 
-class AnswerLost(PlatformError):
-    """The request may have left this host; a write may have happened."""
+class AnswerLost(TransportError):
+    """The request may have been sent; a write may have taken effect."""
--- a/crocuskeel/objectapi/responses.py
+++ b/crocuskeel/objectapi/responses.py
@@ -1,4 +1,4 @@
-"""Turns HTTP answers of the platform into results."""
+"""Converts HTTP responses of the platform into results."""
 
 import functools
 import json
@@ -7,8 +7,9 @@
 
 __all__ = [
     "BUDGET_SPENT", "BUSY", "CANCELLED", "CIRCUIT_OPEN", "IN_FLIGHT",
-    "LOST", "NOT_SENT", "WORTH_A_REPEAT", "deleted", "etag", "found",
-    "hosts", "judge", "listed", "lost", "watched", "written",
+    "LOST", "NOT_SENT", "RETRYABLE_REASONS", "classify", "etag",
+    "lost_result", "parse_deleted", "parse_found", "parse_hosts",
+    "parse_listing", "parse_written", "watch_parser",
 ]
 
 NOT_SENT = "not_sent"
@@ -17,18 +18,18 @@
 IN_FLIGHT = "in_flight"
 BUSY = "busy"
 LOST = "lost"
-BAD_ANSWER = "bad_answer"
+BAD_RESPONSE = "bad_answer"
 SERVER_ERROR = "server_error"
 CANCELLED = "cancelled"
-WORTH_A_REPEAT = frozenset(
-    {NOT_SENT, IN_FLIGHT, BUSY, LOST, BAD_ANSWER, SERVER_ERROR})
+RETRYABLE_REASONS = frozenset(
+    {NOT_SENT, IN_FLIGHT, BUSY, LOST, BAD_RESPONSE, SERVER_ERROR})
 
-_OK = (200, 201, 204)
-_UNCHANGED = 304
+_SUCCESS = (200, 201, 204)
+_NOT_MODIFIED = 304
 _NOT_FOUND = 404
-_CONFLICT = 412
-_BUSY = 429
-_FIRST_SERVER_ERROR = 500
+_PRECONDITION_FAILED = 412
+_TOO_MANY_REQUESTS = 429
+_MIN_SERVER_ERROR = 500
 
 
 def etag(version):
@@ -36,83 +37,83 @@
     return f'"{version}"'
 
 
-def _version(answer):
-    return int(answer.headers["etag"].strip('"'))
+def _version(response):
+    return int(response.headers["etag"].strip('"'))
 
 
-def _retry_after_s(answer):
+def _retry_after_s(response):
     try:
-        return max(0.0, float(answer.headers.get("retry-after", "0")))
+        return max(0.0, float(response.headers.get("retry-after", "0")))
     except ValueError:
         return 0.0
 
 
-def lost(is_write, reason):
-    """Return the result of a call whose answer did not come or tell."""
+def lost_result(is_write, reason):
+    """Return the result of a call without a usable response."""
     if is_write:
         return results.WriteUnknown(reason)
     return results.Unavailable(reason)
 
 
-def judge(read, answer, is_write):
-    """Return the result of an answer and whether the API is well.
+def classify(parse, response, is_write):
+    """Return the result of a response and whether the API is healthy.
 
-    ``read`` turns an answer of success into its result.
+    ``parse`` converts a successful response into its result.
     """
-    if answer.status >= _FIRST_SERVER_ERROR:
-        return lost(is_write, SERVER_ERROR), False
-    if answer.status == _BUSY:
-        wait_s = _retry_after_s(answer)
+    if response.status >= _MIN_SERVER_ERROR:
+        return lost_result(is_write, SERVER_ERROR), False
+    if response.status == _TOO_MANY_REQUESTS:
+        wait_s = _retry_after_s(response)
         return results.Unavailable(BUSY, wait_s), False
-    if answer.status == _NOT_FOUND:
+    if response.status == _NOT_FOUND:
         return results.NotFound(), True
-    if answer.status == _CONFLICT:
+    if response.status == _PRECONDITION_FAILED:
         return results.Conflict(), True
-    if answer.status != _UNCHANGED and answer.status not in _OK:
-        return results.Rejected(answer.status), True
+    if response.status != _NOT_MODIFIED and response.status not in _SUCCESS:
+        return results.Rejected(response.status), True
     try:
-        return read(answer), True
+        return parse(response), True
     except (KeyError, TypeError, ValueError):
-        return lost(is_write, BAD_ANSWER), False
+        return lost_result(is_write, BAD_RESPONSE), False
 
 
-def found(answer):
-    """Read the answer to a get."""
-    return results.Found(_version(answer), answer.body)
+def parse_found(response):
+    """Parse the response to a get."""
+    return results.Found(_version(response), response.body)
 
 
-def written(answer):
-    """Read the answer to a put or create."""
-    return results.Written(_version(answer))
+def parse_written(response):
+    """Parse the response to a put or create."""
+    return results.Written(_version(response))
 
 
-def deleted(answer):
-    """Read the answer to a delete."""
+def parse_deleted(response):
+    """Parse the response to a delete."""
     return results.Written(0)
 
 
-def watched(version):
-    """Return the reader of the answer to a watch on ``version``."""
-    return functools.partial(_watched, version)
+def watch_parser(version):
+    """Return the parser of the response to a watch on ``version``."""
+    return functools.partial(_parse_watched, version)
 
 
-def _watched(version, answer):
-    if answer.status == _UNCHANGED:
+def _parse_watched(version, response):
+    if response.status == _NOT_MODIFIED:
         return results.Unchanged(version)
-    return found(answer)
+    return parse_found(response)
 
 
-def listed(answer):
-    """Read the answer to a listing."""
-    data = json.loads(answer.body)
-    return results.Listed(tuple(
+def parse_listing(response):
+    """Parse the response to a listing."""
+    data = json.loads(response.body)
+    return results.ObjectList(tuple(
         results.ObjectRef(each["path"], int(each["version"]))
         for each in data["objects"]))
 
 
-def hosts(answer):
-    """Read the host list."""
-    data = json.loads(answer.body)
+def parse_hosts(response):
+    """Parse the host list."""
+    data = json.loads(response.body)
     return results.HostList(int(data["at"]), tuple(
         results.HostEntry(
             name=each["name"], address=each["address"],
--- a/crocuskeel/objectapi/results.py
+++ b/crocuskeel/objectapi/results.py
@@ -3,9 +3,9 @@
 import dataclasses
 
 __all__ = [
-    "Conflict", "Found", "HostEntry", "HostList", "HttpAnswer", "Listed",
-    "NotFound", "ObjectRef", "ReadResult", "Rejected", "Unavailable",
-    "Unchanged", "WriteResult", "WriteUnknown", "Written",
+    "Conflict", "Found", "HostEntry", "HostList", "HttpAnswer",
+    "NotFound", "ObjectList", "ObjectRef", "ReadResult", "Rejected",
+    "Unavailable", "Unchanged", "WriteResult", "WriteUnknown", "Written",
 ]
 
 _result = dataclasses.dataclass(frozen=True, slots=True)
@@ -13,7 +13,7 @@
 
 @_result
 class HttpAnswer:
-    """What the transport got; ``headers`` keys are lower case."""
+    """An HTTP response; the keys of ``headers`` are lower case."""
 
     status: int
     headers: dict[str, str]
@@ -22,7 +22,7 @@
 
 @_result
 class Found:
-    """An object and the version it has."""
+    """An object and its version."""
 
     version: int
     body: bytes
@@ -30,19 +30,19 @@
 
 @_result
 class NotFound:
-    """There is no such object."""
+    """The object does not exist."""
 
 
 @_result
 class Unchanged:
-    """A watch ended; the object still has ``version``."""
+    """A watch ended without a change; the object has ``version``."""
 
     version: int
 
 
 @_result
 class Written:
-    """The write took effect; ``version`` is the new one, 0 if gone."""
+    """The write took effect; ``version`` is the new one, 0 if deleted."""
 
     version: int
 
@@ -56,8 +56,8 @@
 class WriteUnknown:
     """The write may have taken effect, or may do so later.
 
-    A read that shows the old version settles nothing, for the write may
-    still be on its way: only a version that moved on does.
+    Reading the old version proves nothing, since the write may still be
+    in flight; only a newer version settles the outcome.
     """
 
     reason: str
@@ -65,7 +65,7 @@
 
 @_result
 class Unavailable:
-    """Known not to have happened; come back after ``retry_after_s``.
+    """The call had no effect; retry after ``retry_after_s``.
 
     ``reason`` is ``not_sent``, ``circuit_open``, ``budget_spent``,
     ``in_flight``, ``busy``, or for reads also ``lost``, ``server_error``,
@@ -78,21 +78,21 @@
 
 @_result
 class Rejected:
-    """Refused for good (bad token, too large): a repeat won't help."""
+    """Permanently refused (bad token, too large); a retry can't succeed."""
 
     status: int
 
 
 @_result
 class ObjectRef:
-    """One object of a listing."""
+    """An object in a listing."""
 
     path: str
     version: int
 
 
 @_result
-class Listed:
+class ObjectList:
     """The objects under a prefix."""
 
     objects: tuple[ObjectRef, ...]
@@ -100,7 +100,7 @@
 
 @_result
 class HostEntry:
-    """One host of the host list.
+    """A host in the host list.
 
     ``role`` is ``entry``, ``engine`` or ``service``; ``state`` is
     ``live`` or ``leaving``.
@@ -118,14 +118,14 @@
 
 @_result
 class HostList:
-    """The host list at its own position ``at``."""
+    """The host list as of its revision ``at``."""
 
     at: int
     hosts: tuple[HostEntry, ...]
 
 
 ReadResult = (
-    Found | NotFound | Unchanged | Listed | HostList | Unavailable
+    Found | NotFound | Unchanged | ObjectList | HostList | Unavailable
     | Rejected
 )
 WriteResult = (
--- a/crocuskeel/objectapi/transport.py
+++ b/crocuskeel/objectapi/transport.py
@@ -1,4 +1,4 @@
-"""The real transport: treq on a pool that repeats nothing by itself."""
+"""HTTP transport: treq on a connection pool without automatic retries."""
 
 import treq
 from twisted.internet import defer
@@ -11,47 +11,48 @@
 
 __all__ = ["new_treq_send"]
 
-_CONNECT_S = 1.0
+_CONNECT_TIMEOUT_S = 1.0
 _NOT_SENT = (
     error.ConnectError, error.DNSLookupError, error.NoRouteError,
     _newclient.RequestNotSent,
 )
 
 
-def _lower_headers(raw):
+def _normalize_headers(headers):
     return {
         name.decode("ascii").lower(): values[-1].decode("latin-1")
-        for name, values in raw.getAllRawHeaders()
+        for name, values in headers.getAllRawHeaders()
     }
 
 
-def new_treq_send(reactor, max_connections=8, connect_s=_CONNECT_S):
-    """Return ``send(method, url, headers, data, timeout)``.
+def new_treq_send(reactor, max_connections=8,
+                  connect_timeout_s=_CONNECT_TIMEOUT_S):
+    """Return ``send(method, url, headers, data, timeout_s)``.
 
-    It fires with an ``HttpAnswer`` or fails with ``NotSent`` or
-    ``AnswerLost``. ``timeout`` bounds the call in seconds.
+    It returns a Deferred that fires with an ``HttpAnswer`` or fails with
+    ``NotSent`` or ``AnswerLost``. ``timeout_s`` bounds the call.
     """
     pool = web_client.HTTPConnectionPool(reactor)
     pool.maxPersistentPerHost = max_connections
-    # Twisted repeats a DELETE whose answer was lost: the repeat finds
-    # the version moved and a success would read as a conflict. The
-    # client above knows what is safe to repeat.
+    # Twisted retries a DELETE whose response was lost. The retry finds
+    # that the version has changed, so that a success is reported as a
+    # conflict. The client decides which calls are safe to retry.
     pool.retryAutomatically = False
     agent = web_client.Agent(
-        reactor, connectTimeout=connect_s, pool=pool)
+        reactor, connectTimeout=connect_timeout_s, pool=pool)
     http = treq.client.HTTPClient(agent)
 
     async def exchange(method, url, headers, data):
-        rsp = await http.request(
+        response = await http.request(
             method, url, headers=headers, data=data)
-        body = await rsp.content()
+        body = await response.content()
         return results.HttpAnswer(
-            rsp.code, _lower_headers(rsp.headers), body)
+            response.code, _normalize_headers(response.headers), body)
 
-    async def send(method, url, headers, data, timeout):
+    async def send(method, url, headers, data, timeout_s):
         call = defer.Deferred.fromCoroutine(
             exchange(method, url, headers, data))
-        call.addTimeout(timeout, reactor)
+        call.addTimeout(timeout_s, reactor)
         try:
             return await call
         except _NOT_SENT as exc:
@@ -59,9 +60,9 @@
         except Exception as exc:
             raise exceptions.AnswerLost(repr(exc)) from exc
 
-    def start(method, url, headers, data, timeout):
+    def start(method, url, headers, data, timeout_s):
         return defer.Deferred.fromCoroutine(
-            send(method, url, headers, data, timeout))
+            send(method, url, headers, data, timeout_s))
 
     start.pool = pool
     return start
--- a/tests/objectapi/test_transport.py
+++ b/tests/objectapi/test_transport.py
@@ -1,4 +1,4 @@
-"""The treq transport tells what was sent from what was not."""
+"""The treq transport distinguishes requests sent from those not sent."""
 
 import unittest
 
@@ -10,54 +10,55 @@
 
 
 class TransportTest(unittest.TestCase):
-    """Faults of the connection, on a reactor in memory."""
+    """Connection faults, on an in-memory reactor."""
 
     def setUp(self):
         self.reactor = testing.MemoryReactorClock()
         self.send = objectapi.new_treq_send(self.reactor)
-        self.fired = []
+        self.outcomes = []
 
     def start(self, method="PUT"):
-        """Begin a call; its outcome goes to ``fired``."""
-        fut = self.send(
+        """Start a call; its outcome is appended to ``outcomes``."""
+        deferred = self.send(
             method, "http://127.0.0.1:9/objects/a", {"If-Match": '"1"'},
             b"x" if method == "PUT" else None, 1.0)
-        fut.addBoth(self.fired.append)
+        deferred.addBoth(self.outcomes.append)
 
     def connect(self):
-        """Make the connection; return its protocol and transport."""
+        """Establish the connection; return its protocol and transport."""
         factory = self.reactor.tcpClients[-1][2]
-        proto = factory.buildProtocol(None)
+        protocol = factory.buildProtocol(None)
         transport = testing.StringTransportWithDisconnection()
-        transport.protocol = proto
-        proto.makeConnection(transport)
-        return proto, transport
+        transport.protocol = protocol
+        protocol.makeConnection(transport)
+        return protocol, transport
 
-    def test_answer(self):
+    def test_response(self):
         self.start()
-        proto, transport = self.connect()
+        protocol, transport = self.connect()
         self.assertIn(b'If-Match: "1"', transport.value())
-        proto.dataReceived(
+        protocol.dataReceived(
             b'HTTP/1.1 200 OK\r\nETag: "8"\r\nContent-Length: 2\r\n'
             b'\r\nok')
-        (answer,) = self.fired
-        self.assertEqual((200, b"ok"), (answer.status, answer.body))
-        self.assertEqual('"8"', answer.headers["etag"])
+        (response,) = self.outcomes
+        self.assertEqual((200, b"ok"), (response.status, response.body))
+        self.assertEqual('"8"', response.headers["etag"])
 
-    def test_refused_is_not_sent(self):
+    def test_refused_connection_is_not_sent(self):
         self.start()
         factory = self.reactor.tcpClients[-1][2]
         factory.clientConnectionFailed(
             None, failure.Failure(error.ConnectionRefusedError()))
         self.reactor.advance(0.5)
-        self.assertTrue(self.fired[0].check(objectapi.NotSent))
+        self.assertTrue(self.outcomes[0].check(objectapi.NotSent))
 
-    def test_lost_delete_is_not_repeated(self):
-        """A finished delete is reported as a conflict.
+    def test_lost_delete_is_not_retried(self):
+        """A completed delete must not be reported as a conflict.
 
-        The API deletes, the answer is lost with the connection, and
-        twisted's pool sends the DELETE again on a new connection: it
-        finds the version gone. Cause: a pool that repeats by itself.
+        The API deletes the object, but the response is lost with the
+        connection. The failure occurs if Twisted's connection pool
+        retries the DELETE on a new connection, where it finds that the
+        version is gone.
         """
         self.start("DELETE")
         first, transport = self.connect()
@@ -66,10 +67,10 @@
         self.start("DELETE")
         transport.loseConnection()
         self.assertEqual(1, len(self.reactor.tcpClients))
-        self.assertTrue(self.fired[1].check(objectapi.AnswerLost))
+        self.assertTrue(self.outcomes[1].check(objectapi.AnswerLost))
 
     def test_silent_connection_is_bounded(self):
         self.start()
         self.connect()
         self.reactor.advance(1.01)
-        self.assertTrue(self.fired[0].check(objectapi.AnswerLost))
+        self.assertTrue(self.outcomes[0].check(objectapi.AnswerLost))
