--- a/crocuskeel/wire/__init__.py
+++ b/crocuskeel/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Schema and codecs of what entry hosts say to each other."""
+"""Schema and codecs of the messages between entry hosts."""
 
 from crocuskeel.wire.codec import from_frame
 from crocuskeel.wire.codec import to_frame
--- a/crocuskeel/wire/codec.py
+++ b/crocuskeel/wire/codec.py
@@ -1,4 +1,4 @@
-"""Core messages to protobuf frames and back, field by field."""
+"""Conversion between core messages and protobuf frames."""
 
 import dataclasses
 import functools
@@ -11,70 +11,71 @@
 
 __all__ = ["from_frame", "to_frame"]
 
-_CAMEL = re.compile(r"(?<!^)(?=[A-Z])")
+_WORD_START = re.compile(r"(?<!^)(?=[A-Z])")
 
 
-def _snake(name):
-    return _CAMEL.sub("_", name).lower()
+def _snake_case(name):
+    return _WORD_START.sub("_", name).lower()
 
 
-_KINDS = {_snake(kind.__name__): kind
-          for kind in typing.get_args(messages.Message)}
-_FIELD_OF = {kind: name for name, kind in _KINDS.items()}
+_MESSAGE_TYPES = {_snake_case(message_type.__name__): message_type
+                  for message_type in typing.get_args(messages.Message)}
+_FRAME_FIELDS = {message_type: name
+                 for name, message_type in _MESSAGE_TYPES.items()}
 
 
 @functools.cache
-def _plan(kind):
-    # (field name, nested message class or None, is a tuple) a field.
-    hints = typing.get_type_hints(kind)
+def _field_plan(message_type):
+    # One (field name, nested message class or None, is a tuple) per field.
+    hints = typing.get_type_hints(message_type)
     plan = []
-    for field in dataclasses.fields(kind):
+    for field in dataclasses.fields(message_type):
         hint = hints[field.name]
-        many = typing.get_origin(hint) is tuple
-        item = typing.get_args(hint)[0] if many else hint
-        nested = item if dataclasses.is_dataclass(item) else None
-        plan.append((field.name, nested, many))
+        is_tuple = typing.get_origin(hint) is tuple
+        item = typing.get_args(hint)[0] if is_tuple else hint
+        nested_type = item if dataclasses.is_dataclass(item) else None
+        plan.append((field.name, nested_type, is_tuple))
     return tuple(plan)
 
 
 def _encode(message):
-    kind = type(message)
+    message_type = type(message)
     values = {}
-    for name, nested, many in _plan(kind):
+    for name, nested_type, is_tuple in _field_plan(message_type):
         value = getattr(message, name)
-        if nested is not None and many:
+        if nested_type is not None and is_tuple:
             value = [_encode(item) for item in value]
-        elif nested is not None:
+        elif nested_type is not None:
             value = _encode(value)
         values[name] = value
-    return getattr(pb, kind.__name__)(**values)
+    return getattr(pb, message_type.__name__)(**values)
 
 
-def _decode(kind, body):
+def _decode(message_type, body):
     values = {}
-    for name, nested, many in _plan(kind):
+    for name, nested_type, is_tuple in _field_plan(message_type):
         value = getattr(body, name)
-        if nested is not None and many:
-            value = tuple(_decode(nested, item) for item in value)
-        elif nested is not None:
-            value = _decode(nested, value)
-        elif many:
+        if nested_type is not None and is_tuple:
+            value = tuple(_decode(nested_type, item) for item in value)
+        elif nested_type is not None:
+            value = _decode(nested_type, value)
+        elif is_tuple:
             value = tuple(value)
         values[name] = value
-    return kind(**values)
+    return message_type(**values)
 
 
 def to_frame(message):
-    """Return the protobuf ``Frame`` that carries a core message."""
-    return pb.Frame(**{_FIELD_OF[type(message)]: _encode(message)})
+    """Return the protobuf ``Frame`` of a core message."""
+    return pb.Frame(**{_FRAME_FIELDS[type(message)]: _encode(message)})
 
 
 def from_frame(frame):
-    """Return the core message in a ``Frame``.
+    """Return the core message of a ``Frame``.
 
-    Raises :class:`BadMessage` for a kind this version does not know.
+    Raises :class:`BadMessage` for a type unknown to this version.
     """
     name = frame.WhichOneof("body")
     if name is None:
-        raise exceptions.BadMessage("a frame of no known kind")
-    return _decode(_KINDS[name], getattr(frame, name))
+        raise exceptions.BadMessage("frame has no known message type")
+    return _decode(_MESSAGE_TYPES[name], getattr(frame, name))
--- a/crocuskeel/wire/exceptions.py
+++ b/crocuskeel/wire/exceptions.py
@@ -4,16 +4,16 @@
 
 
 class WireError(Exception):
-    """Base of the wire layer's errors."""
+    """Base class of the wire layer's errors."""
 
 
 class BadCode(WireError):
-    """The keyed message code does not match: not one of our hosts."""
+    """The authentication code is invalid: the sender lacks the key."""
 
 
 class OtherDeployment(WireError):
-    """The message belongs to another deployment or receiver."""
+    """The message is for another deployment or receiver."""
 
 
 class BadMessage(WireError):
-    """The bytes are not a message of this schema."""
+    """The message can't be decoded with this schema."""
--- a/crocuskeel/wire/seal.py
+++ b/crocuskeel/wire/seal.py
@@ -1,9 +1,9 @@
 """Sealed batches: authenticated, bound to deployment and receiver.
 
-Peers share one key a deployment (from each host's settings file). The
-code is HMAC-SHA256 over the whole serialized batch, so that nobody else
-on the network joins and no message of another deployment is taken. A
-replayed batch is found by the receiver's sequence check.
+The hosts of a deployment share one key, named in each host's settings
+file. The code is an HMAC-SHA256 over the whole serialized batch, so that
+no other machine on the network can join and no message of another
+deployment is accepted. The receiver's sequence check detects replays.
 """
 
 from cryptography import exceptions as crypto_exceptions
@@ -19,35 +19,36 @@
 MAX_SEALED_BYTES = 4 * 1024 * 1024
 
 
-def _code(key, body):
-    code = hmac.HMAC(key, hashes.SHA256())
-    code.update(body)
-    return code
+def _new_mac(key, body):
+    mac = hmac.HMAC(key, hashes.SHA256())
+    mac.update(body)
+    return mac
 
 
 def seal(key, batch):
     """Return the ``Sealed`` message of a ``Batch``."""
     body = batch.SerializeToString()
-    return pb.Sealed(body=body, code=_code(key, body).finalize())
+    return pb.Sealed(body=body, code=_new_mac(key, body).finalize())
 
 
 def open_sealed(key, sealed, deployment, receiver):
     """Return the ``Batch`` of a ``Sealed`` message.
 
     Raises :class:`BadCode`, :class:`OtherDeployment` or
-    :class:`BadMessage`. An empty receiver in the batch means any host
-    (a first probe to an address whose host is not known yet).
+    :class:`BadMessage`. An empty receiver in the batch means any host,
+    as in a first probe to an address whose host is not known yet.
     """
     if len(sealed.body) > MAX_SEALED_BYTES:
-        raise exceptions.BadMessage("a batch over the size limit")
+        raise exceptions.BadMessage("batch exceeds the size limit")
     try:
-        _code(key, sealed.body).verify(sealed.code)
+        _new_mac(key, sealed.body).verify(sealed.code)
     except crypto_exceptions.InvalidSignature as exc:
-        raise exceptions.BadCode("message code mismatch") from exc
+        raise exceptions.BadCode(
+            "invalid message authentication code") from exc
     try:
         batch = pb.Batch.FromString(sealed.body)
     except pb_message.DecodeError as exc:
-        raise exceptions.BadMessage("undecodable batch") from exc
+        raise exceptions.BadMessage("batch can't be decoded") from exc
     if batch.deployment != deployment:
         raise exceptions.OtherDeployment(batch.deployment)
     if batch.receiver not in ("", receiver):
