--- a/crocuskeel/runtime/attempts.py
+++ b/crocuskeel/runtime/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on backend servers: open, resume, cancel, and their ends."""
+"""Attempts on backend servers: opening, resuming, cancelling, ending."""
 
 import dataclasses
 import typing
@@ -11,33 +11,34 @@
 from crocuskeel.core import events
 from crocuskeel.runtime import callers
 from crocuskeel.runtime import http_client
-from crocuskeel.runtime import kept
 from crocuskeel.runtime import loop
 from crocuskeel.runtime import parsing
 from crocuskeel.runtime import relay
-from crocuskeel.runtime import wire_ids
+from crocuskeel.runtime import response_cache
+from crocuskeel.runtime import stream_ids
 
 __all__ = ["Attempt", "abort", "close", "handlers"]
 
 End = events.AttemptEnd
-_NOT_RUN = {429: End.BUSY, 503: End.UNREADY}
-_GONE = 404
+_END_BY_STATUS = {429: End.BUSY, 503: End.UNREADY}
+_NOT_FOUND = 404
 _FIRST_SERVER_ERROR = 500
-_NOT_SENT = (error.ConnectError, error.NoRouteError,
-             error.TimeoutError, error.DNSLookupError,
-             _newclient.RequestNotSent)
-_CANCEL_S = 2.0
+_NOT_SENT_ERRORS = (error.ConnectError, error.NoRouteError,
+                    error.TimeoutError, error.DNSLookupError,
+                    _newclient.RequestNotSent)
+_CANCEL_TIMEOUT_S = 2.0
 _CHAT_PATH = "/v1/chat/completions"
-_SERVICES = "/services/"
-_FORWARDED = (b"Content-Type", b"Accept")
+_SERVICES_PREFIX = "/services/"
+_FORWARDED_HEADERS = (b"Content-Type", b"Accept")
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
     """One running attempt.
 
-    Times are the reactor's seconds. ``events`` are those relayed in
-    this attempt. ``body`` is the relaying protocol once there is one.
+    Times are the reactor's seconds. ``event_count`` counts the stream
+    events relayed in this attempt. ``body_protocol`` is the relaying
+    protocol, None until the response head has arrived.
     """
 
     rid: str
@@ -45,36 +46,36 @@
     backend: str
     url: str
     request_id: str
-    held: callers.Held
+    exchange: callers.Exchange
     opened_at: float
-    last_at: float
+    last_data_at: float
     first_byte_s: float
     silence_s: float
     resumed: bool = False
-    on_engine: bool = False
-    keep: typing.Any = None
-    first_at: float = 0.0
-    events: int = 0
-    reported: int = 0
+    cancellable: bool = False
+    cached_response: typing.Any = None
+    first_data_at: float = 0.0
+    event_count: int = 0
+    reported_events: int = 0
     status: int = 0
     ended: bool = False
-    call: typing.Any = None
-    body: typing.Any = None
+    pending_request: typing.Any = None
+    body_protocol: typing.Any = None
 
     def pause(self):
         """Stop reading from the backend server."""
-        if self.body is not None:
-            self.body.transport.pauseProducing()
+        if self.body_protocol is not None:
+            self.body_protocol.transport.pauseProducing()
 
     def resume(self):
-        """Read on; the pause doesn't count as the server's silence."""
-        self.last_at = self.held.reactor.seconds()
-        if self.body is not None:
-            self.body.transport.resumeProducing()
+        """Resume reading; the pause doesn't count as server silence."""
+        self.last_data_at = self.exchange.reactor.seconds()
+        if self.body_protocol is not None:
+            self.body_protocol.transport.resumeProducing()
 
 
 def handlers():
-    """Return the handlers of attempts."""
+    """Return the handlers of the attempt effects."""
     return {
         effects.OpenAttempt: _open,
         effects.ResumeAttempt: _resume,
@@ -83,76 +84,78 @@
 
 
 def _open(ctx, effect):
-    held = ctx.held.get(effect.rid)
-    if held is None:
-        return _nothing_to_send(ctx, effect)
-    code = callers.proof_of(ctx, held)
-    request_id = wire_ids.attempt_id(
-        effect.rid, effect.attempt, effect.backend, code)
-    held.request_id = request_id
-    attempt = _new(ctx, effect, held, request_id, effect.first_byte_s)
-    if held.streamed or effect.replayable:
-        attempt.keep = kept.new_answer(ctx, effect.rid, code)
-    req = held.req
-    target = _target(req.uri)
-    attempt.on_engine = target == _CHAT_PATH
+    exchange = ctx.exchanges.get(effect.rid)
+    if exchange is None:
+        return _report_not_sent(ctx, effect)
+    proof = callers.caller_proof(ctx, exchange)
+    request_id = stream_ids.attempt_id(
+        effect.rid, effect.attempt, effect.backend, proof)
+    exchange.request_id = request_id
+    attempt = _new_attempt(
+        ctx, effect, exchange, request_id, effect.first_byte_s)
+    if exchange.stream_requested or effect.replayable:
+        attempt.cached_response = response_cache.new_response(
+            ctx, effect.rid, proof)
+    req = exchange.req
+    target = _target_path(req.uri)
+    attempt.cancellable = target == _CHAT_PATH
     headers = _request_headers(req, request_id)
     headers.setRawHeaders(b"X-Priority", [b"%d" % effect.tier])
-    body = held.body
+    body = exchange.body
     if effect.model:
-        body = parsing.with_model(body, effect.model)
+        body = parsing.replace_model(body, effect.model)
     _send(ctx, attempt, req.method, effect.url + target,
-          headers, body, _runs_once(ctx, effect.rid))
+          headers, body, _needs_new_connection(ctx, effect.rid))
 
 
-def _runs_once(ctx, rid):
-    # A pooled connection may be closed by the server just as the
-    # request goes out, and nothing tells whether it ran. What may not
-    # be repeated goes over a new connection, where that is not so.
+def _needs_new_connection(ctx, rid):
+    # The server may close a pooled connection just as a request is sent
+    # on it, and the client can't tell whether the request ran. Requests
+    # that must not be repeated use a new connection, which avoids this.
     req = ctx.daemon.door.requests.get(rid)
     return req is not None and not req.repeatable
 
 
-def _nothing_to_send(ctx, effect):
-    # The caller went while the grant was on its way: nothing was sent.
+def _report_not_sent(ctx, effect):
+    # The caller disconnected before the grant arrived: nothing was sent.
     loop.feed(ctx, events.AttemptClosed(
         effect.rid, effect.attempt, End.REFUSED))
 
 
 def _resume(ctx, effect):
-    held = ctx.held.get(effect.rid)
-    if held is None:
-        return _nothing_to_send(ctx, effect)
-    request_id = held.request_id
+    exchange = ctx.exchanges.get(effect.rid)
+    if exchange is None:
+        return _report_not_sent(ctx, effect)
+    request_id = exchange.request_id
     if effect.stream:
-        request_id = held.wire_id.request_id
-    attempt = _new(ctx, effect, held, request_id, effect.silence_s)
+        request_id = exchange.event_id.request_id
+    attempt = _new_attempt(ctx, effect, exchange, request_id, effect.silence_s)
     attempt.resumed = True
-    attempt.on_engine = True
+    attempt.cancellable = True
     if not effect.stream:
-        attempt.keep = kept.find(ctx, effect.rid)
+        attempt.cached_response = response_cache.find(ctx, effect.rid)
     headers = http_headers.Headers({
-        b"Last-Event-ID": [f"{request_id}:{held.events}".encode()]})
+        b"Last-Event-ID": [f"{request_id}:{exchange.event_count}".encode()]})
     url = f"{effect.url}/v1/streams/{request_id}"
     _send(ctx, attempt, b"GET", url, headers, b"", False)
 
 
-def _new(ctx, effect, held, request_id, first_byte_s):
+def _new_attempt(ctx, effect, exchange, request_id, first_byte_s):
     now = ctx.reactor.seconds()
     attempt = Attempt(
         rid=effect.rid, number=effect.attempt, backend=effect.backend,
-        url=effect.url, request_id=request_id, held=held, opened_at=now,
-        last_at=now, first_byte_s=first_byte_s,
+        url=effect.url, request_id=request_id, exchange=exchange,
+        opened_at=now, last_data_at=now, first_byte_s=first_byte_s,
         silence_s=effect.silence_s)
     ctx.attempts[(effect.rid, effect.attempt)] = attempt
-    held.source = attempt
+    exchange.source = attempt
     return attempt
 
 
 def _request_headers(req, request_id):
     headers = http_headers.Headers({
         b"X-Request-Id": [request_id.encode()]})
-    for name in _FORWARDED:
+    for name in _FORWARDED_HEADERS:
         values = req.requestHeaders.getRawHeaders(name)
         if values:
             headers.setRawHeaders(name, values)
@@ -162,98 +165,99 @@
     return headers
 
 
-def _target(uri):
-    # /services/<service>/<rest> is /<rest> at the service itself.
+def _target_path(uri):
+    # /services/<service>/<rest> is forwarded to the service as /<rest>.
     target = uri.decode("latin-1")
-    if not target.startswith(_SERVICES):
+    if not target.startswith(_SERVICES_PREFIX):
         return _CHAT_PATH
-    _, _, rest = target[len(_SERVICES):].partition("/")
+    _, _, rest = target[len(_SERVICES_PREFIX):].partition("/")
     return "/" + rest
 
 
-def _send(ctx, attempt, method, url, headers, body, fresh):
-    attempt.call = http_client.request(
-        ctx, attempt.url, method.decode(), url, headers, body, fresh)
-    attempt.call.addCallbacks(
-        lambda rsp: _answered(ctx, attempt, rsp),
-        lambda fail: _failed(ctx, attempt, fail))
-    attempt.call.addErrback(lambda fail: _broken(ctx, attempt, fail))
+def _send(ctx, attempt, method, url, headers, body, new_connection):
+    attempt.pending_request = http_client.request(
+        ctx, attempt.url, method.decode(), url, headers, body, new_connection)
+    attempt.pending_request.addCallbacks(
+        lambda response: _response_received(ctx, attempt, response),
+        lambda failure: _request_failed(ctx, attempt, failure))
+    attempt.pending_request.addErrback(
+        lambda failure: _handler_failed(ctx, attempt, failure))
 
 
-def _answered(ctx, attempt, rsp):
-    attempt.call = None
-    attempt.last_at = ctx.reactor.seconds()
-    attempt.status = rsp.code
-    end = _refusal(attempt, rsp.code)
+def _response_received(ctx, attempt, response):
+    attempt.pending_request = None
+    attempt.last_data_at = ctx.reactor.seconds()
+    attempt.status = response.code
+    end = _end_for_status(attempt, response.code)
     if end is not None:
-        retry = rsp.headers.getRawHeaders("Retry-After", ["0"])[0]
-        _drop(rsp)
-        return close(ctx, attempt, end, _seconds(retry))
-    relay.start(ctx, attempt, rsp, close)
+        retry_after = response.headers.getRawHeaders("Retry-After", ["0"])[0]
+        _discard_body(response)
+        return close(ctx, attempt, end, _parse_retry_after(retry_after))
+    relay.start(ctx, attempt, response, close)
 
 
-def _refusal(attempt, status):
+def _end_for_status(attempt, status):
     if attempt.resumed:
         return None if status == 200 else End.GONE
-    if status in _NOT_RUN:
-        return _NOT_RUN[status]
+    if status in _END_BY_STATUS:
+        return _END_BY_STATUS[status]
     if status >= _FIRST_SERVER_ERROR:
         return End.FAILED
     return None
 
 
-def _seconds(text):
+def _parse_retry_after(text):
     try:
         return max(0.0, float(text))
     except ValueError:
         return 0.0
 
 
-def _drop(rsp):
-    rsp.deliverBody(relay.Discard())
+def _discard_body(response):
+    response.deliverBody(relay.DiscardBody())
 
 
-def _failed(ctx, attempt, fail):
-    attempt.call = None
+def _request_failed(ctx, attempt, failure):
+    attempt.pending_request = None
     if attempt.ended:
         return
-    sent = not fail.check(*_NOT_SENT)
+    sent = not failure.check(*_NOT_SENT_ERRORS)
     close(ctx, attempt, End.BROKEN if sent else End.REFUSED)
 
 
-def _broken(ctx, attempt, fail):
+def _handler_failed(ctx, attempt, failure):
     if not attempt.ended:
         close(ctx, attempt, End.BROKEN)
-    fail.raiseException()
+    failure.raiseException()
 
 
 def close(ctx, attempt, end, retry_after_s=0.0):
-    """End an attempt and tell the core."""
+    """End an attempt and report it to the core."""
     if attempt.ended:
         return
     attempt.ended = True
     ctx.attempts.pop((attempt.rid, attempt.number), None)
-    held = attempt.held
-    if held.source is attempt:
-        held.source = None
-    first = attempt.first_at
-    ttft_s = first - attempt.opened_at if first else 0.0
-    span_s = attempt.last_at - first if first else 0.0
-    if attempt.keep is not None and end == End.DONE:
-        kept.finish(ctx, attempt.keep)
+    exchange = attempt.exchange
+    if exchange.source is attempt:
+        exchange.source = None
+    first_data_at = attempt.first_data_at
+    ttft_s = first_data_at - attempt.opened_at if first_data_at else 0.0
+    span_s = attempt.last_data_at - first_data_at if first_data_at else 0.0
+    if attempt.cached_response is not None and end == End.DONE:
+        response_cache.finish(ctx, attempt.cached_response)
     loop.feed(ctx, events.AttemptClosed(
         rid=attempt.rid, attempt=attempt.number, end=end,
-        forwarded=held.events, tokens=attempt.events, ttft_s=ttft_s,
-        itl_s=span_s / max(1, attempt.events - 1),
+        forwarded=exchange.event_count, tokens=attempt.event_count,
+        ttft_s=ttft_s, itl_s=span_s / max(1, attempt.event_count - 1),
         http_status=attempt.status, retry_after_s=retry_after_s))
 
 
 def abort(attempt):
-    """Stop reading an attempt and drop its connection."""
-    if attempt.call is not None:
-        attempt.call.cancel()
-    if attempt.body is not None:
-        attempt.body.transport.stopProducing()
+    """Stop reading an attempt's response and close its connection."""
+    if attempt.pending_request is not None:
+        attempt.pending_request.cancel()
+    if attempt.body_protocol is not None:
+        attempt.body_protocol.transport.stopProducing()
 
 
 def _cancel(ctx, effect):
@@ -262,20 +266,20 @@
         return
     attempt.ended = True
     ctx.attempts.pop((effect.rid, effect.attempt), None)
-    if attempt.held.source is attempt:
-        attempt.held.source = None
+    if attempt.exchange.source is attempt:
+        attempt.exchange.source = None
     abort(attempt)
-    if attempt.on_engine:
+    if attempt.cancellable:
         _cancel_at_engine(ctx, attempt)
     loop.feed(ctx, events.AttemptClosed(
         effect.rid, effect.attempt, End.CANCELLED,
-        forwarded=attempt.held.events, tokens=attempt.events))
+        forwarded=attempt.exchange.event_count, tokens=attempt.event_count))
 
 
 def _cancel_at_engine(ctx, attempt):
     url = f"{attempt.url}/v1/streams/{attempt.request_id}"
-    fut = http_client.request(ctx, attempt.url, "DELETE", url)
-    fut.addCallback(_drop)
-    fut.addTimeout(_CANCEL_S, ctx.reactor)
-    # A cancel that is lost costs the engine its grace span and no more.
-    fut.addErrback(lambda _: None)
+    deferred = http_client.request(ctx, attempt.url, "DELETE", url)
+    deferred.addCallback(_discard_body)
+    deferred.addTimeout(_CANCEL_TIMEOUT_S, ctx.reactor)
+    # If the cancel is lost, the engine ends the run after its grace period.
+    deferred.addErrback(lambda _: None)
--- a/crocuskeel/runtime/bodies.py
+++ b/crocuskeel/runtime/bodies.py
@@ -1,24 +1,24 @@
-"""Reading answers' bodies, bounded."""
+"""Reading of response bodies with a size limit."""
 
 import treq
 
 __all__ = ["read"]
 
 
-async def read(rsp, most):
-    """Return a body, cut off after about ``most`` bytes.
+async def read(response, max_bytes):
+    """Return a body, truncated after about ``max_bytes`` bytes.
 
-    An endless report must not fill the memory; what is cut off fails to
-    parse and counts as no report.
+    An endless report must not exhaust memory; a truncated one fails to
+    parse and is treated as missing.
     """
-    data = []
+    chunks = []
     size = 0
 
-    def more(chunk):
+    def add_chunk(chunk):
         nonlocal size
         size += len(chunk)
-        if size <= most:
-            data.append(chunk)
+        if size <= max_bytes:
+            chunks.append(chunk)
 
-    await treq.collect(rsp, more)
-    return b"".join(data)
+    await treq.collect(response, add_chunk)
+    return b"".join(chunks)
--- a/crocuskeel/runtime/context.py
+++ b/crocuskeel/runtime/context.py
@@ -1,7 +1,7 @@
 """State of one daemon's runtime, shared by its modules.
 
-Each field is owned by one module, named beside it; the others go
-through that module's functions.
+Each field is owned by the module named in the comment above it; other
+modules use that module's functions.
 """
 
 import collections
@@ -13,9 +13,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Context:
-    """What a daemon's runtime holds.
+    """State of a daemon's runtime.
 
-    ``reduce(daemon, event, now)`` is the core; tests hand in a fake.
+    ``reduce(daemon, event, now)`` is the core's reducer; tests replace it.
     """
 
     reactor: typing.Any
@@ -28,14 +28,14 @@
     timers: dict
     reducing: bool = False
     # callers
-    held: dict = dataclasses.field(default_factory=dict)
-    rids: int = 0
-    fail: typing.Any = None
+    exchanges: dict = dataclasses.field(default_factory=dict)
+    last_rid: int = 0
+    fail_request: typing.Any = None
     # attempts
     attempts: dict = dataclasses.field(default_factory=dict)
-    http: typing.Any = None
-    # kept
-    kept: typing.Any = None
+    connections: typing.Any = None
+    # response_cache
+    response_cache: typing.Any = None
     # peers
     peers: typing.Any = None
     # platform_calls
--- a/crocuskeel/runtime/datagrams.py
+++ b/crocuskeel/runtime/datagrams.py
@@ -1,4 +1,4 @@
-"""Probes between entry hosts: sealed datagrams at the peer port."""
+"""Probes between entry hosts: authenticated datagrams on the peer port."""
 
 import dataclasses
 
@@ -14,16 +14,16 @@
 
 MAX_BYTES = 8 * 1024
 MAX_SENDERS = 4096
-WINDOW = 256
+WINDOW_SIZE = 256
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
-    """Sequence numbers seen of one sender's incarnation."""
+class _ReplayWindow:
+    """Sequence numbers received from one incarnation of a sender."""
 
     incarnation: int
     highest: int = 0
-    recent: set = dataclasses.field(default_factory=set)
+    received: set = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass(slots=True)
@@ -32,13 +32,13 @@
 
     port: object = None
     transport: object = None
-    sent: int = 0
-    seen: dict = dataclasses.field(default_factory=dict)
-    sources: dict = dataclasses.field(default_factory=dict)
+    sent_count: int = 0
+    windows: dict = dataclasses.field(default_factory=dict)
+    last_addresses: dict = dataclasses.field(default_factory=dict)
 
 
-class _Port(protocol.DatagramProtocol):
-    """Opens what arrives and hands it on."""
+class _ProbeProtocol(protocol.DatagramProtocol):
+    """Verifies received datagrams and passes their messages on."""
 
     noisy = False
 
@@ -46,7 +46,7 @@
         self.ctx = ctx
 
     def datagramReceived(self, data, addr):
-        _received(self.ctx, data, addr)
+        _datagram_received(self.ctx, data, addr)
 
 
 def new_datagrams():
@@ -57,7 +57,7 @@
 def listen(ctx):
     """Open the datagram port."""
     state = ctx.peers.datagrams
-    port = _Port(ctx)
+    port = _ProbeProtocol(ctx)
     state.port = ctx.reactor.listenUDP(
         ctx.cfg.peer_port, port, interface=ctx.cfg.address,
         maxPacketSize=MAX_BYTES)
@@ -67,62 +67,66 @@
 def send(ctx, effect):
     """Send a message of a ``Send`` effect as a datagram."""
     state = ctx.peers.datagrams
-    place = _place(ctx, effect)
-    if place is None or state.transport is None:
+    destination = _destination(ctx, effect)
+    if destination is None or state.transport is None:
         return
-    state.sent += 1
+    state.sent_count += 1
     batch = peers.new_batch(
-        ctx, effect.host, state.sent, [wire.to_frame(effect.message)])
+        ctx, effect.host, state.sent_count, [wire.to_frame(effect.message)])
     data = wire.seal(ctx.cfg.key, batch).SerializeToString()
     if len(data) > MAX_BYTES:
-        logger.warning("a datagram of {} bytes is not sent", len(data))
+        logger.warning(
+            "datagram of {} bytes exceeds the size limit; not sent",
+            len(data))
         return
-    state.transport.write(data, place)
+    state.transport.write(data, destination)
 
 
-def _place(ctx, effect):
+def _destination(ctx, effect):
     if effect.address:
         return effect.address, effect.port
-    known = peers.address_of(ctx, effect.host)
-    return known or ctx.peers.datagrams.sources.get(effect.host)
+    address = peers.address_of(ctx, effect.host)
+    return address or ctx.peers.datagrams.last_addresses.get(effect.host)
 
 
-def _received(ctx, data, addr):
-    me = ctx.daemon.me
+def _datagram_received(ctx, data, addr):
+    identity = ctx.daemon.me
     try:
         sealed = pb.Sealed.FromString(data)
         batch = wire.open_sealed(
-            ctx.cfg.key, sealed, me.deployment, me.host)
+            ctx.cfg.key, sealed, identity.deployment, identity.host)
     except (pb_message.DecodeError, wire.WireError):
-        ctx.peers.refused += 1
+        ctx.peers.refused_count += 1
         return
-    if batch.session or batch.nonce or not _fresh(ctx, batch):
-        ctx.peers.refused += 1
+    if batch.session or batch.nonce or not _is_new(ctx, batch):
+        ctx.peers.refused_count += 1
         return
-    if len(ctx.peers.datagrams.sources) < MAX_SENDERS:
-        ctx.peers.datagrams.sources[batch.sender] = addr
+    if len(ctx.peers.datagrams.last_addresses) < MAX_SENDERS:
+        ctx.peers.datagrams.last_addresses[batch.sender] = addr
     peers.receive(ctx, batch, addr[0])
 
 
-def _fresh(ctx, batch):
-    # Datagrams overtake each other, so a window and not a strict order;
-    # one that is played again or is older than the window is dropped.
-    seen = ctx.peers.datagrams.seen
-    known = seen.get(batch.sender)
-    if known is None or batch.incarnation > known.incarnation:
-        if known is None and len(seen) >= MAX_SENDERS:
+def _is_new(ctx, batch):
+    # Datagrams can arrive out of order, so this uses a sliding window
+    # rather than a strict sequence. Replayed datagrams and those older
+    # than the window are dropped.
+    windows = ctx.peers.datagrams.windows
+    window = windows.get(batch.sender)
+    if window is None or batch.incarnation > window.incarnation:
+        if window is None and len(windows) >= MAX_SENDERS:
             return False
-        known = seen[batch.sender] = _Seen(batch.incarnation)
-    if batch.incarnation < known.incarnation:
-        # An older process of the same name has to be told of the newer
-        # one; membership answers its probes and ignores all else.
+        window = windows[batch.sender] = _ReplayWindow(batch.incarnation)
+    if batch.incarnation < window.incarnation:
+        # An older process of the same name must learn of the newer one:
+        # membership answers its probes and ignores its other messages.
         return True
-    number = batch.sequence
-    if number in known.recent or number <= known.highest - WINDOW:
+    sequence = batch.sequence
+    if (sequence in window.received
+            or sequence <= window.highest - WINDOW_SIZE):
         return False
-    known.recent.add(number)
-    if number > known.highest:
-        known.highest = number
-        known.recent = {each for each in known.recent
-                        if each > number - WINDOW}
+    window.received.add(sequence)
+    if sequence > window.highest:
+        window.highest = sequence
+        window.received = {number for number in window.received
+                           if number > sequence - WINDOW_SIZE}
     return True
--- a/crocuskeel/runtime/documents.py
+++ b/crocuskeel/runtime/documents.py
@@ -1,4 +1,4 @@
-"""Programs' settings files: JSON with comments, checked by a schema."""
+"""Settings files: JSON with comments, validated by a JSON schema."""
 
 import json5
 
@@ -6,16 +6,16 @@
 
 
 def load(text, validator, error):
-    """Return the document of ``text``.
+    """Return the document parsed from ``text``.
 
-    Raises ``error`` with every fault and its place, a line each.
+    Raises ``error`` with one line for each error and its JSON path.
     """
     try:
-        doc = json5.loads(text)
+        document = json5.loads(text)
     except ValueError as exc:
         raise error(str(exc)) from exc
-    faults = [f"{fault.json_path}: {fault.message}"
-              for fault in validator.iter_errors(doc)]
-    if faults:
-        raise error("\n".join(faults))
-    return doc
+    errors = [f"{violation.json_path}: {violation.message}"
+              for violation in validator.iter_errors(document)]
+    if errors:
+        raise error("\n".join(errors))
+    return document
--- a/crocuskeel/runtime/door.py
+++ b/crocuskeel/runtime/door.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""The HTTP interface for callers."""
 
 import klein
 from twisted.internet import defer
@@ -13,46 +13,47 @@
 from crocuskeel.runtime import ops
 from crocuskeel.runtime import parsing
 from crocuskeel.runtime import problem_bodies
-from crocuskeel.runtime import wire_ids
+from crocuskeel.runtime import stream_ids
 
 __all__ = ["new_app"]
 
-_LAST_EVENT = "Last-Event-ID"
+_LAST_EVENT_ID = "Last-Event-ID"
 
 
 def new_app(ctx):
-    """Return the application of a daemon's door."""
+    """Return the Klein application of the callers' HTTP interface."""
     app = klein.Klein()
-    _add_requests(app, ctx)
-    _add_reports(app, ctx)
+    _add_request_routes(app, ctx)
+    _add_status_routes(app, ctx)
     operators.mount(app, ctx)
     return app
 
 
-def _add_requests(app, ctx):
+def _add_request_routes(app, ctx):
     @app.route("/v1/chat/completions", methods=["POST"])
     def chat(req):
-        if req.getHeader(_LAST_EVENT):
-            return _resume(ctx, req, req.getHeader(_LAST_EVENT))
-        return _arrive(ctx, req, parsing.chat_request)
+        if req.getHeader(_LAST_EVENT_ID):
+            return _handle_resume(ctx, req, req.getHeader(_LAST_EVENT_ID))
+        return _handle_request(ctx, req, parsing.chat_request)
 
     @app.route("/v1/streams/<path:name>", methods=["GET"])
     def resume(req, name):
-        return _resume(ctx, req, req.getHeader(_LAST_EVENT) or f"{name}:0")
+        return _handle_resume(
+            ctx, req, req.getHeader(_LAST_EVENT_ID) or f"{name}:0")
 
     @app.route("/services/<path:name>")
     def service(req, name):
-        return _arrive(ctx, req, parsing.plain_request)
+        return _handle_request(ctx, req, parsing.plain_request)
 
 
-def _add_reports(app, ctx):
+def _add_status_routes(app, ctx):
     @app.route("/v1/locate", methods=["GET"])
     def locate(req):
-        held = callers.hold(ctx, req, parsing.token_hash(req))
+        exchange = callers.new_exchange(ctx, req, parsing.token_hash(req))
         loop.feed(ctx, events.LocateAsked(
-            held.rid, held.token, _arg(req, b"domain"),
-            _arg(req, b"class")))
-        return _pending()
+            exchange.rid, exchange.token, _query_arg(req, b"domain"),
+            _query_arg(req, b"class")))
+        return _unfinished()
 
     @app.route("/healthz", methods=["GET"])
     def health(req):
@@ -67,54 +68,54 @@
         return _refuse(req, problems.Reason.NOT_READY)
 
     @app.route("/ops/<path:name>", methods=["GET", "POST"])
-    def operate(req, name):
+    def operation(req, name):
         return ops.serve(ctx, req, name)
 
 
-def _arg(req, name):
+def _query_arg(req, name):
     return req.args.get(name, [b""])[0].decode("latin-1")
 
 
 def _refuse(req, reason, detail=""):
     problem_bodies.write_problem(
         req, problems.problem(reason, detail=detail))
-    return _pending()
+    return _unfinished()
 
 
-def _pending():
-    # klein finishes a request when this fires; the answer of a held
-    # request is finished by who relays it, so it never does.
+def _unfinished():
+    # Klein finishes a request when its Deferred fires. This one never
+    # fires, because the code that writes the response finishes it.
     return defer.Deferred()
 
 
-def _arrive(ctx, req, parse):
+def _handle_request(ctx, req, parse):
     token = parsing.token_hash(req)
     body = req.content.read()
-    held = callers.hold(ctx, req, token, body)
+    exchange = callers.new_exchange(ctx, req, token, body)
     try:
-        event = parse(req, held.rid, token, body)
+        event = parse(req, exchange.rid, token, body)
     except exceptions.BadRequest as exc:
-        callers.end_early(ctx, held, problems.problem(
+        callers.end_with_problem(ctx, exchange, problems.problem(
             problems.Reason.BAD_REQUEST, detail=str(exc)))
-        return _pending()
-    held.streamed = event.stream
+        return _unfinished()
+    exchange.stream_requested = event.stream
     loop.feed(ctx, event)
-    return _pending()
+    return _unfinished()
 
 
-def _resume(ctx, req, text):
+def _handle_resume(ctx, req, text):
     token = parsing.token_hash(req)
-    wire_id = wire_ids.parse_event_id(text)
+    event_id = stream_ids.parse_event_id(text)
     identity = follower.caller(ctx.daemon, token)
-    held = callers.hold(ctx, req, token, wire_id=wire_id)
-    if wire_id is None or identity is None or not wire_ids.proves(
-            ctx.cfg.key, identity, wire_id):
-        callers.end_early(ctx, held, problems.problem(
+    exchange = callers.new_exchange(ctx, req, token, event_id=event_id)
+    if event_id is None or identity is None or not stream_ids.proof_matches(
+            ctx.cfg.key, identity, event_id):
+        callers.end_with_problem(ctx, exchange, problems.problem(
             problems.Reason.STREAM_UNKNOWN, problems.Outcome.UNKNOWN))
-        return _pending()
-    held.events = wire_id.after
+        return _unfinished()
+    exchange.event_count = event_id.after
     loop.feed(ctx, events.ResumeArrived(
-        rid=held.rid, token=token, stream=wire_id.rid,
-        attempt=wire_id.attempt, engine=wire_id.engine,
-        after=wire_id.after, proof=wire_id.proof))
-    return _pending()
+        rid=exchange.rid, token=token, stream=event_id.rid,
+        attempt=event_id.attempt, engine=event_id.engine,
+        after=event_id.after, proof=event_id.proof))
+    return _unfinished()
--- a/crocuskeel/runtime/eager.py
+++ b/crocuskeel/runtime/eager.py
@@ -1,72 +1,73 @@
-"""Listening ports whose connections write at once.
+"""Listening ports whose connections write to the socket immediately.
 
-A token is a few hundred bytes that nearly always fit the socket's
-buffer. Twisted queues them and asks the loop to say when the socket
-takes data: two system calls and a turn of the loop more for each token.
+A token is a few hundred bytes, which nearly always fit into the socket
+buffer. Twisted queues them and waits until the reactor reports the
+socket writable, which costs two more system calls and one more reactor
+iteration for each token.
 """
 
 from twisted.internet import tcp
 
-__all__ = ["listen", "new_conn", "new_port", "unsent"]
+__all__ = ["count_unsent", "listen", "new_connection", "new_port"]
 
 
-class _EagerServer(tcp.Server):
-    """Sends what is written at once if nothing waits before it.
+class _DirectWriteServer(tcp.Server):
+    """Sends data immediately if no earlier data is queued.
 
-    What the socket does not take stays queued as ever, so that order,
-    back-pressure and errors are those of Twisted.
+    Data that the socket does not accept is queued as usual, so order,
+    back-pressure and error handling remain Twisted's.
     """
 
     def __init__(self, sock, protocol, client, server, number, reactor):
         super().__init__(sock, protocol, client, server, number, reactor)
-        server.conns.add(self)
+        server.connections.add(self)
 
     def connectionLost(self, reason):
-        self.server.conns.discard(self)
+        self.server.connections.discard(self)
         super().connectionLost(reason)
 
     def write_now(self, data):
-        """Write; ``data`` must not be empty."""
-        if (self.disconnecting or not self.connected or _waits(self)
+        """Write directly to the socket; ``data`` must not be empty."""
+        if (self.disconnecting or not self.connected or _has_unsent_data(self)
                 or self._writeDisconnected):
             self.write(data)
             return
         try:
             sent = self.socket.send(data)
         except OSError:
-            # Full or failed: the queued write waits, or meets the same
-            # error and closes.
+            # The buffer is full or the socket failed. The queued write
+            # waits, or gets the same error and closes the connection.
             sent = 0
         if sent < len(data):
             self.write(data[sent:])
 
 
-class _EagerPort(tcp.Port):
-    transport = _EagerServer
+class _DirectWritePort(tcp.Port):
+    transport = _DirectWriteServer
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.conns = set()
+        self.connections = set()
 
 
 def new_port(reactor, port, factory, address):
-    """Return a port that doesn't listen yet."""
-    return _EagerPort(port, factory, 50, address, reactor)
+    """Return a port that is not listening yet."""
+    return _DirectWritePort(port, factory, 50, address, reactor)
 
 
-def new_conn(sock, protocol, port):
+def new_connection(sock, protocol, port):
     """Return the transport of an accepted socket."""
-    return _EagerServer(
+    return _DirectWriteServer(
         sock, protocol, ("", 0), port, 0, port.reactor)
 
 
-def unsent(port):
-    """Return the number of connections that still have bytes to send."""
-    return sum(map(_waits, port.conns))
+def count_unsent(port):
+    """Return the number of connections that have unsent data."""
+    return sum(map(_has_unsent_data, port.connections))
 
 
-def _waits(conn):
-    return bool(conn.dataBuffer or conn._tempDataBuffer)
+def _has_unsent_data(connection):
+    return bool(connection.dataBuffer or connection._tempDataBuffer)
 
 
 def listen(reactor, port, factory, address):
--- a/crocuskeel/runtime/exceptions.py
+++ b/crocuskeel/runtime/exceptions.py
@@ -5,20 +5,20 @@
 
 
 class RuntimeLayerError(Exception):
-    """Base of the runtime's errors."""
+    """Base class of the runtime's errors."""
 
 
 class BadSettingsFile(RuntimeLayerError):
-    """The process settings file can't be used; the text says where."""
+    """The process settings file is invalid; the message says where."""
 
 
 class BadRequest(RuntimeLayerError):
-    """A caller's request can't be understood."""
+    """A caller's request is malformed."""
 
 
 class TooLarge(RuntimeLayerError):
-    """A caller's request is over a size limit."""
+    """A caller's request exceeds a size limit."""
 
 
 class LinkRefused(RuntimeLayerError):
-    """A peer's batch can't be taken: key, deployment or sequence."""
+    """A peer's batch has a wrong key, deployment, sender or sequence."""
--- a/crocuskeel/runtime/http_client.py
+++ b/crocuskeel/runtime/http_client.py
@@ -1,8 +1,8 @@
 """HTTP connections to backend servers: one pool for each server.
 
-Requests go to the agent that treq stands on: treq's own parsing of
-addresses, cookies and redirects took a third of a request's CPU, and
-here all three are unwanted. treq reads the bodies of reports.
+Requests use Twisted's agent directly, without treq: treq's handling of
+URLs, cookies and redirects took a third of a request's CPU time, and
+none of it is needed here. treq only reads the bodies of reports.
 """
 
 import dataclasses
@@ -14,47 +14,48 @@
 from twisted.web import iweb
 from zope.interface import implementer
 
-__all__ = ["new_connections", "request", "retire"]
+__all__ = ["drop_idle_connections", "new_connections", "request"]
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_PER_BACKEND = 64
-IDLE_S = 15.0
+IDLE_TIMEOUT_S = 15.0
 
 
 @dataclasses.dataclass(slots=True)
 class Connections:
-    """Pools and agents by a server's base URL, and one without pool."""
+    """Pools and agents by base URL, and one agent without a pool."""
 
     reactor: typing.Any
-    fresh: typing.Any
+    unpooled_agent: typing.Any
     pools: dict = dataclasses.field(default_factory=dict)
     agents: dict = dataclasses.field(default_factory=dict)
 
 
 def new_connections(reactor):
-    """Return the state of connections, with none open."""
-    return Connections(reactor, _agent(reactor, None))
+    """Return connection state with no open connections."""
+    return Connections(reactor, _new_agent(reactor, None))
 
 
 @implementer(iweb.IAgentEndpointFactory)
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Endpoints:
-    """Endpoints by IP number.
+class _EndpointFactory:
+    """Creates endpoints for IP addresses.
 
-    Twisted's own look names up in a thread, even an IP number's.
+    Twisted's own endpoints resolve names in a thread, even if the name
+    is an IP address.
     """
 
     reactor: typing.Any
 
     def endpointForURI(self, uri):
         return endpoints.TCP4ClientEndpoint(
-            self.reactor, uri.host.decode(), uri.port, CONNECT_S)
+            self.reactor, uri.host.decode(), uri.port, CONNECT_TIMEOUT_S)
 
 
 @implementer(iweb.IBodyProducer)
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Body:
-    """A request's body, written at once."""
+class _BodyProducer:
+    """Writes a request body in a single call."""
 
     data: bytes
     length: int
@@ -64,49 +65,52 @@
         return defer.succeed(None)
 
     def pauseProducing(self):
-        """All is written: there is nothing to pause."""
+        """Do nothing: the body is already written."""
 
     def resumeProducing(self):
-        """All is written: there is nothing to resume."""
+        """Do nothing: the body is already written."""
 
     def stopProducing(self):
-        """All is written: there is nothing to stop."""
+        """Do nothing: the body is already written."""
 
 
-def _agent(reactor, pool):
+def _new_agent(reactor, pool):
     return web_client.Agent.usingEndpointFactory(
-        reactor, _Endpoints(reactor), pool)
+        reactor, _EndpointFactory(reactor), pool)
 
 
-def _pooled(conns, base):
-    agent = conns.agents.get(base)
+def _pooled_agent(connections, base_url):
+    agent = connections.agents.get(base_url)
     if agent is None:
-        pool = web_client.HTTPConnectionPool(conns.reactor)
+        pool = web_client.HTTPConnectionPool(connections.reactor)
         pool.maxPersistentPerHost = MAX_IDLE_PER_BACKEND
-        pool.cachedConnectionTimeout = IDLE_S
-        # Twisted would send a GET or DELETE again by itself.
+        pool.cachedConnectionTimeout = IDLE_TIMEOUT_S
+        # Twisted would otherwise retry a GET or DELETE automatically.
         pool.retryAutomatically = False
-        conns.pools[base] = pool
-        agent = conns.agents[base] = _agent(conns.reactor, pool)
+        connections.pools[base_url] = pool
+        agent = connections.agents[base_url] = _new_agent(
+            connections.reactor, pool)
     return agent
 
 
-def request(ctx, base, method, url, headers=None, body=b"", fresh=False):
-    """Send a request; fires with the response, its body unread."""
-    conns = ctx.http
-    agent = conns.fresh if fresh else _pooled(conns, base)
-    producer = _Body(body, len(body)) if body else None
+def request(ctx, base_url, method, url, headers=None, body=b"",
+            new_connection=False):
+    """Send a request; return a Deferred of the response, body unread."""
+    connections = ctx.connections
+    agent = (connections.unpooled_agent if new_connection
+             else _pooled_agent(connections, base_url))
+    producer = _BodyProducer(body, len(body)) if body else None
     return agent.request(
         method.encode(), url.encode(), headers, producer)
 
 
-def retire(ctx, base):
-    """Drop the idle connections to a server.
+def drop_idle_connections(ctx, base_url):
+    """Close the idle connections to a server.
 
-    When something between the ends has lost track of one connection it
-    often has of all: each would cost another request its silence span.
+    A middlebox that has lost the state of one connection has often lost
+    that of all: each would cost one more request its silence timeout.
     """
-    ctx.http.agents.pop(base, None)
-    pool = ctx.http.pools.pop(base, None)
+    ctx.connections.agents.pop(base_url, None)
+    pool = ctx.connections.pools.pop(base_url, None)
     if pool is not None:
         pool.closeCachedConnections()
--- a/crocuskeel/runtime/links.py
+++ b/crocuskeel/runtime/links.py
@@ -1,10 +1,11 @@
-"""One long-lived gRPC stream between two hosts that have business.
+"""One long-lived gRPC stream between two hosts that exchange messages.
 
 Each side's first batch carries a nonce; all later ones carry the
-receiver's nonce and a sequence without gaps, so that a batch recorded
-earlier or on another link is refused. A link on which nothing came for
-``limits.peer_silence_s``, although a heartbeat was due, is closed and
-made again: its connection may be dead while a new one works.
+receiver's nonce and a sequence number without gaps, so that a batch
+recorded earlier or on another link is refused. A link that received
+nothing for ``limits.peer_silence_s``, although a heartbeat was due, is
+closed and re-established: its connection may be dead while a new one
+works.
 """
 
 import asyncio
@@ -26,44 +27,43 @@
 from crocuskeel import wire
 from crocuskeel.wire import crocuskeel_grpc
 
-__all__ = ["Link", "listen", "new_link", "overflow", "run", "stop",
-           "tick", "wake"]
+__all__ = ["Link", "check_links", "handle_full_outbox", "listen",
+           "new_link", "run", "stop", "wake"]
 
 NONCE_BYTES = 8
-TICKS_PER_SILENCE = 6
-REDIAL_FIRST_S = 0.1
-REDIAL_MOST_S = 2.0
-REDIAL_SECOND_S = 0.5
-_LOST = (OSError, grpclib.exceptions.GRPCError, ConnectionError,
-         grpclib.exceptions.StreamTerminatedError,
-         exceptions.LinkRefused)
+CHECKS_PER_TIMEOUT = 6
+REDIAL_MIN_S = 0.1
+REDIAL_MAX_S = 2.0
+REDIAL_SECONDARY_DELAY_S = 0.5
+_CONNECTION_ERRORS = (OSError, grpclib.exceptions.GRPCError, ConnectionError,
+                      grpclib.exceptions.StreamTerminatedError,
+                      exceptions.LinkRefused)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Link:
-    """One stream; ``host`` is empty until the peer has said its name.
+    """One stream; ``host`` is empty until the peer's first batch.
 
-    ``session`` is the peer's nonce. A link is confirmed when the peer
-    has sent back ours.
+    A link is confirmed once the peer has sent back this host's nonce.
     """
 
     stream: typing.Any
     host: str
     nonce: bytes
-    heard_at: float
-    sent_at: float
+    last_received_at: float
+    last_sent_at: float
     wake: asyncio.Event
     incarnation: int = 0
-    session: bytes = b""
-    sent: int = 0
-    heard: int = 0
+    peer_nonce: bytes = b""
+    sent_count: int = 0
+    received_count: int = 0
     confirmed: bool = False
     closed: bool = False
     tasks: tuple = ()
 
 
 def new_link(ctx, stream, host):
-    """Return a link over a gRPC stream; ``host`` only if we dialed."""
+    """Return a link over a gRPC stream; ``host`` is set if dialed."""
     now = ctx.reactor.seconds()
     link = Link(stream, host, secrets.token_bytes(NONCE_BYTES), now, now,
                 asyncio.Event())
@@ -71,8 +71,8 @@
     return link
 
 
-class _Peer(crocuskeel_grpc.PeerBase):
-    """The listening side."""
+class _PeerService(crocuskeel_grpc.PeerBase):
+    """gRPC service for links dialed by peers."""
 
     def __init__(self, ctx):
         self.ctx = ctx
@@ -82,14 +82,14 @@
 
 
 async def listen(ctx):
-    """Accept links at this host's peer port."""
-    ctx.peers.server = grpclib.server.Server([_Peer(ctx)])
+    """Accept links on this host's peer port."""
+    ctx.peers.server = grpclib.server.Server([_PeerService(ctx)])
     await ctx.peers.server.start(ctx.cfg.address, ctx.cfg.peer_port)
-    tick(ctx)
+    check_links(ctx)
 
 
 def stop(ctx):
-    """Close all links for good."""
+    """Close all links and the server."""
     for host in list(ctx.peers.links):
         for link in list(ctx.peers.links[host]):
             _close(link)
@@ -98,50 +98,50 @@
 
 
 def wake(ctx, host):
-    """Let a link flush the host's outbox; dial if there is none."""
-    group = ctx.peers.links.get(host)
-    if group:
-        group[0].wake.set()
-    elif host not in ctx.peers.dialing:
+    """Flush the host's outbox over its link; dial if there is none."""
+    host_links = ctx.peers.links.get(host)
+    if host_links:
+        host_links[0].wake.set()
+    elif host not in ctx.peers.dial_tasks:
         _start_dial(ctx, host, 0.0)
 
 
 def _start_dial(ctx, host, wait_s):
-    ctx.peers.dialing[host] = asyncio.ensure_future(
+    ctx.peers.dial_tasks[host] = asyncio.ensure_future(
         _dial(ctx, host, wait_s))
 
 
-def overflow(ctx, host):
-    """Give up a link whose outbox is full."""
+def handle_full_outbox(ctx, host):
+    """Close a host's links because its outbox is full."""
     _clear_outbox(ctx, host)
     for link in list(ctx.peers.links.get(host, ())):
         _close(link)
 
 
 async def _dial(ctx, host, wait_s):
-    delay_s = REDIAL_FIRST_S
+    delay_s = REDIAL_MIN_S
     try:
         await asyncio.sleep(wait_s)
         while not ctx.stopping and not ctx.peers.links.get(host):
-            up = await _dial_once(ctx, host)
-            delay_s = REDIAL_FIRST_S if up else delay_s
+            was_confirmed = await _dial_once(ctx, host)
+            delay_s = REDIAL_MIN_S if was_confirmed else delay_s
             if not membership.is_live(ctx.daemon, host):
                 return
             await asyncio.sleep(delay_s)
-            delay_s = min(REDIAL_MOST_S, delay_s * 2)
+            delay_s = min(REDIAL_MAX_S, delay_s * 2)
     except Exception:
-        logger.exception("dialing failed")
+        logger.exception("failed to dial peer")
     finally:
-        ctx.peers.dialing.pop(host, None)
+        ctx.peers.dial_tasks.pop(host, None)
 
 
 async def _dial_once(ctx, host):
-    # Returns whether the link came up before it ended.
-    place = peers.address_of(ctx, host)
-    if place is None:
-        _lost(ctx, host)
+    # Returns whether the link was confirmed before it ended.
+    address = peers.address_of(ctx, host)
+    if address is None:
+        _peer_down(ctx, host)
         return False
-    channel = grpclib.client.Channel(*place)
+    channel = grpclib.client.Channel(*address)
     link = None
     try:
         stub = crocuskeel_grpc.PeerStub(channel)
@@ -149,84 +149,85 @@
             await stream.send_request()
             link = new_link(ctx, stream, host)
             await run(ctx, link)
-    except (*_LOST, grpclib.exceptions.ProtocolError):
-        # Leaving a stream that neither side has ended is an error to
-        # grpclib; here it is how every lost link ends.
+    except (*_CONNECTION_ERRORS, grpclib.exceptions.ProtocolError):
+        # grpclib raises if a stream is left that neither side has ended;
+        # every lost link ends this way.
         pass
     finally:
         channel.close()
     if link is None or not link.confirmed:
-        _lost(ctx, host)
+        _peer_down(ctx, host)
     return link is not None and link.confirmed
 
 
 async def run(ctx, link):
     """Read and write a link until it ends."""
-    reads = asyncio.ensure_future(_read(ctx, link))
-    writes = asyncio.ensure_future(_write(ctx, link))
-    link.tasks = (reads, writes)
+    reader = asyncio.ensure_future(_read(ctx, link))
+    writer = asyncio.ensure_future(_write(ctx, link))
+    link.tasks = (reader, writer)
     try:
         await asyncio.wait(
             link.tasks, return_when=asyncio.FIRST_COMPLETED)
     finally:
         _close(link)
-        # Before anything is awaited: the peer's reset may cancel this
-        # very task, and a dead link left first of its group would hold
-        # back all messages to that host for good.
-        _ended(ctx, link)
+        # This must precede any await: the peer's reset may cancel this
+        # task, and a dead link left first in its host's list would block
+        # all messages to that host indefinitely.
+        _link_ended(ctx, link)
         for result in await asyncio.gather(
                 *link.tasks, return_exceptions=True):
-            _explain(ctx, link, result)
+            _log_link_error(ctx, link, result)
 
 
-def _explain(ctx, link, result):
+def _log_link_error(ctx, link, result):
     if isinstance(result, exceptions.LinkRefused):
-        ctx.peers.refused += 1
+        ctx.peers.refused_count += 1
         logger.warning("link refused: {}", result)
     elif isinstance(result, Exception) and not isinstance(
-            result, _LOST):
+            result, _CONNECTION_ERRORS):
         logger.opt(exception=result).error("link failed")
 
 
 def _close(link):
     link.closed = True
-    for one in link.tasks:
-        one.cancel()
+    for task in link.tasks:
+        task.cancel()
 
 
 async def _write(ctx, link):
-    dialed = bool(link.host)
-    if dialed:
+    nonce_sent = bool(link.host)
+    if nonce_sent:
         await _flush(ctx, link, (), nonce=link.nonce)
     while True:
         await link.wake.wait()
         link.wake.clear()
-        if not link.session:
+        if not link.peer_nonce:
             continue
-        if not dialed:
-            dialed = True
+        if not nonce_sent:
+            nonce_sent = True
             await _flush(ctx, link, (), nonce=link.nonce)
-        group = ctx.peers.links.get(link.host)
+        host_links = ctx.peers.links.get(link.host)
         outbox = ctx.peers.outboxes.get(link.host)
-        if group and group[0] is link and outbox is not None:
+        if host_links and host_links[0] is link and outbox is not None:
             while outbox.frames:
-                await _flush(ctx, link, peers.take(outbox))
-        if _beat_due(ctx, link):
+                await _flush(ctx, link, peers.next_batch(outbox))
+        if _heartbeat_due(ctx, link):
             await _flush(ctx, link, ())
 
 
-def _beat_due(ctx, link):
-    span = ctx.daemon.limits.peer_silence_s / TICKS_PER_SILENCE
-    unanswered = link.sent < 2 and link.confirmed
-    return unanswered or ctx.reactor.seconds() - link.sent_at >= span
+def _heartbeat_due(ctx, link):
+    interval_s = ctx.daemon.limits.peer_silence_s / CHECKS_PER_TIMEOUT
+    unanswered = link.sent_count < 2 and link.confirmed
+    return unanswered or (
+        ctx.reactor.seconds() - link.last_sent_at >= interval_s)
 
 
 async def _flush(ctx, link, frames, nonce=b""):
-    link.sent += 1
-    link.sent_at = ctx.reactor.seconds()
+    link.sent_count += 1
+    link.last_sent_at = ctx.reactor.seconds()
     batch = peers.new_batch(
-        ctx, link.host, link.sent, frames, nonce=nonce,
-        session=link.session)
+        ctx, link.host, link.sent_count, frames, nonce=nonce,
+        session=link.peer_nonce)
     await link.stream.send_message(wire.seal(ctx.cfg.key, batch))
 
 
@@ -235,50 +236,50 @@
         sealed = await link.stream.recv_message()
         if sealed is None:
             return
-        batch = _genuine(ctx, link, sealed)
-        link.heard_at = ctx.reactor.seconds()
+        batch = _verify_batch(ctx, link, sealed)
+        link.last_received_at = ctx.reactor.seconds()
         if batch.session:
-            _confirm(ctx, link)
+            _confirm_link(ctx, link)
         peers.receive(ctx, batch)
 
 
-def _genuine(ctx, link, sealed):
-    me = ctx.daemon.me
+def _verify_batch(ctx, link, sealed):
+    identity = ctx.daemon.me
     try:
         batch = wire.open_sealed(
-            ctx.cfg.key, sealed, me.deployment, me.host)
+            ctx.cfg.key, sealed, identity.deployment, identity.host)
     except wire.WireError as exc:
         raise exceptions.LinkRefused(type(exc).__name__) from exc
-    link.heard += 1
-    if batch.sequence != link.heard:
-        raise exceptions.LinkRefused("a batch out of sequence")
-    if link.heard == 1:
-        _greet(link, batch)
+    link.received_count += 1
+    if batch.sequence != link.received_count:
+        raise exceptions.LinkRefused("batch out of sequence")
+    if link.received_count == 1:
+        _handle_first_batch(link, batch)
     if batch.sender != link.host or batch.incarnation != link.incarnation:
-        raise exceptions.LinkRefused("another sender on a link")
+        raise exceptions.LinkRefused("batch from another sender")
     _check_session(link, batch)
     return batch
 
 
-def _greet(link, batch):
+def _handle_first_batch(link, batch):
     if link.host and batch.sender != link.host:
-        raise exceptions.LinkRefused("another host answered")
+        raise exceptions.LinkRefused("another host answered the dial")
     if not batch.nonce:
-        raise exceptions.LinkRefused("a first batch without nonce")
+        raise exceptions.LinkRefused("first batch has no nonce")
     link.host = batch.sender
     link.incarnation = batch.incarnation
-    link.session = batch.nonce
+    link.peer_nonce = batch.nonce
     link.wake.set()
 
 
 def _check_session(link, batch):
-    # Only a batch made for this very link carries its nonce: one that
-    # was recorded on an earlier link can't be played again here.
+    # Only a batch made for this link carries its nonce, so a batch
+    # recorded on an earlier link can't be replayed here.
     if batch.session != link.nonce and (batch.session or batch.frames):
-        raise exceptions.LinkRefused("a batch of another link")
+        raise exceptions.LinkRefused("batch belongs to another link")
 
 
-def _confirm(ctx, link):
+def _confirm_link(ctx, link):
     if link.confirmed:
         return
     link.confirmed = True
@@ -289,34 +290,34 @@
     loop.feed(ctx, events.PeerUp(link.host, link.incarnation))
 
 
-def _ended(ctx, link):
+def _link_ended(ctx, link):
     if link in ctx.peers.unconfirmed:
         ctx.peers.unconfirmed.remove(link)
-    group = ctx.peers.links.get(link.host, [])
-    if link not in group:
+    host_links = ctx.peers.links.get(link.host, [])
+    if link not in host_links:
         return
-    group.remove(link)
-    _lost(ctx, link.host)
-    if group:
-        group[0].wake.set()
-        loop.feed(ctx, events.PeerUp(link.host, group[0].incarnation))
+    host_links.remove(link)
+    _peer_down(ctx, link.host)
+    if host_links:
+        host_links[0].wake.set()
+        loop.feed(ctx, events.PeerUp(link.host, host_links[0].incarnation))
     else:
         _redial(ctx, link.host)
 
 
 def _redial(ctx, host):
-    # Both ends see a link end: one dials at once, the other only if
-    # that fails, or every fault would leave two links behind.
-    if ctx.stopping or host in ctx.peers.dialing or not (
+    # Both ends detect the end of a link. One dials at once, the other
+    # only if that fails; otherwise every failure would create two links.
+    if ctx.stopping or host in ctx.peers.dial_tasks or not (
             membership.is_live(ctx.daemon, host)):
         return
-    first = ctx.daemon.me.host < host
-    _start_dial(ctx, host, 0.0 if first else REDIAL_SECOND_S)
+    dials_first = ctx.daemon.me.host < host
+    _start_dial(ctx, host, 0.0 if dials_first else REDIAL_SECONDARY_DELAY_S)
 
 
-def _lost(ctx, host):
+def _peer_down(ctx, host):
     _clear_outbox(ctx, host)
-    replays.peer_lost(ctx, host)
+    replays.fail_peer_requests(ctx, host)
     loop.feed(ctx, events.PeerDown(host))
 
 
@@ -324,17 +325,17 @@
     ctx.peers.outboxes.pop(host, None)
 
 
-def tick(ctx):
-    """Send the heartbeats that are due; close the silent links."""
+def check_links(ctx):
+    """Send due heartbeats and close silent links."""
     silence_s = ctx.daemon.limits.peer_silence_s
     if ctx.stopping:
         return
-    ctx.reactor.callLater(silence_s / TICKS_PER_SILENCE, tick, ctx)
+    ctx.reactor.callLater(silence_s / CHECKS_PER_TIMEOUT, check_links, ctx)
     now = ctx.reactor.seconds()
-    links = [link for group in ctx.peers.links.values()
-             for link in group] + ctx.peers.unconfirmed
+    links = [link for host_links in ctx.peers.links.values()
+             for link in host_links] + ctx.peers.unconfirmed
     for link in links:
-        if now - link.heard_at > silence_s:
+        if now - link.last_received_at > silence_s:
             _close(link)
-        elif link.session:
+        elif link.peer_nonce:
             link.wake.set()
--- a/crocuskeel/runtime/loop.py
+++ b/crocuskeel/runtime/loop.py
@@ -1,4 +1,4 @@
-"""Feeds events to the reducer in order and runs its effects."""
+"""Passes events to the reducer in order and runs its effects."""
 
 from loguru import logger
 
@@ -8,49 +8,50 @@
 
 __all__ = ["feed", "register", "timer_handlers"]
 
-SLOW_S = 0.1
-_DECIDING = (events.RequestArrived, events.ResumeArrived,
-             events.LocateAsked, events.AttemptClosed)
+SLOW_EVENT_S = 0.1
+_REQUEST_EVENTS = (events.RequestArrived, events.ResumeArrived,
+                   events.LocateAsked, events.AttemptClosed)
 
 
 def register(ctx, handlers):
-    """Add handlers, a dict of effect class to ``fn(ctx, effect)``."""
+    """Add handlers: a dict from effect class to ``fn(ctx, effect)``."""
     ctx.handlers.update(handlers)
 
 
 def feed(ctx, event):
-    """Reduce ``event`` and run what it brings about."""
-    turns.feed(ctx, event, _one)
+    """Reduce ``event`` and run the resulting effects."""
+    turns.feed(ctx, event, _handle)
 
 
-def _one(ctx, event):
+def _handle(ctx, event):
     now = ctx.reactor.seconds()
     try:
-        effs = ctx.reduce(ctx.daemon, event, now)
+        new_effects = ctx.reduce(ctx.daemon, event, now)
     except Exception:
-        # A fault of the program in one request's event shows as a
-        # traceback in the log; the other requests' answers must go on.
-        logger.exception("reducer failed on {}", _name(event))
-        _give_up(ctx, event)
+        # A bug triggered by one request's event is logged with a
+        # traceback; the other requests must continue.
+        logger.exception("reducer failed on event {}", _event_name(event))
+        _fail_request(ctx, event)
         return
-    for effect in effs:
-        _run(ctx, effect)
-    took_s = ctx.reactor.seconds() - now
-    if took_s > SLOW_S:
-        # All streams of this host stood still meanwhile.
-        logger.warning("{} took {:.3f} s", _name(event), took_s)
-
-
-def _give_up(ctx, event):
-    # The core may have lost track of this request: its caller would
-    # wait for good. Only its own event's failure says so, and the end
-    # that the core is then told of can't fail over and over.
-    if type(event) in _DECIDING:
-        ctx.fail(ctx, event.rid)
+    for effect in new_effects:
+        _run_effect(ctx, effect)
+    elapsed_s = ctx.reactor.seconds() - now
+    if elapsed_s > SLOW_EVENT_S:
+        # All streams of this host were blocked in the meantime.
+        logger.warning("slow event: {} took {:.3f} s",
+                       _event_name(event), elapsed_s)
+
+
+def _fail_request(ctx, event):
+    # The core's state of this request may be inconsistent, and its caller
+    # would wait forever. Only failures of the request's own events end it;
+    # CallerGone is not among them, so its failure can't repeat endlessly.
+    if type(event) in _REQUEST_EVENTS:
+        ctx.fail_request(ctx, event.rid)
         ctx.queue.append(events.CallerGone(event.rid))
 
 
-def _name(event):
+def _event_name(event):
     if type(event) is events.Received:
         return f"Received {type(event.message).__name__}"
     if type(event) is events.TimerFired:
@@ -58,15 +59,15 @@
     return type(event).__name__
 
 
-def _run(ctx, effect):
+def _run_effect(ctx, effect):
     try:
         ctx.handlers[type(effect)](ctx, effect)
     except Exception:
-        logger.exception("effect failed: {}", type(effect).__name__)
+        logger.exception("effect handler failed: {}", type(effect).__name__)
 
 
 def timer_handlers():
-    """Return the handlers of timers."""
+    """Return the handlers of the timer effects."""
     return {effects.SetTimer: _set_timer,
             effects.CancelTimer: _cancel_timer}
 
@@ -74,7 +75,7 @@
 def _set_timer(ctx, effect):
     _cancel_timer(ctx, effect)
     ctx.timers[effect.key] = ctx.reactor.callLater(
-        max(0.0, effect.after_s), _fire, ctx, effect.key)
+        max(0.0, effect.after_s), _timer_fired, ctx, effect.key)
 
 
 def _cancel_timer(ctx, effect):
@@ -83,6 +84,6 @@
         call.cancel()
 
 
-def _fire(ctx, key):
+def _timer_fired(ctx, key):
     del ctx.timers[key]
     feed(ctx, events.TimerFired(key))
--- a/crocuskeel/runtime/operations.py
+++ b/crocuskeel/runtime/operations.py
@@ -9,22 +9,22 @@
 
 def register_all(ctx):
     """Register the operations of the runtime."""
-    ops.register(ctx, "GET", "runtime", ops.READ, _runtime)
+    ops.register(ctx, "GET", "runtime", ops.READ, _runtime_status)
 
 
-def _runtime(ctx, _ask):
+def _runtime_status(ctx, _ops_request):
     return {
         "host": ctx.daemon.me.host,
         "incarnation": ctx.daemon.me.incarnation,
         "generation": follower.generation(ctx.daemon),
         "live": list(membership.live(ctx.daemon)),
-        "held": len(ctx.held),
+        "held": len(ctx.exchanges),
         "attempts": len(ctx.attempts),
-        "kept_bytes": ctx.kept.size,
-        "links": {host: len(group)
-                  for host, group in ctx.peers.links.items()},
-        "refused_batches": ctx.peers.refused,
+        "kept_bytes": ctx.response_cache.size,
+        "links": {host: len(host_links)
+                  for host, host_links in ctx.peers.links.items()},
+        "refused_batches": ctx.peers.refused_count,
         "platform_calls": (
             dict(ctx.platform.counts) if ctx.platform else {}),
-        "dropped_lines": ctx.records.dropped,
+        "dropped_lines": ctx.records.dropped_lines,
     }
--- a/crocuskeel/runtime/ops.py
+++ b/crocuskeel/runtime/ops.py
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpsRequest:
-    """What an operation gets; ``args`` are the query's last values."""
+    """Input of an operation; ``args`` has the last value of each key."""
 
     caller: typing.Any
     args: dict[str, str]
@@ -37,7 +37,7 @@
 def register(ctx, method, name, role, run):
     """Add ``METHOD /ops/NAME`` for callers that have ``role``.
 
-    ``run(ctx, ops_request)`` returns the JSON answer, a Deferred of
+    ``run(ctx, ops_request)`` returns the JSON response, a Deferred of
     it, or a :class:`problems.Problem`.
     """
     ctx.ops[(method.encode(), name)] = _Operation(role, run)
@@ -48,21 +48,21 @@
     operation = ctx.ops.get((req.method, name))
     if operation is None:
         return _refuse(req, problems.problem(
-            problems.Reason.BAD_REQUEST, detail=f"no operation {name}"))
+            problems.Reason.BAD_REQUEST, detail=f"unknown operation {name}"))
     caller = follower.caller(ctx.daemon, parsing.token_hash(req))
     if caller is None or operation.role not in caller.roles:
         return _refuse(req, problems.problem(
             problems.Reason.UNAUTHORIZED,
-            detail=f"the role {operation.role} is needed"))
+            detail=f"role {operation.role} is required"))
     args = {key.decode("latin-1"): values[-1].decode("latin-1")
             for key, values in req.args.items()}
-    ask = OpsRequest(caller, args, req.content.read())
-    fut = defer.maybeDeferred(operation.run, ctx, ask)
-    fut.addCallback(lambda result: _write(req, result))
-    return fut
+    ops_request = OpsRequest(caller, args, req.content.read())
+    deferred = defer.maybeDeferred(operation.run, ctx, ops_request)
+    deferred.addCallback(lambda result: _write_result(req, result))
+    return deferred
 
 
-def _write(req, result):
+def _write_result(req, result):
     if isinstance(result, problems.Problem):
         return _refuse(req, result)
     problem_bodies.write_json(req, result)
--- a/crocuskeel/runtime/parsing.py
+++ b/crocuskeel/runtime/parsing.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests into events."""
+"""Parses callers' requests into events."""
 
 import hashlib
 import json
@@ -6,13 +6,12 @@
 from crocuskeel.core import events
 from crocuskeel.runtime import exceptions
 
-__all__ = ["chat_request", "plain_request", "token_hash",
-           "with_model"]
+__all__ = ["chat_request", "plain_request", "replace_model", "token_hash"]
 
 CHARS_PER_TOKEN = 4
 BLOCK_CHARS = 256
 PREFIX_BLOCKS = 4
-KEY_BYTES = 8
+PREFIX_KEY_BYTES = 8
 MAX_KEY_CHARS = 256
 MAX_NAME_CHARS = 128
 _BEARER = "bearer "
@@ -28,81 +27,83 @@
 
 
 def chat_request(req, rid, token, body):
-    """Return the event of an OpenAI request; raises BadRequest."""
-    doc = _document(body)
-    messages = doc.get("messages")
+    """Return the event of an OpenAI chat request; raises BadRequest."""
+    document = _parse_body(body)
+    messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise exceptions.BadRequest("messages must be a list")
+        raise exceptions.BadRequest("messages must be a non-empty list")
     prompt = _prompt(messages)
-    return _event(
+    return _new_event(
         req, rid, token, body,
-        model=_text(doc, "model"),
-        stream=bool(doc.get("stream")),
+        model=_text_field(document, "model"),
+        stream=bool(document.get("stream")),
         prompt_tokens=max(1, -(-len(prompt) // CHARS_PER_TOKEN)),
-        max_tokens=_count(doc, "max_tokens"),
-        prefix=_prefix(prompt),
-        fingerprint=_digest(prompt.encode()))
+        max_tokens=_count_field(document, "max_tokens"),
+        prefix=_prefix_key(prompt),
+        fingerprint=_hex_digest(prompt.encode()))
 
 
-def with_model(body, model):
-    """Return an OpenAI request's body with another model in it."""
-    doc = json.loads(body)
-    doc["model"] = model
-    return json.dumps(doc).encode()
+def replace_model(body, model):
+    """Return an OpenAI request's body with its model replaced."""
+    document = json.loads(body)
+    document["model"] = model
+    return json.dumps(document).encode()
 
 
 def plain_request(req, rid, token, body):
     """Return the event of a plain service's request."""
-    return _event(
+    return _new_event(
         req, rid, token, body, model="", stream=False, prompt_tokens=0,
         max_tokens=0, prefix=0,
-        fingerprint=_digest(req.method, req.uri, body))
+        fingerprint=_hex_digest(req.method, req.uri, body))
 
 
-def _event(req, rid, token, body, **known):
+def _new_event(req, rid, token, body, **fields):
     return events.RequestArrived(
         rid=rid, token=token, method=req.method.decode("latin-1"),
         path=req.uri.decode("latin-1"),
         class_name=_header(req, "X-Crocuskeel-Class", MAX_NAME_CHARS),
-        digest=_digest(req.method, req.uri, body),
+        digest=_hex_digest(req.method, req.uri, body),
         idempotency_key=_header(req, "Idempotency-Key", MAX_KEY_CHARS),
         non_repeatable=_header(
             req, "X-Crocuskeel-Repeatable", MAX_NAME_CHARS) == "no",
         issued_at=_issued_at(req),
         first_sending=_header(
             req, "X-Crocuskeel-First-Sending", MAX_NAME_CHARS) == "yes",
-        **known)
+        **fields)
 
 
-def _document(body):
+def _parse_body(body):
     try:
-        doc = json.loads(body)
+        document = json.loads(body)
     except ValueError as exc:
-        raise exceptions.BadRequest(f"the body is no JSON: {exc}") from exc
-    if not isinstance(doc, dict):
-        raise exceptions.BadRequest("the body must be an object")
-    return doc
+        raise exceptions.BadRequest(
+            f"request body is not valid JSON: {exc}") from exc
+    if not isinstance(document, dict):
+        raise exceptions.BadRequest("request body must be a JSON object")
+    return document
 
 
-def _text(doc, name):
-    value = doc.get(name, "")
+def _text_field(document, name):
+    value = document.get(name, "")
     if not isinstance(value, str) or len(value) > MAX_NAME_CHARS:
-        raise exceptions.BadRequest(f"{name} must be a short text")
+        raise exceptions.BadRequest(f"{name} must be a short string")
     return value
 
 
-def _count(doc, name):
-    value = doc.get(name) or 0
+def _count_field(document, name):
+    value = document.get(name) or 0
     if not isinstance(value, int) or value < 0 or value > 2**31:
-        raise exceptions.BadRequest(f"{name} must be a count")
+        raise exceptions.BadRequest(
+            f"{name} must be an integer between 0 and 2**31")
     return value
 
 
-def _header(req, name, limit):
+def _header(req, name, max_chars):
     value = req.getHeader(name) or ""
-    if len(value) > limit:
+    if len(value) > max_chars:
         raise exceptions.BadRequest(
-            f"{name} may have {limit} characters")
+            f"{name} header exceeds {max_chars} characters")
     return value
 
 
@@ -112,34 +113,34 @@
         return max(0.0, float(text)) if text else 0.0
     except ValueError as exc:
         raise exceptions.BadRequest(
-            "X-Crocuskeel-Issued-At must be Unix seconds") from exc
+            "X-Crocuskeel-Issued-At must be a Unix time in seconds") from exc
 
 
 def _prompt(messages):
-    # The form in which engines number the blocks of their cache.
+    # Engines compute the block keys of their prefix cache from this form.
     lines = []
-    for msg in messages:
-        if not isinstance(msg, dict):
-            raise exceptions.BadRequest("a message must be an object")
-        content = msg.get("content")
+    for message in messages:
+        if not isinstance(message, dict):
+            raise exceptions.BadRequest("each message must be an object")
+        content = message.get("content")
         if not isinstance(content, str):
             content = json.dumps(content, sort_keys=True)
-        lines.append(f"{msg.get('role', 'user')}: {content}")
+        lines.append(f"{message.get('role', 'user')}: {content}")
     return "\n".join(lines)
 
 
-def _prefix(prompt):
+def _prefix_key(prompt):
     blocks = min(PREFIX_BLOCKS, len(prompt) // BLOCK_CHARS)
     if not blocks:
         return 0
     text = prompt[:blocks * BLOCK_CHARS].encode()
-    code = hashlib.blake2b(text, digest_size=KEY_BYTES)
-    return int.from_bytes(code.digest())
+    hasher = hashlib.blake2b(text, digest_size=PREFIX_KEY_BYTES)
+    return int.from_bytes(hasher.digest())
 
 
-def _digest(*parts):
-    code = hashlib.sha256()
+def _hex_digest(*parts):
+    hasher = hashlib.sha256()
     for part in parts:
-        code.update(b"%d:" % len(part))
-        code.update(part)
-    return code.hexdigest()[:32]
+        hasher.update(b"%d:" % len(part))
+        hasher.update(part)
+    return hasher.hexdigest()[:32]
--- a/crocuskeel/runtime/peers.py
+++ b/crocuskeel/runtime/peers.py
@@ -1,7 +1,7 @@
 """Messages to and from other entry hosts.
 
-Stream messages wait in a bounded outbox for each host and go out in
-batches over a link (``links``); probes go at once as datagrams.
+Stream messages are queued in a bounded outbox for each host and sent in
+batches over a link (``links``); probes are sent at once as datagrams.
 """
 
 import collections
@@ -19,16 +19,16 @@
 from crocuskeel.wire import crocuskeel_pb2 as pb
 
 __all__ = ["Outbox", "Peers", "address_of", "handlers", "new_batch",
-           "new_peers", "receive", "send", "take"]
+           "new_peers", "next_batch", "receive", "send"]
 
 MAX_OUTBOX_BYTES = 16 * 1024 * 1024
 MAX_BATCH_BYTES = 1024 * 1024
-_DATAGRAMS = (messages.Probe, messages.ProbeAck, messages.ProbeVia)
+_DATAGRAM_MESSAGES = (messages.Probe, messages.ProbeAck, messages.ProbeVia)
 
 
 @dataclasses.dataclass(slots=True)
 class Outbox:
-    """Encoded messages that wait for a link to one host."""
+    """Encoded messages queued for a link to one host."""
 
     frames: collections.deque = dataclasses.field(
         default_factory=collections.deque)
@@ -37,40 +37,41 @@
 
 @dataclasses.dataclass(slots=True)
 class Peers:
-    """``wake(ctx, host)`` and ``overflow(ctx, host)`` belong to links.
+    """State of the connections to peers.
 
-    ``links`` maps a host to its confirmed links; the first one sends.
-    ``asks`` are the replays asked of peers, by request id.
-    ``takers`` maps a message's class to what takes it in the core's
-    place, as ``fn(ctx, batch, message)``.
+    ``wake(ctx, host)`` and ``handle_full_outbox(ctx, host)`` are
+    functions of ``links``. ``links`` maps a host to its confirmed links;
+    the first one sends. ``replay_requests`` are the replays requested
+    from peers, by request id. ``message_handlers`` maps a message class
+    to ``fn(ctx, batch, message)``, which handles it instead of the core.
     """
 
     wake: typing.Callable
-    overflow: typing.Callable
+    handle_full_outbox: typing.Callable
     send_datagram: typing.Callable
     outboxes: dict = dataclasses.field(default_factory=dict)
     links: dict = dataclasses.field(default_factory=dict)
     unconfirmed: list = dataclasses.field(default_factory=list)
-    dialing: dict = dataclasses.field(default_factory=dict)
-    asks: dict = dataclasses.field(default_factory=dict)
-    takers: dict = dataclasses.field(default_factory=dict)
-    refused: int = 0
+    dial_tasks: dict = dataclasses.field(default_factory=dict)
+    replay_requests: dict = dataclasses.field(default_factory=dict)
+    message_handlers: dict = dataclasses.field(default_factory=dict)
+    refused_count: int = 0
     server: typing.Any = None
     datagrams: typing.Any = None
 
 
-def new_peers(wake, overflow, send_datagram):
-    """Return the state of a daemon without links."""
-    return Peers(wake, overflow, send_datagram)
+def new_peers(wake, handle_full_outbox, send_datagram):
+    """Return the state of a daemon that has no links."""
+    return Peers(wake, handle_full_outbox, send_datagram)
 
 
 def handlers():
-    """Return the handlers of messages to peers."""
+    """Return the handlers of the effects that send to peers."""
     return {effects.Send: _send, effects.Broadcast: _broadcast}
 
 
 def _send(ctx, effect):
-    if isinstance(effect.message, _DATAGRAMS):
+    if isinstance(effect.message, _DATAGRAM_MESSAGES):
         ctx.peers.send_datagram(ctx, effect)
     else:
         send(ctx, effect.host, effect.message)
@@ -91,53 +92,54 @@
     outbox.frames.append(frame)
     outbox.size += frame.ByteSize()
     if outbox.size > MAX_OUTBOX_BYTES:
-        # A peer that does not keep up: dropping messages one by one
-        # would go unseen, a lost link is made good by registering anew.
-        ctx.peers.overflow(ctx, host)
+        # The peer can't keep up. Dropping single messages would go
+        # unnoticed; after a lost link, the core registers its work again.
+        ctx.peers.handle_full_outbox(ctx, host)
     else:
         ctx.peers.wake(ctx, host)
 
 
-def take(outbox):
-    """Take the next batch of frames out of an outbox."""
-    out = []
+def next_batch(outbox):
+    """Remove the next batch of frames from an outbox and return it."""
+    frames = []
     size = 0
-    while outbox.frames and (not out or size < MAX_BATCH_BYTES):
+    while outbox.frames and (not frames or size < MAX_BATCH_BYTES):
         frame = outbox.frames.popleft()
         size += frame.ByteSize()
-        out.append(frame)
+        frames.append(frame)
     outbox.size -= size
-    return out
+    return frames
 
 
-def new_batch(ctx, receiver, sequence, frames=(), **marks):
-    """Return a ``Batch`` of this host, stamped."""
-    when = records.stamp(ctx)
-    me = ctx.daemon.me
+def new_batch(ctx, receiver, sequence, frames=(), **fields):
+    """Return a ``Batch`` from this host with a clock stamp."""
+    timestamp = records.clock_stamp(ctx)
+    identity = ctx.daemon.me
     return pb.Batch(
-        deployment=me.deployment, sender=me.host,
-        incarnation=me.incarnation, receiver=receiver, sequence=sequence,
-        generation=follower.generation(ctx.daemon), clock_ms=when.ms,
-        clock_count=when.count, frames=frames, **marks)
+        deployment=identity.deployment, sender=identity.host,
+        incarnation=identity.incarnation, receiver=receiver,
+        sequence=sequence, generation=follower.generation(ctx.daemon),
+        clock_ms=timestamp.ms, clock_count=timestamp.count,
+        frames=frames, **fields)
 
 
 def receive(ctx, batch, address=""):
-    """Take in the messages of a batch that was found genuine."""
-    records.heard(ctx, (batch.clock_ms, batch.clock_count))
+    """Handle the messages of a verified batch."""
+    records.merge_clock(ctx, (batch.clock_ms, batch.clock_count))
     for frame in batch.frames:
-        _one(ctx, batch, frame, address)
+        _receive_frame(ctx, batch, frame, address)
 
 
-def _one(ctx, batch, frame, address):
+def _receive_frame(ctx, batch, frame, address):
     try:
         message = wire.from_frame(frame)
     except wire.BadMessage:
-        # A newer version's message; its sender will ask again or not.
-        ctx.peers.refused += 1
+        # A message of a newer version; any retry is up to its sender.
+        ctx.peers.refused_count += 1
         return
-    taker = ctx.peers.takers.get(type(message))
-    if taker is not None:
-        taker(ctx, batch, message)
+    handler = ctx.peers.message_handlers.get(type(message))
+    if handler is not None:
+        handler(ctx, batch, message)
         return
     loop.feed(ctx, events.Received(
         batch.sender, batch.incarnation, message, batch.generation,
@@ -145,7 +147,7 @@
 
 
 def address_of(ctx, host):
-    """Return a host's (address, peer port), None if not known."""
+    """Return a host's (address, peer port), None if unknown."""
     info = membership.info(ctx.daemon, host)
     if info is not None and info.peer_port:
         return info.address, info.peer_port
--- a/crocuskeel/runtime/platform_calls.py
+++ b/crocuskeel/runtime/platform_calls.py
@@ -1,4 +1,4 @@
-"""Carries out the core's calls to the platform."""
+"""Executes the core's calls to the platform."""
 
 from crocuskeel.core import effects
 from crocuskeel.core import events
@@ -9,23 +9,23 @@
 __all__ = ["handlers"]
 
 Status = events.StoreStatus
-_FAILED = {
+_ERROR_STATUSES = {
     objectapi.NotFound: Status.NOT_FOUND,
     objectapi.Conflict: Status.CONFLICT,
     objectapi.Unavailable: Status.UNAVAILABLE,
     objectapi.Rejected: Status.UNAVAILABLE,
     objectapi.WriteUnknown: Status.UNKNOWN,
 }
-_KINDS = {"engine": "engine", "service": "plain"}
+_BACKEND_KINDS = {"engine": "engine", "service": "plain"}
 
 
 def handlers():
-    """Return the handlers of platform calls."""
+    """Return the handlers of the platform effects."""
     return {
         effects.StoreGet: _get,
         effects.StoreWatch: _watch,
         effects.StorePut: _put,
-        effects.WantHostList: _hosts,
+        effects.WantHostList: _list_hosts,
     }
 
 
@@ -47,17 +47,17 @@
             effect.path, effect.body, effect.version))
 
 
-def _call(ctx, effect, start):
+def _call(ctx, effect, send):
     if ctx.platform is None:
         ctx.reactor.callLater(0, loop.feed, ctx, events.StoreAnswered(
             effect.op, Status.UNAVAILABLE))
         return
-    fut = start(ctx.platform)
-    fut.addCallback(
-        lambda result: loop.feed(ctx, _answered(effect.op, result)))
+    deferred = send(ctx.platform)
+    deferred.addCallback(
+        lambda result: loop.feed(ctx, _store_event(effect.op, result)))
 
 
-def _answered(op, result):
+def _store_event(op, result):
     match result:
         case objectapi.Found(version=version, body=body):
             return events.StoreAnswered(op, Status.FOUND, version, body)
@@ -65,31 +65,31 @@
             return events.StoreAnswered(op, Status.WRITTEN, version)
         case objectapi.Unchanged(version=version):
             return events.StoreAnswered(op, Status.UNCHANGED, version)
-    return events.StoreAnswered(op, _FAILED[type(result)])
+    return events.StoreAnswered(op, _ERROR_STATUSES[type(result)])
 
 
-def _hosts(ctx, effect):
+def _list_hosts(ctx, effect):
     if ctx.platform is None:
         ctx.reactor.callLater(
             0, loop.feed, ctx, events.HostListFailed())
         return
     ctx.platform.hosts().addCallback(
-        lambda result: loop.feed(ctx, _listed(result)))
+        lambda result: loop.feed(ctx, _host_list_event(result)))
 
 
-def _listed(result):
+def _host_list_event(result):
     if not isinstance(result, objectapi.HostList):
         return events.HostListFailed()
-    entries = tuple(_entry(each) for each in result.hosts
-                    if each.role == "entry")
-    backends = tuple(_backend(each) for each in result.hosts
-                     if each.role in _KINDS)
+    entries = tuple(_member_update(host) for host in result.hosts
+                    if host.role == "entry")
+    backends = tuple(_backend(host) for host in result.hosts
+                     if host.role in _BACKEND_KINDS)
     return events.HostListSeen(result.at, entries, backends)
 
 
-def _entry(host):
-    # An entry host's listed port is its peers' one; the door's port and
-    # the incarnation come with the first answer to a probe.
+def _member_update(host):
+    # The host list has an entry host's peer port only; its ``door_port``
+    # and incarnation arrive with the first answer to a probe.
     status = "leaving" if host.state == "leaving" else "alive"
     return messages.MemberUpdate(
         host=host.name, incarnation=0, status=status,
@@ -101,5 +101,5 @@
     return messages.Backend(
         name=host.name, service=host.service,
         url=f"http://{host.address}:{host.port}", domain=host.domain,
-        region=host.region, kind=_KINDS[host.role],
+        region=host.region, kind=_BACKEND_KINDS[host.role],
         leaving=host.state == "leaving")
--- a/crocuskeel/runtime/polling.py
+++ b/crocuskeel/runtime/polling.py
@@ -1,4 +1,4 @@
-"""Reads load and cache reports of the engines this host dispatches."""
+"""Polls load and cache reports of the engines this host dispatches."""
 
 import dataclasses
 import json
@@ -16,20 +16,20 @@
 
 __all__ = ["Polls", "new_polls", "start"]
 
-LOAD_EVERY_S = 1.0
-CACHE_EVERY = 2
-ANSWER_S = 2.0
+LOAD_INTERVAL_S = 1.0
+CACHE_POLL_ROUNDS = 2
+RESPONSE_TIMEOUT_S = 2.0
 MAX_REPORT_BYTES = 256 * 1024
 MAX_CACHE_EVENTS = 2000
 
 
 @dataclasses.dataclass(slots=True)
 class Polls:
-    """``cache_at`` is the next cache event wanted, by engine."""
+    """``next_cache_event`` maps an engine to the next event to fetch."""
 
     rounds: int = 0
-    running: set = dataclasses.field(default_factory=set)
-    cache_at: dict = dataclasses.field(default_factory=dict)
+    in_progress: set = dataclasses.field(default_factory=set)
+    next_cache_event: dict = dataclasses.field(default_factory=dict)
 
 
 def new_polls():
@@ -38,21 +38,21 @@
 
 
 def start(ctx):
-    """Poll from now on."""
-    ctx.reactor.callLater(LOAD_EVERY_S, _round, ctx)
+    """Start polling."""
+    ctx.reactor.callLater(LOAD_INTERVAL_S, _poll_round, ctx)
 
 
-def _round(ctx):
-    ctx.reactor.callLater(LOAD_EVERY_S, _round, ctx)
+def _poll_round(ctx):
+    ctx.reactor.callLater(LOAD_INTERVAL_S, _poll_round, ctx)
     polls = ctx.polls
     polls.rounds += 1
     for engine in _own_engines(ctx):
-        if engine.name in polls.running:
+        if engine.name in polls.in_progress:
             continue
-        polls.running.add(engine.name)
-        fut = defer.Deferred.fromCoroutine(_poll(ctx, engine))
-        fut.addBoth(lambda _, name=engine.name:
-                    polls.running.discard(name))
+        polls.in_progress.add(engine.name)
+        deferred = defer.Deferred.fromCoroutine(_poll(ctx, engine))
+        deferred.addBoth(lambda _, name=engine.name:
+                         polls.in_progress.discard(name))
 
 
 def _own_engines(ctx):
@@ -68,9 +68,9 @@
 
 
 async def _poll(ctx, engine):
-    report = await _read(ctx, engine, "/load")
+    report = await _fetch_report(ctx, engine, "/load")
     loop.feed(ctx, _load_event(engine, report))
-    if engine.kind == "engine" and ctx.polls.rounds % CACHE_EVERY == 0:
+    if engine.kind == "engine" and ctx.polls.rounds % CACHE_POLL_ROUNDS == 0:
         await _poll_cache(ctx, engine)
 
 
@@ -85,15 +85,15 @@
 
 
 async def _poll_cache(ctx, engine):
-    after = ctx.polls.cache_at.get(engine.name, 0)
-    report = await _read(ctx, engine, f"/cache/events?after={after}")
+    after = ctx.polls.next_cache_event.get(engine.name, 0)
+    report = await _fetch_report(ctx, engine, f"/cache/events?after={after}")
     try:
         rows = report["events"][:MAX_CACHE_EVENTS]
         stored = tuple(int(row["prefix"], 16) for row in rows
                        if row["op"] == "stored")
         removed = tuple(int(row["prefix"], 16) for row in rows
                         if row["op"] == "removed")
-        ctx.polls.cache_at[engine.name] = int(report["next"])
+        ctx.polls.next_cache_event[engine.name] = int(report["next"])
     except (KeyError, TypeError, ValueError):
         return
     if stored or removed:
@@ -101,20 +101,20 @@
             engine.name, stored, removed))
 
 
-async def _read(ctx, engine, path):
-    fut = http_client.request(ctx, engine.url, "GET", engine.url + path)
-    fut.addCallback(_content)
-    fut.addTimeout(ANSWER_S, ctx.reactor)
+async def _fetch_report(ctx, engine, path):
+    deferred = http_client.request(ctx, engine.url, "GET", engine.url + path)
+    deferred.addCallback(_read_body)
+    deferred.addTimeout(RESPONSE_TIMEOUT_S, ctx.reactor)
     try:
-        return json.loads(await fut)
+        return json.loads(await deferred)
     except defer.TimeoutError:
-        # Found silent by a poll, an idle connection costs no caller.
-        http_client.retire(ctx, engine.url)
+        # Closing them here spares callers the wait on a dead connection.
+        http_client.drop_idle_connections(ctx, engine.url)
         return None
     except Exception:
         return None
 
 
-def _content(rsp):
+def _read_body(response):
     return defer.Deferred.fromCoroutine(
-        bodies.read(rsp, MAX_REPORT_BYTES))
+        bodies.read(response, MAX_REPORT_BYTES))
--- a/crocuskeel/runtime/problem_bodies.py
+++ b/crocuskeel/runtime/problem_bodies.py
@@ -9,17 +9,17 @@
            "write_problem"]
 
 CONTENT_TYPE = "application/problem+json"
-_REDIRECT = 307
-_JSON = "application/json"
+_REDIRECT_STATUS = 307
+_JSON_TYPE = "application/json"
 
 
 def as_dict(problem):
     """Return the members of the problem's JSON object."""
-    kind = problems.TABLE[problem.reason]
+    problem_type = problems.TABLE[problem.reason]
     return {
         "type": f"urn:crocuskeel:problem:{problem.reason}",
-        "title": kind.title,
-        "status": kind.status,
+        "title": problem_type.title,
+        "status": problem_type.status,
         "detail": problem.detail,
         "code": str(problem.reason),
         "outcome": str(problem.outcome),
@@ -28,13 +28,13 @@
 
 
 def write_problem(req, problem, location=""):
-    """Write a whole problem answer; the request is then finished.
+    """Write a complete problem response and finish the request.
 
-    ``location`` ("address:port") makes it a redirect to that host.
+    A ``location`` ("address:port") makes it a redirect to that host.
     """
     body = as_dict(problem)
     if location:
-        body["status"] = _REDIRECT
+        body["status"] = _REDIRECT_STATUS
         target = b"http://" + location.encode() + req.uri
         req.setHeader(b"Location", target)
     if problem.retry_after_s > 0:
@@ -43,8 +43,8 @@
     write_json(req, body, body["status"], CONTENT_TYPE)
 
 
-def write_json(req, body, status=200, content_type=_JSON):
-    """Write a whole JSON answer; the request is then finished."""
+def write_json(req, body, status=200, content_type=_JSON_TYPE):
+    """Write a complete JSON response and finish the request."""
     data = json.dumps(body).encode()
     req.setResponseCode(status)
     req.setHeader("Content-Type", content_type)
@@ -54,6 +54,6 @@
 
 
 def error_event(problem):
-    """Return the event that ends a stream which can't go on."""
+    """Return the event that ends a stream which can't continue."""
     data = json.dumps(as_dict(problem)).encode()
     return b"event: error\ndata: " + data + b"\n\n"
--- a/crocuskeel/runtime/program.py
+++ b/crocuskeel/runtime/program.py
@@ -1,4 +1,4 @@
-"""Puts a daemon's runtime together; starts and stops it."""
+"""Assembles a daemon's runtime; starts and stops it."""
 
 import asyncio
 import random
@@ -20,7 +20,6 @@
 from crocuskeel.runtime import door
 from crocuskeel.runtime import eager
 from crocuskeel.runtime import http_client
-from crocuskeel.runtime import kept
 from crocuskeel.runtime import links
 from crocuskeel.runtime import loop
 from crocuskeel.runtime import operations
@@ -29,48 +28,49 @@
 from crocuskeel.runtime import polling
 from crocuskeel.runtime import records
 from crocuskeel.runtime import replays
+from crocuskeel.runtime import response_cache
 from crocuskeel.runtime import settings
 from crocuskeel.runtime import watchdog
 
 __all__ = ["new_runtime", "start"]
 
-EXIT_CHECK_S = 0.1
-# Over the watchdog's span for callers that take nothing.
-EXIT_MOST_S = 30.0
+EXIT_CHECK_INTERVAL_S = 0.1
+# Longer than the watchdog's timeout for callers that stop reading.
+EXIT_TIMEOUT_S = 30.0
 
 
-def new_runtime(reactor, cfg, wall, reduce=reducer.reduce):
+def new_runtime(reactor, cfg, wall_clock, reduce=reducer.reduce):
     """Return a runtime that is not started.
 
-    ``wall()`` returns Unix seconds. The incarnation is the time of the
-    start in milliseconds: hosts keep nothing that could count starts.
+    ``wall_clock()`` returns Unix seconds. The incarnation is the start
+    time in milliseconds: hosts store nothing that could count starts.
     """
-    identity = settings.identity(cfg, int(wall() * 1000))
+    identity = settings.identity(cfg, int(wall_clock() * 1000))
     daemon = factory.new_daemon(
-        identity, cfg.limits, wall=_wall_of(reactor, wall))
+        identity, cfg.limits, wall=_new_unix_clock(reactor, wall_clock))
     ctx = context.new_context(reactor, cfg, daemon, reduce)
-    ctx.records = records.new_records(reactor, wall, cfg.statsd)
-    ctx.fail = callers.fail
-    ctx.kept = kept.new_store(cfg.limits.replay_kept_s)
-    ctx.http = http_client.new_connections(reactor)
+    ctx.records = records.new_records(reactor, wall_clock, cfg.statsd)
+    ctx.fail_request = callers.fail_request
+    ctx.response_cache = response_cache.new_cache(cfg.limits.replay_kept_s)
+    ctx.connections = http_client.new_connections(reactor)
     ctx.polls = polling.new_polls()
     ctx.ops = {}
     ctx.platform = _new_platform(reactor, cfg, identity)
     ctx.peers = peers.new_peers(
-        links.wake, links.overflow, datagrams.send)
+        links.wake, links.handle_full_outbox, datagrams.send)
     ctx.peers.datagrams = datagrams.new_datagrams()
-    ctx.peers.takers = {
-        messages.ReplayAsk: replays.ask_received,
-        messages.ReplayChunk: replays.chunk_received,
+    ctx.peers.message_handlers = {
+        messages.ReplayAsk: replays.handle_replay_ask,
+        messages.ReplayChunk: replays.handle_replay_chunk,
     }
     _register(ctx)
     return ctx
 
 
-def _wall_of(reactor, wall):
-    """Return what turns the runtime's time into Unix seconds."""
+def _new_unix_clock(reactor, wall_clock):
+    """Return a function that converts reactor time to Unix seconds."""
     def unix_s(now):
-        return wall() + now - reactor.seconds()
+        return wall_clock() + now - reactor.seconds()
 
     return unix_s
 
@@ -91,12 +91,12 @@
                   peers.handlers(), platform_calls.handlers(),
                   records.handlers()):
         loop.register(ctx, table)
-    loop.register(ctx, {effects.Exit: _exit})
+    loop.register(ctx, {effects.Exit: _start_exit})
     operations.register_all(ctx)
 
 
 async def start(ctx):
-    """Open the ports, then tell the core that the daemon is up."""
+    """Open the ports, then tell the core that the daemon has started."""
     cfg = ctx.cfg
     datagrams.listen(ctx)
     await defer.Deferred.fromFuture(
@@ -111,23 +111,25 @@
     loop.feed(ctx, events.Started())
 
 
-def _exit(ctx, _effect):
-    # What is relayed from kept answers has no attempt that the core
-    # waits for: these callers, too, get their whole answers.
-    ends = ctx.reactor.seconds() + EXIT_MOST_S
+def _start_exit(ctx, _effect):
+    # Responses replayed from the cache have no attempt that the core
+    # waits for, so this waits until they are complete as well.
+    deadline = ctx.reactor.seconds() + EXIT_TIMEOUT_S
     ctx.door_port.stopListening()
-    _exit_when_idle(ctx, ends)
+    _exit_when_idle(ctx, deadline)
 
 
-def _exit_when_idle(ctx, ends):
-    # An ended answer may still wait here for a caller that reads slowly:
-    # exiting now would cut off a stream that was whole.
-    busy = callers.waiting(ctx) or eager.unsent(ctx.door_port)
-    if busy and ctx.reactor.seconds() < ends:
-        ctx.reactor.callLater(EXIT_CHECK_S, _exit_when_idle, ctx, ends)
+def _exit_when_idle(ctx, deadline):
+    # A finished response may still be queued for a caller that reads
+    # slowly; exiting now would truncate a complete stream.
+    unfinished = callers.count_waiting(ctx) or eager.count_unsent(
+        ctx.door_port)
+    if unfinished and ctx.reactor.seconds() < deadline:
+        ctx.reactor.callLater(
+            EXIT_CHECK_INTERVAL_S, _exit_when_idle, ctx, deadline)
         return
     records.note(ctx, "stopped")
     records.flush(ctx)
     ctx.stopping = True
     links.stop(ctx)
-    ctx.reactor.callLater(EXIT_CHECK_S, ctx.on_exit)
+    ctx.reactor.callLater(EXIT_CHECK_INTERVAL_S, ctx.on_exit)
--- a/crocuskeel/runtime/records.py
+++ b/crocuskeel/runtime/records.py
@@ -1,4 +1,4 @@
-"""The time line's events as JSON lines and a ring; statsd metrics."""
+"""Timeline events as JSON lines and in a ring buffer; statsd metrics."""
 
 import collections
 import dataclasses
@@ -15,8 +15,8 @@
 from crocuskeel.objectapi import budget as budgets
 from crocuskeel.timeline import hlc
 
-__all__ = ["Records", "begin_logs", "flush", "handlers", "heard",
-           "new_records", "note", "recent", "stamp"]
+__all__ = ["Records", "begin_logs", "clock_stamp", "flush", "handlers",
+           "merge_clock", "new_records", "note", "recent"]
 
 RING_EVENTS = 5000
 FLUSH_S = 0.2
@@ -27,27 +27,29 @@
 
 @dataclasses.dataclass(slots=True)
 class Records:
-    """``wall`` returns Unix seconds; ``dropped`` counts lines left out.
+    """State of the records.
 
-    ``numbered`` counts all events: the ring holds the last of them.
+    ``wall_clock`` returns Unix seconds. ``event_count`` counts all
+    events; ``ring`` holds the last of them. ``dropped_lines`` counts the
+    lines that the rate limit suppressed.
     """
 
-    wall: typing.Callable
+    wall_clock: typing.Callable
     clock: hlc.Clock
     budget: budgets.Budget
     ring: collections.deque
     statsd_address: str
     metrics: typing.Any = None
-    pending: list = dataclasses.field(default_factory=list)
-    flushing: bool = False
-    numbered: int = 0
-    dropped: int = 0
+    pending_events: list = dataclasses.field(default_factory=list)
+    flush_scheduled: bool = False
+    event_count: int = 0
+    dropped_lines: int = 0
 
 
-def new_records(reactor, wall, statsd_address=""):
-    """Return records of a daemon that has none yet."""
+def new_records(reactor, wall_clock, statsd_address=""):
+    """Return empty records."""
     return Records(
-        wall=wall, clock=hlc.new_clock(),
+        wall_clock=wall_clock, clock=hlc.new_clock(),
         budget=budgets.new_budget(
             LINES_PER_S, LINES_BURST, reactor.seconds()),
         ring=collections.deque(maxlen=RING_EVENTS),
@@ -55,11 +57,11 @@
 
 
 def begin_logs(log_file, host):
-    """Write JSON lines to a file or, without one, to standard error."""
+    """Write logs as JSON lines to a file, by default standard error."""
     logger.remove()
     logger.configure(extra={"host": host, "line": ""})
-    # With its diagnosis loguru writes out the values of a traceback's
-    # frames: seconds for a whole state, and prompts among them.
+    # With ``diagnose``, loguru formats the values in a traceback's frames:
+    # this takes seconds for the whole state and would log prompts.
     logger.add(log_file or sys.stderr, format=_line_format, level="INFO",
                backtrace=False, diagnose=False)
     globalLogBeginner.beginLoggingTo(
@@ -69,11 +71,11 @@
 def _line_format(record):
     extra = record["extra"]
     if not extra["line"]:
-        extra["line"] = _program_line(record)
+        extra["line"] = _log_line(record)
     return "{extra[line]}\n"
 
 
-def _program_line(record):
+def _log_line(record):
     line = {
         "ts": record["time"].timestamp(),
         "host": record["extra"]["host"],
@@ -81,21 +83,21 @@
         "level": record["level"].name,
         "message": record["message"],
     }
-    exc = record["exception"]
-    if exc is not None:
-        line["error"] = f"{exc.type.__name__}: {exc.value}"
-        line["at"] = _where(exc.traceback)
+    exception = record["exception"]
+    if exception is not None:
+        line["error"] = f"{exception.type.__name__}: {exception.value}"
+        line["at"] = _traceback_locations(exception.traceback)
     return json.dumps(line)
 
 
-def _where(tb):
-    # The frames' places without their values: these may hold prompts.
-    places = []
-    while tb is not None:
-        code = tb.tb_frame.f_code
-        places.append(f"{code.co_filename}:{tb.tb_lineno}")
-        tb = tb.tb_next
-    return places
+def _traceback_locations(traceback):
+    # Only locations, not the frames' values, which may contain prompts.
+    locations = []
+    while traceback is not None:
+        code = traceback.tb_frame.f_code
+        locations.append(f"{code.co_filename}:{traceback.tb_lineno}")
+        traceback = traceback.tb_next
+    return locations
 
 
 def _log_failure(event):
@@ -107,20 +109,20 @@
 
 
 def handlers():
-    """Return the handlers of records and measures."""
+    """Return the handlers of the record and measure effects."""
     return {effects.Record: _record, effects.Measure: _measure}
 
 
-def stamp(ctx):
-    """Return a clock stamp for a message about to be sent."""
+def clock_stamp(ctx):
+    """Return a hybrid logical clock stamp for a message to be sent."""
     records = ctx.records
-    return records.clock.tick(records.wall() * 1000)
+    return records.clock.tick(records.wall_clock() * 1000)
 
 
-def heard(ctx, remote):
-    """Take in the clock stamp of a received batch."""
+def merge_clock(ctx, remote):
+    """Merge the clock stamp of a received batch."""
     records = ctx.records
-    records.clock.merge(remote, records.wall() * 1000)
+    records.clock.merge(remote, records.wall_clock() * 1000)
 
 
 def note(ctx, kind, rid="", **fields):
@@ -130,44 +132,44 @@
 
 def _record(ctx, effect):
     records = ctx.records
-    wall = records.wall()
-    when = records.clock.tick(wall * 1000)
-    me = ctx.daemon.me
+    wall_clock = records.wall_clock()
+    timestamp = records.clock.tick(wall_clock * 1000)
+    identity = ctx.daemon.me
     event = {
-        "ts": round(wall, 6),
-        "hlc": [when.ms, when.count],
-        "host": me.host,
-        "incarnation": me.incarnation,
+        "ts": round(wall_clock, 6),
+        "hlc": [timestamp.ms, timestamp.count],
+        "host": identity.host,
+        "incarnation": identity.incarnation,
         "generation": follower.generation(ctx.daemon),
         "kind": effect.kind,
         "rid": effect.rid,
         "fields": dict(effect.fields),
     }
-    records.numbered += 1
-    records.ring.append((records.numbered, event))
+    records.event_count += 1
+    records.ring.append((records.event_count, event))
     if not records.budget.take(ctx.reactor.seconds()):
-        records.dropped += 1
+        records.dropped_lines += 1
         return
-    records.pending.append(event)
-    _flush_soon(ctx)
+    records.pending_events.append(event)
+    _schedule_flush(ctx)
 
 
 def flush(ctx):
-    """Write the lines and metrics that wait, each in one go."""
+    """Write the pending lines and metrics, each kind in one batch."""
     records = ctx.records
-    records.flushing = False
+    records.flush_scheduled = False
     _send_metrics(records)
-    events, records.pending = records.pending, []
+    events, records.pending_events = records.pending_events, []
     if events:
         lines = "\n".join(json.dumps(event) for event in events)
         logger.bind(line=lines).info("")
 
 
 def recent(ctx, after=0, limit=RING_EVENTS):
-    """Return up to ``limit`` events after a number, and the next one."""
+    """Return up to ``limit`` events after a number, and the last number."""
     rows = [event for number, event in ctx.records.ring
             if number > after][:limit]
-    first = ctx.records.numbered - len(ctx.records.ring)
+    first = ctx.records.event_count - len(ctx.records.ring)
     return rows, max(after, first) + len(rows)
 
 
@@ -182,16 +184,16 @@
     send = {"c": records.metrics.incr, "g": records.metrics.gauge,
             "ms": records.metrics.timing}[effect.kind]
     send(effect.name, effect.value)
-    _flush_soon(ctx)
+    _schedule_flush(ctx)
 
 
-def _flush_soon(ctx):
-    if not ctx.records.flushing:
-        ctx.records.flushing = True
+def _schedule_flush(ctx):
+    if not ctx.records.flush_scheduled:
+        ctx.records.flush_scheduled = True
         ctx.reactor.callLater(FLUSH_S, flush, ctx)
 
 
 def _send_metrics(records):
-    # A datagram for each metric would cost a system call for each.
+    # One datagram per metric would cost one system call per metric.
     if records.metrics is not None:
         records.metrics.send()
--- a/crocuskeel/runtime/relay.py
+++ b/crocuskeel/runtime/relay.py
@@ -1,7 +1,8 @@
-"""The token path: bytes of a backend server's answer to the caller.
+"""Relays the bytes of a backend server's response to the caller.
 
-Events are not parsed: bytes go on up to the last event boundary of each
-chunk, so that a broken stream can be resumed after a whole event.
+Events are not parsed: bytes are forwarded up to the last event boundary
+of each chunk, so that a broken stream can be resumed after a complete
+event.
 """
 
 from twisted.internet import protocol
@@ -10,10 +11,10 @@
 
 from crocuskeel.core import events
 from crocuskeel.runtime import callers
-from crocuskeel.runtime import kept
 from crocuskeel.runtime import loop
+from crocuskeel.runtime import response_cache
 
-__all__ = ["Discard", "start"]
+__all__ = ["DiscardBody", "start"]
 
 BOUNDARY = b"\n\n"
 BOUNDARY_BYTES = 2
@@ -21,99 +22,102 @@
 MAX_DISCARD_BYTES = 64 * 1024
 
 
-class Discard(protocol.Protocol):
-    """Reads a short body nobody wants, so its connection can be kept."""
+class DiscardBody(protocol.Protocol):
+    """Discards a short body so that its connection can be reused."""
 
-    seen = 0
+    received_bytes = 0
 
     def dataReceived(self, data):
-        self.seen += len(data)
-        if self.seen > MAX_DISCARD_BYTES:
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_DISCARD_BYTES:
             self.transport.stopProducing()
 
 
 class _Relay(protocol.Protocol):
-    """Relays one answer; ``tail`` is the start of an unfinished event."""
+    """Relays one response; ``partial_event`` is an incomplete event."""
 
-    def __init__(self, ctx, attempt, sse, close):
+    def __init__(self, ctx, attempt, is_sse, on_end):
         self.ctx = ctx
         self.attempt = attempt
-        self.sse = sse
-        self.close = close
-        self.tail = b""
-        self.seconds = ctx.reactor.seconds
+        self.is_sse = is_sse
+        self.on_end = on_end
+        self.partial_event = b""
+        self.clock = ctx.reactor.seconds
 
     def connectionMade(self):
-        self.attempt.body = self
-        if self.attempt.held.paused_at:
+        self.attempt.body_protocol = self
+        if self.attempt.exchange.paused_at:
             self.attempt.pause()
 
     def dataReceived(self, data):
         attempt = self.attempt
         if attempt.ended:
             return
-        attempt.last_at = self.seconds()
-        if self.sse:
-            data = self._whole_events(data)
+        attempt.last_data_at = self.clock()
+        if self.is_sse:
+            data = self._complete_events(data)
             if not data:
                 return
             count = data.count(BOUNDARY)
-            attempt.events += count
-            attempt.held.events += count
-        callers.write(attempt.held, data)
-        if attempt.keep is not None:
-            kept.append(self.ctx, attempt.keep, data)
-        if not attempt.first_at:
-            _opened(self.ctx, attempt)
-
-    def _whole_events(self, data):
-        if self.tail:
-            data = self.tail + data
-            self.tail = b""
+            attempt.event_count += count
+            attempt.exchange.event_count += count
+        callers.write(attempt.exchange, data)
+        if attempt.cached_response is not None:
+            response_cache.append(self.ctx, attempt.cached_response, data)
+        if not attempt.first_data_at:
+            _report_first_data(self.ctx, attempt)
+
+    def _complete_events(self, data):
+        if self.partial_event:
+            data = self.partial_event + data
+            self.partial_event = b""
         if data.endswith(BOUNDARY):
             return data
-        cut = data.rfind(BOUNDARY) + BOUNDARY_BYTES
-        if cut < BOUNDARY_BYTES:
-            cut = 0
-        self.tail = data[cut:]
-        if len(self.tail) > MAX_EVENT_BYTES:
-            # An engine that never ends an event would fill the memory.
+        end = data.rfind(BOUNDARY) + BOUNDARY_BYTES
+        if end < BOUNDARY_BYTES:
+            end = 0
+        self.partial_event = data[end:]
+        if len(self.partial_event) > MAX_EVENT_BYTES:
+            # An engine that never ends an event would exhaust memory.
             self.transport.stopProducing()
-        return data[:cut]
+        return data[:end]
 
     def connectionLost(self, reason=protocol.connectionDone):
         attempt = self.attempt
-        attempt.body = None
+        attempt.body_protocol = None
         if attempt.ended:
             return
-        whole = reason.check(web_client.ResponseDone) and not self.tail
-        if not whole:
-            self.close(self.ctx, attempt, events.AttemptEnd.BROKEN)
+        complete = (reason.check(web_client.ResponseDone)
+                    and not self.partial_event)
+        if not complete:
+            self.on_end(self.ctx, attempt, events.AttemptEnd.BROKEN)
             return
-        if not attempt.first_at:
-            _opened(self.ctx, attempt)
-        callers.end(self.ctx, attempt.held)
-        self.close(self.ctx, attempt, events.AttemptEnd.DONE)
+        if not attempt.first_data_at:
+            _report_first_data(self.ctx, attempt)
+        callers.finish_response(self.ctx, attempt.exchange)
+        self.on_end(self.ctx, attempt, events.AttemptEnd.DONE)
 
 
-def start(ctx, attempt, rsp, close):
-    """Relay an answer whose head has come.
+def start(ctx, attempt, response, on_end):
+    """Relay a response whose head has been received.
 
-    ``close(ctx, attempt, end)`` is called when it ends.
+    ``on_end(ctx, attempt, end)`` is called when it ends.
     """
-    content_type = rsp.headers.getRawHeaders(b"Content-Type", [b""])[0]
-    sse = content_type.startswith(callers.SSE)
-    length = None if sse or rsp.length is _newclient.UNKNOWN_LENGTH \
-        else rsp.length
-    if not attempt.held.begun:
-        callers.begin(attempt.held, rsp.code, content_type, length)
-        if attempt.keep is not None:
-            kept.begin(attempt.keep, rsp.code, content_type)
-    rsp.deliverBody(_Relay(ctx, attempt, sse, close))
-
-
-def _opened(ctx, attempt):
-    attempt.first_at = attempt.last_at
+    content_type = response.headers.getRawHeaders(b"Content-Type", [b""])[0]
+    is_sse = content_type.startswith(callers.SSE)
+    length = None if is_sse or response.length is _newclient.UNKNOWN_LENGTH \
+        else response.length
+    if not attempt.exchange.response_started:
+        callers.start_response(
+            attempt.exchange, response.code, content_type, length)
+        if attempt.cached_response is not None:
+            response_cache.set_head(
+                attempt.cached_response, response.code, content_type)
+    response.deliverBody(_Relay(ctx, attempt, is_sse, on_end))
+
+
+def _report_first_data(ctx, attempt):
+    attempt.first_data_at = attempt.last_data_at
     loop.feed(ctx, events.AttemptOpened(
         attempt.rid, attempt.number,
-        attempt.first_at - attempt.opened_at))
+        attempt.first_data_at - attempt.opened_at))
--- a/crocuskeel/runtime/replays.py
+++ b/crocuskeel/runtime/replays.py
@@ -1,4 +1,4 @@
-"""Answers a caller from a kept answer, of this host or of a peer."""
+"""Replays a response to a caller from the cache of this host or a peer."""
 
 import dataclasses
 
@@ -6,134 +6,136 @@
 from crocuskeel.core import events
 from crocuskeel.core import messages
 from crocuskeel.runtime import callers
-from crocuskeel.runtime import kept
 from crocuskeel.runtime import loop
 from crocuskeel.runtime import peers
+from crocuskeel.runtime import response_cache
 
-__all__ = ["Ask", "chunk_received", "ask_received", "handlers",
-           "peer_lost", "sweep"]
+__all__ = ["ReplayRequest", "fail_expired", "fail_peer_requests",
+           "handle_replay_ask", "handle_replay_chunk", "handlers"]
 
-ANSWER_S = 3.0
+RESPONSE_TIMEOUT_S = 3.0
 BOUNDARY = b"\n\n"
 CHUNK_BYTES = 256 * 1024
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
-    """A caller whose answer is asked of a peer."""
+class ReplayRequest:
+    """A replay requested from a peer for a caller."""
 
     rid: str
     host: str
-    last_at: float
+    last_data_at: float
 
 
 def handlers():
-    """Return the handlers of replays."""
+    """Return the handlers of the replay effects."""
     return {effects.Replay: _replay, effects.ReplayFrom: _replay_from}
 
 
 def _replay(ctx, effect):
-    def reader(word, data, answer):
-        if answer is None:
-            _deliver(ctx, effect.rid, word, data, 0, b"")
+    def reader(status, data, cached):
+        if cached is None:
+            _write_chunk(ctx, effect.rid, status, data, 0, b"")
         else:
-            _deliver(ctx, effect.rid, word, data, answer.status,
-                     answer.content_type)
+            _write_chunk(ctx, effect.rid, status, data,
+                         cached.http_status, cached.content_type)
 
-    kept.read(ctx, effect.held, effect.after, "", reader)
+    response_cache.read(ctx, effect.held, effect.after, "", reader)
 
 
-def _deliver(ctx, rid, word, data, status, content_type):
-    held = ctx.held.get(rid)
-    if held is None:
+def _write_chunk(ctx, rid, status, data, http_status, content_type):
+    exchange = ctx.exchanges.get(rid)
+    if exchange is None:
         return
-    if word == "more" and not data:
+    if status == "more" and not data:
         return
-    if word == "more":
-        if not held.begun:
-            callers.begin(held, status, content_type)
-        if held.sse:
-            held.events += data.count(BOUNDARY)
-        callers.write(held, data)
+    if status == "more":
+        if not exchange.response_started:
+            callers.start_response(exchange, http_status, content_type)
+        if exchange.is_sse:
+            exchange.event_count += data.count(BOUNDARY)
+        callers.write(exchange, data)
         return
-    if word == "end":
-        if not held.begun:
-            callers.begin(held, status, content_type)
-        callers.end(ctx, held)
-        _closed(ctx, rid, events.AttemptEnd.DONE)
+    if status == "end":
+        if not exchange.response_started:
+            callers.start_response(exchange, http_status, content_type)
+        callers.finish_response(ctx, exchange)
+        _report_closed(ctx, rid, events.AttemptEnd.DONE)
         return
-    _closed(ctx, rid, events.AttemptEnd.GONE)
+    _report_closed(ctx, rid, events.AttemptEnd.GONE)
 
 
-def _closed(ctx, rid, end):
+def _report_closed(ctx, rid, end):
     loop.feed(ctx, events.AttemptClosed(rid, 0, end))
 
 
 def _replay_from(ctx, effect):
-    if effect.rid not in ctx.held:
+    if effect.rid not in ctx.exchanges:
         return
-    ctx.peers.asks[effect.rid] = Ask(
+    ctx.peers.replay_requests[effect.rid] = ReplayRequest(
         effect.rid, effect.host, ctx.reactor.seconds())
     peers.send(ctx, effect.host, messages.ReplayAsk(
         effect.held, effect.rid, effect.after, effect.proof))
 
 
-def ask_received(ctx, batch, ask):
-    """Answer a peer's ``ReplayAsk`` from what this host keeps."""
-    def reader(word, data, answer):
-        status = answer.status if answer else 0
-        kind = answer.content_type.decode("latin-1") if answer else ""
-        for piece in _pieces(data):
+def handle_replay_ask(ctx, batch, request):
+    """Answer a peer's ``ReplayAsk`` from this host's response cache."""
+    def reader(status, data, cached):
+        http_status = cached.http_status if cached else 0
+        content_type = cached.content_type.decode("latin-1") if cached else ""
+        for part in _split_data(data):
             peers.send(ctx, batch.sender, messages.ReplayChunk(
-                ask.ask, word, piece, status, kind))
+                request.ask, status, part, http_status, content_type))
 
-    # The core must know: it would cancel a stream that nobody reads.
+    # The core must know, or it would cancel the stream as unread.
     loop.feed(ctx, events.Received(
-        batch.sender, batch.incarnation, ask, batch.generation))
-    kept.read(ctx, ask.rid, ask.after, ask.proof, reader)
-
-
-def _pieces(data):
-    # Cut after whole events, so that a caller whose relay ends midway
-    # can go on from an event elsewhere.
-    out = []
-    at = 0
-    while len(data) - at > CHUNK_BYTES:
-        cut = data.rfind(BOUNDARY, at, at + CHUNK_BYTES)
-        end = cut + len(BOUNDARY) if cut >= 0 else at + CHUNK_BYTES
-        out.append(data[at:end])
-        at = end
-    return [*out, data[at:]]
-
-
-def chunk_received(ctx, batch, chunk):
-    """Relay a peer's ``ReplayChunk`` to the caller who waits for it."""
-    ask = ctx.peers.asks.get(chunk.ask)
-    if ask is None or ask.host != batch.sender:
+        batch.sender, batch.incarnation, request, batch.generation))
+    response_cache.read(ctx, request.rid, request.after, request.proof, reader)
+
+
+def _split_data(data):
+    # Splits after complete events, so that a caller whose replay ends
+    # midway can resume after an event on another host.
+    parts = []
+    start = 0
+    while len(data) - start > CHUNK_BYTES:
+        cut = data.rfind(BOUNDARY, start, start + CHUNK_BYTES)
+        end = cut + len(BOUNDARY) if cut >= 0 else start + CHUNK_BYTES
+        parts.append(data[start:end])
+        start = end
+    return [*parts, data[start:]]
+
+
+def handle_replay_chunk(ctx, batch, chunk):
+    """Write a peer's ``ReplayChunk`` to the caller waiting for it."""
+    request = ctx.peers.replay_requests.get(chunk.ask)
+    if request is None or request.host != batch.sender:
         return
-    ask.last_at = ctx.reactor.seconds()
+    request.last_data_at = ctx.reactor.seconds()
     if chunk.status != "more":
-        del ctx.peers.asks[chunk.ask]
-    _deliver(ctx, chunk.ask, chunk.status, chunk.data,
-             chunk.http_status, chunk.content_type.encode("latin-1"))
+        del ctx.peers.replay_requests[chunk.ask]
+    _write_chunk(ctx, chunk.ask, chunk.status, chunk.data,
+                 chunk.http_status, chunk.content_type.encode("latin-1"))
 
 
-def peer_lost(ctx, host):
-    """End what was asked of a peer whose link is lost."""
-    for ask in list(ctx.peers.asks.values()):
-        if ask.host == host:
-            _give_up(ctx, ask)
+def fail_peer_requests(ctx, host):
+    """Fail the replays requested from a peer whose link is lost."""
+    for request in list(ctx.peers.replay_requests.values()):
+        if request.host == host:
+            _fail_replay(ctx, request)
 
 
-def sweep(ctx, now):
-    """Give up asks that a peer does not answer."""
-    for ask in list(ctx.peers.asks.values()):
-        held = ctx.held.get(ask.rid)
-        begun = held is not None and held.begun
-        if held is None or (not begun and ask.last_at + ANSWER_S < now):
-            _give_up(ctx, ask)
+def fail_expired(ctx, now):
+    """Fail replay requests that a peer does not answer."""
+    for request in list(ctx.peers.replay_requests.values()):
+        exchange = ctx.exchanges.get(request.rid)
+        started = exchange is not None and exchange.response_started
+        if exchange is None or (
+                not started
+                and request.last_data_at + RESPONSE_TIMEOUT_S < now):
+            _fail_replay(ctx, request)
 
 
-def _give_up(ctx, ask):
-    ctx.peers.asks.pop(ask.rid, None)
-    _closed(ctx, ask.rid, events.AttemptEnd.GONE)
+def _fail_replay(ctx, request):
+    ctx.peers.replay_requests.pop(request.rid, None)
+    _report_closed(ctx, request.rid, events.AttemptEnd.GONE)
--- a/crocuskeel/runtime/settings.py
+++ b/crocuskeel/runtime/settings.py
@@ -1,7 +1,8 @@
-"""The process settings file: who and where this daemon is.
+"""The process settings file: the identity and addresses of a daemon.
 
-JSON with comments. It names the host's addresses and failure domain,
-its peers' seeds and the platform; all else is in the settings tree.
+JSON with comments. It contains the host's address and failure domain,
+the seed peers and the platform; all other settings are in the settings
+tree.
 """
 
 import dataclasses
@@ -70,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessSettings:
-    """One daemon's settings file, secrets read from their files.
+    """One daemon's settings file, with secrets read from their files.
 
     ``platform_url`` is empty without a platform; ``log_file`` empty
     means standard error; ``statsd`` is ``address:port`` or empty.
@@ -103,29 +104,29 @@
 
 
 def parse(text, folder):
-    """Parse a settings text; its file names are under ``folder``."""
-    doc = documents.load(text, _VALIDATOR, exceptions.BadSettingsFile)
-    return _settings(doc, pathlib.Path(folder))
+    """Parse a settings text; file names are relative to ``folder``."""
+    document = documents.load(text, _VALIDATOR, exceptions.BadSettingsFile)
+    return _settings(document, pathlib.Path(folder))
 
 
-def _settings(doc, folder):
-    key = _read_secret(folder, doc["key_file"])
+def _settings(document, folder):
+    key = _read_secret(folder, document["key_file"])
     if len(key) < MIN_KEY_BYTES:
         raise exceptions.BadSettingsFile(
-            f"$.key_file: the key has under {MIN_KEY_BYTES} bytes")
-    platform = doc.get("platform")
+            f"$.key_file: the key is shorter than {MIN_KEY_BYTES} bytes")
+    platform = document.get("platform")
     token = _read_secret(folder, platform["token_file"]) if platform else b""
-    seeds = tuple((each["host"], each["address"], each["port"])
-                  for each in doc.get("seeds", ()))
+    seeds = tuple((seed["host"], seed["address"], seed["port"])
+                  for seed in document.get("seeds", ()))
     return ProcessSettings(
-        deployment=doc["deployment"], host=doc["host"],
-        domain=doc["domain"], region=doc["region"],
-        address=doc["address"], door_port=doc["door_port"],
-        peer_port=doc["peer_port"], key=key, seeds=seeds,
+        deployment=document["deployment"], host=document["host"],
+        domain=document["domain"], region=document["region"],
+        address=document["address"], door_port=document["door_port"],
+        peer_port=document["peer_port"], key=key, seeds=seeds,
         platform_url=platform["url"].rstrip("/") if platform else "",
-        platform_token=token.decode(), log_file=doc.get("log_file", ""),
-        statsd=doc.get("statsd", ""),
-        limits=state.Limits(**doc.get("limits", {})))
+        platform_token=token.decode(), log_file=document.get("log_file", ""),
+        statsd=document.get("statsd", ""),
+        limits=state.Limits(**document.get("limits", {})))
 
 
 def _read_secret(folder, name):
--- a/crocuskeel/runtime/turns.py
+++ b/crocuskeel/runtime/turns.py
@@ -1,14 +1,14 @@
-"""One event at a time: what every program's loop has in common."""
+"""Serial event processing, shared by the event loops of all programs."""
 
 __all__ = ["feed"]
 
 
-def feed(ctx, event, take):
-    """Have ``take(ctx, event)`` called, now or after the running event.
+def feed(ctx, event, handle):
+    """Call ``handle(ctx, event)``, now or after the current event.
 
-    Effects may cause events at once (an answer of a fake in a test, a
-    refused connection); these wait until the running event's effects are
-    all carried out, so that the core sees one event at a time. ``ctx``
+    Effects may cause events synchronously (a test double's answer, a
+    refused connection); these are queued until all effects of the current
+    event have run, so that the core handles one event at a time. ``ctx``
     has a ``queue`` and a flag ``reducing``.
     """
     ctx.queue.append(event)
@@ -17,6 +17,6 @@
     ctx.reducing = True
     try:
         while ctx.queue:
-            take(ctx, ctx.queue.popleft())
+            handle(ctx, ctx.queue.popleft())
     finally:
         ctx.reducing = False
--- a/crocuskeel/runtime/watchdog.py
+++ b/crocuskeel/runtime/watchdog.py
@@ -1,4 +1,4 @@
-"""One coarse loop for the deadlines of all streams.
+"""One periodic check of the deadlines of all streams.
 
 A ``DelayedCall`` for each chunk would cost more than relaying it.
 """
@@ -7,30 +7,30 @@
 from crocuskeel.runtime import attempts
 from crocuskeel.runtime import callers
 from crocuskeel.runtime import http_client
-from crocuskeel.runtime import kept
 from crocuskeel.runtime import loop
 from crocuskeel.runtime import records
 from crocuskeel.runtime import replays
+from crocuskeel.runtime import response_cache
 
 __all__ = ["check", "start"]
 
-EVERY_S = 0.25
-PAUSE_S = 1.0
-CALLER_STALL_S = 20.0
+INTERVAL_S = 0.25
+MAX_LATE_S = 1.0
+CALLER_STALL_TIMEOUT_S = 20.0
 
 
 def start(ctx):
-    """Check all deadlines from now on."""
-    due = ctx.reactor.seconds() + EVERY_S
-    ctx.reactor.callLater(EVERY_S, _again, ctx, due)
+    """Start checking deadlines periodically."""
+    due = ctx.reactor.seconds() + INTERVAL_S
+    ctx.reactor.callLater(INTERVAL_S, _run, ctx, due)
 
 
-def _again(ctx, due):
+def _run(ctx, due):
     late_s = ctx.reactor.seconds() - due
     start(ctx)
-    if late_s > PAUSE_S:
-        # What came in during the pause is not read yet: judged now, all
-        # servers would look silent. The next round judges.
+    if late_s > MAX_LATE_S:
+        # Data that arrived during the pause has not been read yet, so all
+        # servers would look silent now. The next round checks them.
         records.note(ctx, "paused", late_s=round(late_s, 3))
         return
     check(ctx)
@@ -41,31 +41,33 @@
     now = ctx.reactor.seconds()
     for attempt in list(ctx.attempts.values()):
         _check_attempt(ctx, attempt, now)
-    callers.sweep(ctx)
-    kept.sweep(ctx, now)
-    replays.sweep(ctx, now)
+    callers.remove_finished(ctx)
+    response_cache.remove_expired(ctx, now)
+    replays.fail_expired(ctx, now)
 
 
 def _check_attempt(ctx, attempt, now):
-    paused_at = attempt.held.paused_at
-    if paused_at and not attempt.held.gone:
-        # Not reading is the caller's fault, not the server's silence.
-        if now - paused_at > CALLER_STALL_S:
-            attempt.held.req.transport.abortConnection()
+    paused_at = attempt.exchange.paused_at
+    if paused_at and not attempt.exchange.caller_gone:
+        # The caller does not read; the server is not silent.
+        if now - paused_at > CALLER_STALL_TIMEOUT_S:
+            attempt.exchange.req.transport.abortConnection()
         return
-    since = attempt.last_at if attempt.first_at else attempt.opened_at
-    limit = attempt.silence_s if attempt.first_at else attempt.first_byte_s
-    if now - since > limit:
-        _silent(ctx, attempt)
-    elif attempt.events != attempt.reported:
-        attempt.reported = attempt.events
+    last_activity = (attempt.last_data_at if attempt.first_data_at
+                     else attempt.opened_at)
+    timeout_s = (attempt.silence_s if attempt.first_data_at
+                 else attempt.first_byte_s)
+    if now - last_activity > timeout_s:
+        _end_silent_attempt(ctx, attempt)
+    elif attempt.event_count != attempt.reported_events:
+        attempt.reported_events = attempt.event_count
         loop.feed(ctx, events.AttemptProgress(
-            attempt.rid, attempt.number, attempt.events))
+            attempt.rid, attempt.number, attempt.event_count))
 
 
-def _silent(ctx, attempt):
-    # The connection may be dead while new ones work: neither this nor
-    # the other idle ones to that server are used again.
-    http_client.retire(ctx, attempt.url)
+def _end_silent_attempt(ctx, attempt):
+    # The connection may be dead while new ones work: neither it nor the
+    # other idle connections to that server are reused.
+    http_client.drop_idle_connections(ctx, attempt.url)
     attempts.close(ctx, attempt, events.AttemptEnd.SILENT)
     attempts.abort(attempt)
--- a/tests/runtime/support.py
+++ b/tests/runtime/support.py
@@ -1,7 +1,7 @@
-"""A runtime on a paused clock, with a scripted core.
+"""A runtime with a simulated clock and a scripted core.
 
-Callers and backend servers are the test itself: it writes the bytes of
-one side and reads those of the other, so that nothing waits or races.
+The test itself acts as callers and backend servers: it writes the bytes
+of one side and reads those of the other, so no test waits or races.
 """
 
 import dataclasses
@@ -18,14 +18,14 @@
 from crocuskeel.runtime import door
 from crocuskeel.runtime import program
 from crocuskeel.runtime import settings
+from crocuskeel.runtime import stream_ids
 from crocuskeel.runtime import watchdog
-from crocuskeel.runtime import wire_ids
 
 KEY = b"k" * 32
 URL = "http://127.0.0.1:9"
 STREAM_HEAD = (b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                b"Transfer-Encoding: chunked\r\n\r\n")
-TREE = """{
+SETTINGS_TREE = """{
   "deployment": {"name": "d", "failure_domains": ["a"]},
   "services": {"llm": {"kind": "engine", "models": ["m"]}},
   "defaults": {"service": "llm"}, "classes": {"ask": {}},
@@ -37,15 +37,15 @@
 
 
 class Reactor(testing.MemoryReactorClock):
-    """A paused reactor that opens datagram ports too."""
+    """A simulated reactor that also supports datagram ports."""
 
     def listenUDP(self, _number, protocol, **_options):
         protocol.transport = testing.StringTransport()
         return protocol
 
 
-class Conn(testing.StringTransport):
-    """One end of a connection; tells whether it was dropped."""
+class Connection(testing.StringTransport):
+    """One end of a connection; records whether it was dropped."""
 
     dropped = False
 
@@ -56,7 +56,7 @@
         self.dropped = True
         super().loseConnection()
 
-    def take(self):
+    def take_written(self):
         """Return the bytes written since the last call."""
         data = self.value()
         self.clear()
@@ -64,11 +64,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class World:
-    """A runtime, its recorded events and the effects still to give.
+class Harness:
+    """A runtime, its recorded events and its scripted effects.
 
-    ``script`` maps an event's class to ``fn(event)``, which returns
-    effects.
+    ``script`` maps an event class to ``fn(event)``, which returns the
+    effects of the event.
     """
 
     reactor: typing.Any
@@ -76,116 +76,117 @@
     events: list = dataclasses.field(default_factory=list)
     script: dict = dataclasses.field(default_factory=dict)
 
-    def seen(self, kind):
+    def recorded(self, kind):
         """Return the recorded events of a class."""
-        return [each for each in self.events if type(each) is kind]
+        return [event for event in self.events if type(event) is kind]
 
 
-def new_cfg(host="entry-1", deployment="d", key=KEY):
-    """Return process settings without platform or files."""
+def new_settings(host="entry-1", deployment="d", key=KEY):
+    """Return process settings without a platform or files."""
     return settings.ProcessSettings(
         deployment=deployment, host=host, domain="a", region="r",
         address="127.0.0.1", door_port=1, peer_port=2, key=key)
 
 
-def new_world(cfg=None):
-    """Return a world at rest; its core does nothing by itself."""
-    world = World(Reactor())
-    world.reactor.advance(1000.0)
+def new_harness(cfg=None):
+    """Return a harness whose core does nothing unless scripted."""
+    harness = Harness(Reactor())
+    harness.reactor.advance(1000.0)
 
     def reduce(_daemon, event, _now):
-        world.events.append(event)
-        return world.script.get(type(event), lambda _: [])(event)
+        harness.events.append(event)
+        return harness.script.get(type(event), lambda _: [])(event)
 
-    world.ctx = program.new_runtime(
-        world.reactor, cfg or new_cfg(), lambda: 1.8e9, reduce)
-    world.ctx.daemon.follower.tree = conf.parse(TREE).unwrap()
-    return world
+    harness.ctx = program.new_runtime(
+        harness.reactor, cfg or new_settings(), lambda: 1.8e9, reduce)
+    harness.ctx.daemon.follower.tree = conf.parse(SETTINGS_TREE).unwrap()
+    return harness
 
 
-def call(world, head, body=b"", token="one-token"):
+def send_request(harness, head, body=b"", token="one-token"):
     """Send a caller's request; return its channel and connection."""
     site = bounded_request.new_site(
-        world.reactor, door.new_app(world.ctx).resource(), 1000)
+        harness.reactor, door.new_app(harness.ctx).resource(), 1000)
     channel = site.buildProtocol(None)
-    conn = Conn()
-    channel.makeConnection(conn)
+    connection = Connection()
+    channel.makeConnection(connection)
     channel.dataReceived(
         head.encode() + f"\r\nHost: x\r\nAuthorization: Bearer {token}"
         f"\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
-    return channel, conn
+    return channel, connection
 
 
-def ask(world, **extra):
-    """Send a chat request for a stream; return channel and conn."""
+def send_chat_request(harness, **extra):
+    """Send a streaming chat request; return channel and connection."""
     head = "POST /v1/chat/completions HTTP/1.1"
     for name, value in extra.items():
         head += f"\r\n{name.replace('_', '-')}: {value}"
-    return call(world, head, b'{"model": "m", "stream": true, '
-                b'"messages": [{"role": "user", "content": "x"}]}')
+    return send_request(
+        harness, head, b'{"model": "m", "stream": true, '
+        b'"messages": [{"role": "user", "content": "x"}]}')
 
 
-def resume(world, token, workspace):
-    """Come back for the rest of a workspace's stream with a token."""
+def send_resume_request(harness, token, workspace):
+    """Resume a workspace's stream with a caller's token."""
     rid = "entry-2.5.7"
-    code = wire_ids.proof(KEY, workspace, "desk", rid)
-    name = wire_ids.attempt_id(rid, 3, "llm.1", code)
-    return call(
-        world, f"GET /v1/streams/{name} HTTP/1.1"
-        f"\r\nLast-Event-ID: {name}:4", token=token)
+    proof = stream_ids.proof(KEY, workspace, "desk", rid)
+    request_id = stream_ids.attempt_id(rid, 3, "llm.1", proof)
+    return send_request(
+        harness, f"GET /v1/streams/{request_id} HTTP/1.1"
+        f"\r\nLast-Event-ID: {request_id}:4", token=token)
 
 
-def opening(event):
+def open_attempt(event):
     """Return the effects of a core that opens an attempt at once."""
     return [effects.OpenAttempt(
         event.rid, 1, "llm-1", URL, 1, first_byte_s=2.0, silence_s=1.0)]
 
 
-def accept(world, number=-1):
-    """Take the daemon's connection to a backend server."""
-    factory = world.reactor.tcpClients[number][2]
+def accept_connection(harness, number=-1):
+    """Accept the daemon's connection to a backend server."""
+    factory = harness.reactor.tcpClients[number][2]
     protocol = factory.buildProtocol(None)
-    conn = Conn()
-    conn.protocol = protocol
-    protocol.makeConnection(conn)
-    return protocol, conn
+    connection = Connection()
+    connection.protocol = protocol
+    protocol.makeConnection(connection)
+    return protocol, connection
 
 
-def refuse(world, reason, number=-1):
+def refuse_connection(harness, reason, number=-1):
     """Refuse the daemon's connection to a backend server."""
-    factory = world.reactor.tcpClients[number][2]
+    factory = harness.reactor.tcpClients[number][2]
     factory.clientConnectionFailed(None, failure.Failure(reason))
 
 
-def lose(protocol):
-    """End a connection as the other side would."""
+def lose_connection(protocol):
+    """End a connection as if the other side had closed it."""
     protocol.connectionLost(failure.Failure(error.ConnectionLost()))
 
 
-def chunk(data):
+def http_chunk(data):
     """Return one HTTP chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def event(number):
-    """Return one event of a stream."""
+def stream_event(number):
+    """Return one stream event."""
     return b"id: s:%d\ndata: t%d\n\n" % (number, number)
 
 
-def body_of(data):
-    """Return the decoded chunks of an answer's bytes."""
-    _, _, rest = data.partition(b"\r\n\r\n")
-    out = b""
-    while rest:
-        size, _, rest = rest.partition(b"\r\n")
+def decode_body(data):
+    """Return the decoded body of a chunked response."""
+    _, _, remaining = data.partition(b"\r\n\r\n")
+    body = b""
+    while remaining:
+        size, _, remaining = remaining.partition(b"\r\n")
         count = int(size, 16)
-        out += rest[:count]
-        rest = rest[count + 2:]
-    return out
+        body += remaining[:count]
+        remaining = remaining[count + 2:]
+    return body
 
 
-def pass_time(world, seconds):
-    """Advance the clock as the watchdog sees it."""
-    for _ in range(int(seconds / watchdog.EVERY_S)):
-        world.reactor.advance(watchdog.EVERY_S)
-        watchdog.check(world.ctx)
+def advance_time(harness, seconds):
+    """Advance the clock and run the watchdog at each interval."""
+    for _ in range(int(seconds / watchdog.INTERVAL_S)):
+        harness.reactor.advance(watchdog.INTERVAL_S)
+        watchdog.check(harness.ctx)
--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -1,4 +1,4 @@
-"""Contract with backend servers: one row a fault."""
+"""Contract with backend servers: a table of faults."""
 
 import unittest
 
@@ -11,190 +11,192 @@
 End = events.AttemptEnd
 
 
-def _refused(world):
-    support.refuse(world, error.ConnectionRefusedError())
+def _refuses_connection(harness):
+    support.refuse_connection(harness, error.ConnectionRefusedError())
 
 
-def _no_route(world):
-    support.refuse(world, error.TimeoutError())
+def _is_unreachable(harness):
+    support.refuse_connection(harness, error.TimeoutError())
 
 
-def _answers(data, then_lose=False):
-    def act(world):
-        protocol, _ = support.accept(world)
+def _sends(data, then_disconnect=False):
+    def inject_fault(harness):
+        protocol, _ = support.accept_connection(harness)
         protocol.dataReceived(data)
-        if then_lose:
-            support.lose(protocol)
-    return act
+        if then_disconnect:
+            support.lose_connection(protocol)
+    return inject_fault
 
 
-def _is_silent(world):
-    support.accept(world)
-    support.pass_time(world, 2.5)
+def _never_answers(harness):
+    support.accept_connection(harness)
+    support.advance_time(harness, 2.5)
 
 
-def _goes_silent(world):
-    protocol, _ = support.accept(world)
+def _stops_answering(harness):
+    protocol, _ = support.accept_connection(harness)
     protocol.dataReceived(
-        support.STREAM_HEAD + support.chunk(support.event(1)))
-    support.pass_time(world, 1.5)
+        support.STREAM_HEAD + support.http_chunk(support.stream_event(1)))
+    support.advance_time(harness, 1.5)
 
 
-_HALF = support.STREAM_HEAD + support.chunk(
-    support.event(1) + support.event(2)[:9])
+_PARTIAL_STREAM = support.STREAM_HEAD + support.http_chunk(
+    support.stream_event(1) + support.stream_event(2)[:9])
 
-# name, what the server does, end, forwarded events, retry_after_s
+# name, fault of the server, end, forwarded events, retry_after_s
 ROWS = (
-    ("refuses the connection", _refused, End.REFUSED, 0, 0),
-    ("can't be reached", _no_route, End.REFUSED, 0, 0),
-    ("is full", _answers(
+    ("refuses the connection", _refuses_connection, End.REFUSED, 0, 0),
+    ("can't be reached", _is_unreachable, End.REFUSED, 0, 0),
+    ("is overloaded", _sends(
         b"HTTP/1.1 429 X\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n"),
      End.BUSY, 0, 7),
-    ("has no model", _answers(
+    ("has no model", _sends(
         b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"),
      End.UNREADY, 0, 0),
-    ("fails", _answers(
+    ("fails", _sends(
         b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), End.FAILED, 0, 0),
-    ("dies after the request", _answers(b"", True), End.BROKEN, 0, 0),
-    ("dies in its head", _answers(b"HTTP/1.1 200", True),
+    ("disconnects after the request", _sends(b"", True), End.BROKEN, 0, 0),
+    ("disconnects within the response head", _sends(b"HTTP/1.1 200", True),
      End.BROKEN, 0, 0),
-    ("breaks within an event", _answers(_HALF, True), End.BROKEN, 1, 0),
-    ("never answers", _is_silent, End.SILENT, 0, 0),
-    ("stops answering", _goes_silent, End.SILENT, 1, 0),
+    ("disconnects within an event", _sends(_PARTIAL_STREAM, True),
+     End.BROKEN, 1, 0),
+    ("never answers", _never_answers, End.SILENT, 0, 0),
+    ("stops sending", _stops_answering, End.SILENT, 1, 0),
 )
 
 
 class FaultTable(unittest.TestCase):
-    """A server fails in each way that the core tells apart.
+    """A server fails in each way that the core distinguishes.
 
-    A caller would be refused though its request ran, or get parts of
-    events: the core decides on a retry by how the attempt ended and on
-    a resume by the number of whole events that went on.
+    The core decides on a retry by how the attempt ended, and on a resume
+    by the number of complete events forwarded. If either is wrong, a
+    caller is refused although its request ran, or gets partial events.
     """
 
     def test_rows(self):
-        for name, act, end, forwarded, retry in ROWS:
+        for name, inject_fault, end, forwarded, retry in ROWS:
             with self.subTest(name):
-                world = support.new_world()
-                world.script[events.RequestArrived] = support.opening
-                _, caller = support.ask(world)
-                act(world)
-                closed, = world.seen(events.AttemptClosed)
+                harness = support.new_harness()
+                harness.script[events.RequestArrived] = support.open_attempt
+                _, caller = support.send_chat_request(harness)
+                inject_fault(harness)
+                closed, = harness.recorded(events.AttemptClosed)
                 self.assertEqual(
                     (closed.end, closed.forwarded, closed.retry_after_s),
                     (end, forwarded, retry))
-                got = support.body_of(caller.value())
-                want = b"".join(
-                    support.event(i + 1) for i in range(forwarded))
-                self.assertEqual(got, want)
+                received = support.decode_body(caller.value())
+                expected = b"".join(
+                    support.stream_event(number + 1)
+                    for number in range(forwarded))
+                self.assertEqual(received, expected)
 
 
 class Recovery(unittest.TestCase):
-    """What follows on a fault."""
+    """Behaviour after a fault."""
 
-    def _broken(self, world):
+    def _break_stream(self, harness):
         def resume(closed):
             return [effects.ResumeAttempt(
                 closed.rid, closed.attempt, "llm-1", support.URL, 1.0)]
 
-        world.script[events.RequestArrived] = support.opening
-        world.script[events.AttemptClosed] = resume
-        _, caller = support.ask(world)
-        _answers(_HALF, True)(world)
-        del world.script[events.AttemptClosed]
+        harness.script[events.RequestArrived] = support.open_attempt
+        harness.script[events.AttemptClosed] = resume
+        _, caller = support.send_chat_request(harness)
+        _sends(_PARTIAL_STREAM, True)(harness)
+        del harness.script[events.AttemptClosed]
         return caller
 
     def test_resumed_stream_is_whole(self):
-        """A caller reads a stream whose engine connection breaks.
+        """The connection to the engine breaks during a stream.
 
-        The break falls within event 2. The stream is asked for from
-        after event 1, the last whole one, and the caller must get each
-        event once, in order, and then a proper end.
+        It breaks within event 2. The stream is resumed after event 1, the
+        last complete one, and the caller must receive each event once, in
+        order, and then a proper end.
         """
-        world = support.new_world()
-        caller = self._broken(world)
-        protocol, engine = support.accept(world)
+        harness = support.new_harness()
+        caller = self._break_stream(harness)
+        protocol, engine = support.accept_connection(harness)
         self.assertIn(b"GET /v1/streams/entry-1.", engine.value())
         self.assertRegex(engine.value(), rb"Last-Event-Id: \S+:1\r\n")
-        rest = support.event(2) + support.event(3)
+        remaining = support.stream_event(2) + support.stream_event(3)
         protocol.dataReceived(
-            support.STREAM_HEAD + support.chunk(rest) + b"0\r\n\r\n")
-        self.assertEqual(support.body_of(caller.value()),
-                         support.event(1) + rest)
+            support.STREAM_HEAD + support.http_chunk(remaining) + b"0\r\n\r\n")
+        self.assertEqual(support.decode_body(caller.value()),
+                         support.stream_event(1) + remaining)
         self.assertTrue(caller.value().endswith(b"0\r\n\r\n"))
-        last = world.seen(events.AttemptClosed)[-1]
+        last = harness.recorded(events.AttemptClosed)[-1]
         self.assertEqual((last.end, last.forwarded), (End.DONE, 3))
 
-    def test_forgotten_stream_is_gone(self):
-        """The engine crashed in between and doesn't know the stream.
+    def test_unknown_stream_is_reported_gone(self):
+        """The engine restarted and no longer knows the stream.
 
-        Its 404 must not reach the caller, who holds half an answer.
+        Its 404 must not reach the caller, who has part of a response.
         """
-        world = support.new_world()
-        caller = self._broken(world)
+        harness = support.new_harness()
+        caller = self._break_stream(harness)
         before = caller.value()
-        _answers(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n")(world)
-        self.assertEqual(world.seen(events.AttemptClosed)[-1].end,
+        _sends(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n")(harness)
+        self.assertEqual(harness.recorded(events.AttemptClosed)[-1].end,
                          End.GONE)
         self.assertEqual(caller.value(), before)
 
     def test_silent_connection_is_retired(self):
-        """Requests hang on connections that went silent for good.
+        """Idle connections to a server are dead while new ones work.
 
-        Two idle connections to a server are dead while new ones work.
-        One request finds the first of them silent; the next request
-        must not be sent on the second.
+        One request times out on the first of two dead connections; the
+        next request must not be sent on the second.
         """
-        world = support.new_world()
-        world.script[events.RequestArrived] = support.opening
-        done = _answers(
-            support.STREAM_HEAD + support.chunk(support.event(1))
+        harness = support.new_harness()
+        harness.script[events.RequestArrived] = support.open_attempt
+        send_stream = _sends(
+            support.STREAM_HEAD + support.http_chunk(support.stream_event(1))
             + b"0\r\n\r\n")
         for _ in range(2):
-            support.ask(world)
+            support.send_chat_request(harness)
         for number in (0, 1):
-            protocol, _ = support.accept(world, number)
+            protocol, _ = support.accept_connection(harness, number)
             protocol.dataReceived(
-                support.STREAM_HEAD + support.chunk(support.event(1))
+                support.STREAM_HEAD
+                + support.http_chunk(support.stream_event(1))
                 + b"0\r\n\r\n")
-        support.ask(world)
-        self.assertEqual(len(world.reactor.tcpClients), 2)
-        support.pass_time(world, 2.5)
-        self.assertEqual(world.events[-1].end, End.SILENT)
-        _, caller = support.ask(world)
-        self.assertEqual(len(world.reactor.tcpClients), 3)
-        done(world)
-        self.assertIn(support.event(1), caller.value())
+        support.send_chat_request(harness)
+        self.assertEqual(len(harness.reactor.tcpClients), 2)
+        support.advance_time(harness, 2.5)
+        self.assertEqual(harness.events[-1].end, End.SILENT)
+        _, caller = support.send_chat_request(harness)
+        self.assertEqual(len(harness.reactor.tcpClients), 3)
+        send_stream(harness)
+        self.assertIn(support.stream_event(1), caller.value())
 
     def test_late_answer_reaches_nobody(self):
-        """An engine answers after its attempt was given up.
+        """An engine responds after its attempt timed out.
 
-        The request was run again elsewhere; the late bytes of the first
-        run must not be mixed into the second one's answer.
+        The request is retried on another engine; the late bytes of the
+        first run must not be mixed into the second run's response.
         """
-        world = support.new_world()
-        world.script[events.RequestArrived] = support.opening
-        _, caller = support.ask(world)
-        protocol, conn = support.accept(world)
-        support.pass_time(world, 2.5)
-        self.assertTrue(conn.dropped)
+        harness = support.new_harness()
+        harness.script[events.RequestArrived] = support.open_attempt
+        _, caller = support.send_chat_request(harness)
+        protocol, connection = support.accept_connection(harness)
+        support.advance_time(harness, 2.5)
+        self.assertTrue(connection.dropped)
         protocol.dataReceived(
-            support.STREAM_HEAD + support.chunk(support.event(1)))
+            support.STREAM_HEAD + support.http_chunk(support.stream_event(1)))
         self.assertEqual(caller.value(), b"")
-        self.assertFalse(world.seen(events.AttemptOpened))
+        self.assertFalse(harness.recorded(events.AttemptOpened))
 
     def test_cancel_reaches_the_engine(self):
-        """Nobody waits any more: the engine's slot must come free."""
-        world = support.new_world()
-        world.script[events.RequestArrived] = support.opening
-        world.script[events.CallerGone] = lambda gone: [
+        """After the caller disconnects, the engine's slot must be freed."""
+        harness = support.new_harness()
+        harness.script[events.RequestArrived] = support.open_attempt
+        harness.script[events.CallerGone] = lambda gone: [
             effects.CancelAttempt(gone.rid, 1)]
-        channel, _ = support.ask(world)
-        protocol, _ = support.accept(world)
+        channel, _ = support.send_chat_request(harness)
+        protocol, _ = support.accept_connection(harness)
         protocol.dataReceived(
-            support.STREAM_HEAD + support.chunk(support.event(1)))
-        support.lose(channel)
-        _, conn = support.accept(world)
-        self.assertIn(b"DELETE /v1/streams/entry-1.", conn.value())
-        closed, = world.seen(events.AttemptClosed)
+            support.STREAM_HEAD + support.http_chunk(support.stream_event(1)))
+        support.lose_connection(channel)
+        _, connection = support.accept_connection(harness)
+        self.assertIn(b"DELETE /v1/streams/entry-1.", connection.value())
+        closed, = harness.recorded(events.AttemptClosed)
         self.assertEqual(closed.end, End.CANCELLED)
--- a/tests/runtime/test_peer.py
+++ b/tests/runtime/test_peer.py
@@ -1,4 +1,4 @@
-"""Contract between entry hosts: one row a fault."""
+"""Contract between entry hosts: a table of faults."""
 
 import asyncio
 import dataclasses
@@ -14,23 +14,23 @@
 from crocuskeel import wire
 from tests.runtime import support
 
-SETTLE_TURNS = 30
-NOTE = messages.Withdraw("rid", 1, "cell")
+PENDING_TURNS = 30
+MESSAGE = messages.Withdraw("rid", 1, "cell")
 
 
 def setUpModule():
-    """Keep the refusals that are meant out of the tests' output."""
+    """Suppress the log lines of expected refusals."""
     logger.disable("crocuskeel")
 
 
 def tearDownModule():
-    """Log as before."""
+    """Enable logging again."""
     logger.enable("crocuskeel")
 
 
 @dataclasses.dataclass(slots=True)
-class Pipe:
-    """A gRPC stream as links use it; the test is the other end."""
+class FakeStream:
+    """A gRPC stream whose other end is the test."""
 
     sent: list = dataclasses.field(default_factory=list)
     inbox: asyncio.Queue = dataclasses.field(
@@ -43,41 +43,41 @@
         return await self.inbox.get()
 
 
-async def settle():
-    """Let all that can run now run."""
-    for _ in range(SETTLE_TURNS):
+async def run_pending():
+    """Run all pending callbacks."""
+    for _ in range(PENDING_TURNS):
         await asyncio.sleep(0)
 
 
-class Far:
-    """A peer played by the test, with its own key and numbers."""
+class FakePeer:
+    """A simulated peer with its own key and sequence numbers."""
 
     def __init__(self, host="entry-2", key=support.KEY, deployment="d"):
-        cfg = support.new_cfg(host, deployment, key)
-        self.ctx = support.new_world(cfg).ctx
+        cfg = support.new_settings(host, deployment, key)
+        self.ctx = support.new_harness(cfg).ctx
         self.sequence = 0
 
-    def batch(self, messages_=(), receiver="entry-1", **marks):
+    def batch(self, batch_messages=(), receiver="entry-1", **fields):
         """Return the next sealed batch."""
         self.sequence += 1
-        frames = [wire.to_frame(each) for each in messages_]
+        frames = [wire.to_frame(message) for message in batch_messages]
         batch = peers.new_batch(
-            self.ctx, receiver, self.sequence, frames, **marks)
+            self.ctx, receiver, self.sequence, frames, **fields)
         return wire.seal(self.ctx.cfg.key, batch)
 
 
-def opened(sealed):
-    """Return the batch of what the daemon sent."""
+def open_batch(sealed):
+    """Return the batch in a message that the daemon sent."""
     return wire.open_sealed(support.KEY, sealed, "d", "entry-2")
 
 
 class LinkCase(unittest.IsolatedAsyncioTestCase):
-    """A daemon's link with a played peer."""
+    """A daemon's link with a simulated peer."""
 
     async def asyncSetUp(self):
-        self.world = support.new_world()
-        self.ctx = self.world.ctx
-        self.pipe = Pipe()
+        self.harness = support.new_harness()
+        self.ctx = self.harness.ctx
+        self.stream = FakeStream()
         self.task = None
         self.addAsyncCleanup(self._end)
 
@@ -87,230 +87,230 @@
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
-    def begin(self, host=""):
-        """Begin a link, dialed by the daemon if it knows the host."""
-        link = links.new_link(self.ctx, self.pipe, host)
+    def start_link(self, host=""):
+        """Start a link, dialed by the daemon if ``host`` is given."""
+        link = links.new_link(self.ctx, self.stream, host)
         self.task = asyncio.ensure_future(links.run(self.ctx, link))
         return link
 
-    async def give(self, sealed):
-        """Hand a batch to the daemon."""
-        await self.pipe.inbox.put(sealed)
-        await settle()
-
-    async def confirmed(self, far):
-        """Go through the greeting with a peer; return the daemon's nonce."""
-        self.begin()
-        await self.give(far.batch(nonce=b"far"))
-        nonce = opened(self.pipe.sent[0]).nonce
-        await self.give(far.batch(session=nonce))
-        self.assertTrue(self.world.seen(events.PeerUp))
+    async def deliver(self, sealed):
+        """Deliver a batch to the daemon."""
+        await self.stream.inbox.put(sealed)
+        await run_pending()
+
+    async def confirm_link(self, peer):
+        """Confirm a link with a peer; return the daemon's nonce."""
+        self.start_link()
+        await self.deliver(peer.batch(nonce=b"far"))
+        nonce = open_batch(self.stream.sent[0]).nonce
+        await self.deliver(peer.batch(session=nonce))
+        self.assertTrue(self.harness.recorded(events.PeerUp))
         return nonce
 
 
-class CancelledTest(LinkCase):
+class CancelledLinkTest(LinkCase):
     """A link whose handler is cancelled while it closes."""
 
-    async def test_a_link_cancelled_twice_is_gone(self):
-        """After a pause of 4 s a host's grants never go out again.
+    async def test_link_cancelled_twice_is_removed(self):
+        """After a pause of 4 s, a host's grants were never sent again.
 
-        Its links were closed as silent; while their tasks were being
-        ended, the peer's reset cancelled the handler too. The dead
-        link stayed first of its group, and all messages to that host
-        waited behind it for good.
+        Its links were closed as silent. While their tasks were ending,
+        the peer's reset also cancelled the handler; the dead link stayed
+        first in its host's list and blocked all messages to that host.
         """
-        await self.confirmed(Far())
+        await self.confirm_link(FakePeer())
         self.task.cancel()
         await asyncio.sleep(0)
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         self.assertEqual([], self.ctx.peers.links.get("entry-2", []))
-        self.assertTrue(self.world.seen(events.PeerDown))
+        self.assertTrue(self.harness.recorded(events.PeerDown))
 
 
 async def _wrong_key(case):
-    await case.give(Far(key=b"x" * 32).batch(nonce=b"far"))
+    await case.deliver(FakePeer(key=b"x" * 32).batch(nonce=b"far"))
 
 
 async def _other_deployment(case):
-    await case.give(Far(deployment="other").batch(nonce=b"far"))
+    await case.deliver(FakePeer(deployment="other").batch(nonce=b"far"))
 
 
 async def _other_receiver(case):
-    await case.give(Far().batch(receiver="entry-3", nonce=b"far"))
+    await case.deliver(FakePeer().batch(receiver="entry-3", nonce=b"far"))
 
 
 async def _too_large(case):
-    sealed = Far().batch(nonce=b"far")
+    sealed = FakePeer().batch(nonce=b"far")
     sealed.body += b"x" * wire.MAX_SEALED_BYTES
-    await case.give(sealed)
+    await case.deliver(sealed)
 
 
-async def _no_bytes_of_ours(case):
-    sealed = Far().batch(nonce=b"far")
+async def _undecodable(case):
+    sealed = FakePeer().batch(nonce=b"far")
     sealed.body = b"\xff"
-    await case.give(sealed)
+    await case.deliver(sealed)
 
 
-async def _no_greeting(case):
-    await case.give(Far().batch([NOTE]))
+async def _no_nonce(case):
+    await case.deliver(FakePeer().batch([MESSAGE]))
 
 
 async def _recorded_on_another_link(case):
-    far = Far()
-    await case.give(far.batch(nonce=b"far"))
-    await case.give(far.batch([NOTE], session=b"an older nonce"))
+    peer = FakePeer()
+    await case.deliver(peer.batch(nonce=b"far"))
+    await case.deliver(peer.batch([MESSAGE], session=b"an older nonce"))
 
 
-async def _work_before_the_session(case):
-    far = Far()
-    await case.give(far.batch(nonce=b"far"))
-    await case.give(far.batch([NOTE]))
+async def _message_before_session(case):
+    peer = FakePeer()
+    await case.deliver(peer.batch(nonce=b"far"))
+    await case.deliver(peer.batch([MESSAGE]))
 
 
-async def _played_again(case):
-    far = Far()
-    greeting = far.batch(nonce=b"far")
-    await case.give(greeting)
-    await case.give(greeting)
+async def _replayed(case):
+    peer = FakePeer()
+    first_batch = peer.batch(nonce=b"far")
+    await case.deliver(first_batch)
+    await case.deliver(first_batch)
 
 
 async def _another_sender(case):
-    await case.give(Far().batch(nonce=b"far"))
-    other = Far("entry-3")
+    await case.deliver(FakePeer().batch(nonce=b"far"))
+    other = FakePeer("entry-3")
     other.sequence = 1
-    nonce = opened(case.pipe.sent[0]).nonce
-    await case.give(other.batch([NOTE], session=nonce))
+    nonce = open_batch(case.stream.sent[0]).nonce
+    await case.deliver(other.batch([MESSAGE], session=nonce))
 
 
 ROWS = (_wrong_key, _other_deployment, _other_receiver, _too_large,
-        _no_bytes_of_ours, _no_greeting, _recorded_on_another_link,
-        _work_before_the_session, _played_again, _another_sender)
+        _undecodable, _no_nonce, _recorded_on_another_link,
+        _message_before_session, _replayed, _another_sender)
 
 
 class RefusedBatches(LinkCase):
-    """Somebody on the network sends batches that are not for this link.
+    """Batches that do not belong to this link arrive.
 
-    A message of a stranger, of another deployment or of an earlier time
-    would be acted on as a peer's: grants and claims would be forged.
+    If messages of a foreign machine, of another deployment or of an
+    earlier link were accepted, grants and claims could be forged.
     """
 
     async def test_rows(self):
-        for act in ROWS:
-            with self.subTest(act.__name__):
+        for send_batches in ROWS:
+            with self.subTest(send_batches.__name__):
                 await self.asyncSetUp()
-                link = self.begin()
-                await act(self)
+                link = self.start_link()
+                await send_batches(self)
                 self.assertTrue(link.closed)
-                self.assertEqual(self.ctx.peers.refused, 1)
-                self.assertFalse(self.world.seen(events.Received))
-                self.assertFalse(self.world.seen(events.PeerUp))
+                self.assertEqual(self.ctx.peers.refused_count, 1)
+                self.assertFalse(self.harness.recorded(events.Received))
+                self.assertFalse(self.harness.recorded(events.PeerUp))
                 await self._end()
 
     async def test_another_host_answers_a_dial(self):
-        """An address was given to another host since.
+        """The dialed address has been reassigned to another host.
 
-        What waits for the old one must not go to it.
+        Messages queued for the old host must not be sent to the new one.
         """
-        peers.send(self.ctx, "entry-3", NOTE)
-        link = self.begin("entry-3")
-        await self.give(Far().batch(nonce=b"far", session=link.nonce))
+        peers.send(self.ctx, "entry-3", MESSAGE)
+        link = self.start_link("entry-3")
+        await self.deliver(FakePeer().batch(nonce=b"far", session=link.nonce))
         self.assertTrue(link.closed)
-        self.assertFalse(self.world.seen(events.PeerUp))
+        self.assertFalse(self.harness.recorded(events.PeerUp))
 
 
 class Links(LinkCase):
-    """A link with an honest peer."""
+    """A link with a correct peer."""
 
-    async def test_messages_go_both_ways(self):
-        far = Far()
-        nonce = await self.confirmed(far)
-        await self.give(far.batch([NOTE, NOTE], session=nonce))
+    async def test_messages_are_exchanged(self):
+        peer = FakePeer()
+        nonce = await self.confirm_link(peer)
+        await self.deliver(peer.batch([MESSAGE, MESSAGE], session=nonce))
         self.assertEqual(
-            [each.message for each in self.world.seen(events.Received)],
-            [NOTE, NOTE])
-        self.pipe.sent.clear()
+            [event.message
+             for event in self.harness.recorded(events.Received)],
+            [MESSAGE, MESSAGE])
+        self.stream.sent.clear()
         for _ in range(3):
-            peers.send(self.ctx, "entry-2", NOTE)
-        await settle()
-        sent, = self.pipe.sent
-        self.assertEqual(len(opened(sent).frames), 3)
-        self.assertEqual(opened(sent).session, b"far")
+            peers.send(self.ctx, "entry-2", MESSAGE)
+        await run_pending()
+        sent, = self.stream.sent
+        self.assertEqual(len(open_batch(sent).frames), 3)
+        self.assertEqual(open_batch(sent).session, b"far")
 
     async def test_silent_link_is_closed(self):
-        """A connection to a peer goes silent for good.
+        """A connection to a peer goes silent permanently.
 
-        TCP tells neither side. Heartbeats are due every half second; a
-        link without any for the whole silence span must be given up and
-        the core told, so that it registers its work anew.
+        TCP does not report it to either side. Heartbeats are due every
+        half second; a link without any for the silence timeout must be
+        closed and reported to the core, which registers its work again.
         """
-        far = Far()
-        nonce = await self.confirmed(far)
+        peer = FakePeer()
+        nonce = await self.confirm_link(peer)
         silence_s = self.ctx.daemon.limits.peer_silence_s
-        self.world.reactor.advance(silence_s - 0.5)
-        await self.give(far.batch(session=nonce))
-        self.world.reactor.advance(1.0)
-        links.tick(self.ctx)
-        await settle()
-        self.assertFalse(self.world.seen(events.PeerDown))
-        self.world.reactor.advance(silence_s)
-        links.tick(self.ctx)
-        await settle()
-        self.assertTrue(self.world.seen(events.PeerDown))
+        self.harness.reactor.advance(silence_s - 0.5)
+        await self.deliver(peer.batch(session=nonce))
+        self.harness.reactor.advance(1.0)
+        links.check_links(self.ctx)
+        await run_pending()
+        self.assertFalse(self.harness.recorded(events.PeerDown))
+        self.harness.reactor.advance(silence_s)
+        links.check_links(self.ctx)
+        await run_pending()
+        self.assertTrue(self.harness.recorded(events.PeerDown))
 
     async def test_heartbeats(self):
-        """A quiet link's other end must hear that this host lives."""
-        await self.confirmed(Far())
-        links.tick(self.ctx)
-        await settle()
-        self.pipe.sent.clear()
-        self.world.reactor.advance(
+        """An idle link must send heartbeats, or the peer closes it."""
+        await self.confirm_link(FakePeer())
+        links.check_links(self.ctx)
+        await run_pending()
+        self.stream.sent.clear()
+        self.harness.reactor.advance(
             self.ctx.daemon.limits.peer_silence_s / 3)
-        links.tick(self.ctx)
-        await settle()
-        self.assertEqual(len(self.pipe.sent), 1)
+        links.check_links(self.ctx)
+        await run_pending()
+        self.assertEqual(len(self.stream.sent), 1)
 
-    async def test_full_outbox_breaks_the_link(self):
-        """A peer reads slower than this host writes to it.
+    async def test_full_outbox_closes_the_link(self):
+        """A peer reads more slowly than this host writes to it.
 
-        Dropping single messages would lose grants unseen. The link is
-        broken instead, which the core knows to make good.
+        Dropping single messages would lose grants without notice. The
+        link is closed instead, from which the core recovers.
         """
-        await self.confirmed(Far())
+        await self.confirm_link(FakePeer())
         chunk = messages.ReplayChunk("rid", "more", b"x" * 1024 * 1024)
         for _ in range(peers.MAX_OUTBOX_BYTES // 1024 // 1024 + 1):
             peers.send(self.ctx, "entry-2", chunk)
-        await settle()
-        self.assertTrue(self.world.seen(events.PeerDown))
+        await run_pending()
+        self.assertTrue(self.harness.recorded(events.PeerDown))
 
 
 class Datagrams(unittest.TestCase):
-    """Probes, which may be lost, doubled and overtaken."""
+    """Probes, which may be lost, duplicated and reordered."""
 
     def setUp(self):
-        self.world = support.new_world()
-        datagrams.listen(self.world.ctx)
-        self.port = self.world.ctx.peers.datagrams.port
-        self.far = Far()
+        self.harness = support.new_harness()
+        datagrams.listen(self.harness.ctx)
+        self.port = self.harness.ctx.peers.datagrams.port
+        self.peer = FakePeer()
 
-    def give(self, sealed):
-        """Hand in a datagram; return how many were taken so far."""
+    def deliver(self, sealed):
+        """Deliver a datagram; return the number accepted so far."""
         self.port.datagramReceived(
             sealed.SerializeToString(), ("127.0.0.1", 9))
-        return len(self.world.seen(events.Received))
+        return len(self.harness.recorded(events.Received))
 
     def test_rows(self):
         probe = messages.Probe(1)
-        first, second = self.far.batch([probe]), self.far.batch([probe])
+        first, second = self.peer.batch([probe]), self.peer.batch([probe])
         rows = (
-            ("overtaking", second, 1), ("overtaken", first, 2),
-            ("doubled", first, 2),
-            ("of a wrong key", Far(key=b"x" * 32).batch([probe]), 2),
+            ("first to arrive", second, 1), ("reordered", first, 2),
+            ("duplicated", first, 2),
+            ("of a wrong key", FakePeer(key=b"x" * 32).batch([probe]), 2),
             ("of another deployment",
-             Far(deployment="x").batch([probe]), 2),
+             FakePeer(deployment="x").batch([probe]), 2),
             ("recorded on a link",
-             self.far.batch([probe], session=b"s"), 2),
-            ("of the same peer", self.far.batch([probe]), 3))
-        for name, sealed, taken in rows:
+             self.peer.batch([probe], session=b"s"), 2),
+            ("of the same peer", self.peer.batch([probe]), 3))
+        for name, sealed, accepted in rows:
             with self.subTest(name):
-                self.assertEqual(self.give(sealed), taken)
+                self.assertEqual(self.deliver(sealed), accepted)
--- a/tests/runtime/test_stop.py
+++ b/tests/runtime/test_stop.py
@@ -1,4 +1,4 @@
-"""Start and stop of a daemon: exit codes, and nothing cut off."""
+"""Start and stop of a daemon: exit codes and complete streams."""
 
 import io
 import socket
@@ -18,113 +18,115 @@
 from crocuskeel.runtime import program
 from tests.runtime import support
 
-BIG = b"data: " + b"x" * 900_000 + b"\n\n"
-CHAT = (b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-        b"Authorization: Bearer one-token\r\nContent-Length: 74\r\n\r\n"
-        b'{"model": "m", "stream": true, '
-        b'"messages": [{"role": "u", "content": ""}]}')
+LARGE_EVENT = b"data: " + b"x" * 900_000 + b"\n\n"
+CHAT_REQUEST = (
+    b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
+    b"Authorization: Bearer one-token\r\nContent-Length: 74\r\n\r\n"
+    b'{"model": "m", "stream": true, '
+    b'"messages": [{"role": "u", "content": ""}]}')
 
 
-class _Reactor(support.Reactor):
-    """A reactor whose datagram port is taken."""
+class _PortInUseReactor(support.Reactor):
+    """A reactor whose datagram port is in use."""
 
     def listenUDP(self, number, protocol, **_options):
         raise error.CannotListenError("127.0.0.1", number, "taken")
 
     def run(self, installSignalHandlers=True):
-        """Return once the program has nothing left to do."""
+        """Run the pending calls and return."""
         self.advance(0.0)
 
 
 class Start(unittest.TestCase):
     """A daemon that can't start."""
 
-    def test_taken_port_is_an_error(self):
-        """Two daemons are set to the same port on one host.
+    def test_port_in_use_is_an_error(self):
+        """Two daemons on one host are configured with the same port.
 
-        The second one ended with success, so that what supervises it
-        took it for one that was stopped as planned.
+        The second one exited with success, so its supervisor assumed a
+        planned stop.
         """
         logger.disable("crocuskeel")
         self.addCleanup(logger.enable, "crocuskeel")
         ctx = program.new_runtime(
-            _Reactor(), support.new_cfg(), lambda: 1.8e9, None)
+            _PortInUseReactor(), support.new_settings(), lambda: 1.8e9, None)
         self.assertEqual(program_daemon.serve(ctx), 1)
         self.assertTrue(ctx.reactor.hasStopped)
 
 
 class Stop(unittest.TestCase):
-    """The core has nothing left to do and lets the daemon exit."""
+    """The core has finished and lets the daemon exit."""
 
     def setUp(self):
-        self.world = support.new_world()
-        ctx = self.world.ctx
+        self.harness = support.new_harness()
+        ctx = self.harness.ctx
         site = bounded_request.new_site(
-            self.world.reactor, door.new_app(ctx).resource())
+            self.harness.reactor, door.new_app(ctx).resource())
         ctx.door_port = eager.new_port(
-            self.world.reactor, 0, site, "127.0.0.1")
+            self.harness.reactor, 0, site, "127.0.0.1")
         self.exits = []
         ctx.on_exit = lambda: self.exits.append(1)
-        ours, self.caller = socket.socketpair()
-        self.addCleanup(ours.close)
-        self.addCleanup(self.caller.close)
-        for end in (ours, self.caller):
-            end.setblocking(False)
+        daemon_socket, self.caller_socket = socket.socketpair()
+        self.addCleanup(daemon_socket.close)
+        self.addCleanup(self.caller_socket.close)
+        for sock in (daemon_socket, self.caller_socket):
+            sock.setblocking(False)
         protocol = site.buildProtocol(None)
-        self.conn = eager.new_conn(ours, protocol, ctx.door_port)
-        place = address.IPv4Address("TCP", "127.0.0.1", 1)
-        self.conn.getHost = self.conn.getPeer = lambda: place
-        self.conn.setTcpNoDelay = lambda _: None
-        protocol.makeConnection(self.conn)
-
-    def _read(self):
-        got = io.BytesIO()
-        while eager.unsent(self.world.ctx.door_port):
-            self.conn.doWrite()
-            got.write(self._take())
-        got.write(self._take())
-        return got.getvalue()
-
-    def _take(self):
+        self.connection = eager.new_connection(
+            daemon_socket, protocol, ctx.door_port)
+        endpoint = address.IPv4Address("TCP", "127.0.0.1", 1)
+        self.connection.getHost = self.connection.getPeer = lambda: endpoint
+        self.connection.setTcpNoDelay = lambda _: None
+        protocol.makeConnection(self.connection)
+
+    def _read_all(self):
+        received = io.BytesIO()
+        while eager.count_unsent(self.harness.ctx.door_port):
+            self.connection.doWrite()
+            received.write(self._receive())
+        received.write(self._receive())
+        return received.getvalue()
+
+    def _receive(self):
         try:
-            return self.caller.recv(len(BIG))
+            return self.caller_socket.recv(len(LARGE_EVENT))
         except BlockingIOError:
             return b""
 
-    def test_running_stream_is_not_cut_off(self):
-        """A caller reads the end of its stream slower than it comes.
+    def test_running_stream_is_not_truncated(self):
+        """A caller reads the end of its stream more slowly than it arrives.
 
-        The engine has ended, nothing is held for the core any more,
-        and the daemon exits with megabytes of the answer still queued:
-        the caller would find its stream broken by a planned stop.
+        The engine has finished and the core tracks no request, but much
+        of the response is still queued, up to megabytes. If the daemon
+        exited now, a planned stop would break the caller's stream.
         """
-        self.world.script[events.RequestArrived] = support.opening
-        self.world.script[events.DrainAsked] = lambda _: [effects.Exit()]
-        self.caller.send(CHAT)
-        self.conn.doRead()
-        engine, _ = support.accept(self.world)
+        self.harness.script[events.RequestArrived] = support.open_attempt
+        self.harness.script[events.DrainAsked] = lambda _: [effects.Exit()]
+        self.caller_socket.send(CHAT_REQUEST)
+        self.connection.doRead()
+        engine, _ = support.accept_connection(self.harness)
         engine.dataReceived(
-            support.STREAM_HEAD + support.chunk(support.event(1)))
-        self.assertIn(support.event(1), self._read())
-        loop.feed(self.world.ctx, events.DrainAsked())
-        self.world.reactor.advance(1.0)
+            support.STREAM_HEAD + support.http_chunk(support.stream_event(1)))
+        self.assertIn(support.stream_event(1), self._read_all())
+        loop.feed(self.harness.ctx, events.DrainAsked())
+        self.harness.reactor.advance(1.0)
         self.assertEqual(self.exits, [])
-        engine.dataReceived(support.chunk(BIG) + b"0\r\n\r\n")
+        engine.dataReceived(support.http_chunk(LARGE_EVENT) + b"0\r\n\r\n")
         for _ in range(20):
-            self.world.reactor.advance(program.EXIT_CHECK_S)
+            self.harness.reactor.advance(program.EXIT_CHECK_INTERVAL_S)
         self.assertEqual(self.exits, [])
-        self.assertTrue(self._read().endswith(b"0\r\n\r\n"))
+        self.assertTrue(self._read_all().endswith(b"0\r\n\r\n"))
         for _ in range(3):
-            self.world.reactor.advance(program.EXIT_CHECK_S)
+            self.harness.reactor.advance(program.EXIT_CHECK_INTERVAL_S)
         self.assertEqual(self.exits, [1])
 
     def test_stop_is_bounded(self):
-        """A caller that never reads can't keep the host from stopping."""
-        self.conn.write(BIG)
-        self.world.script[events.DrainAsked] = lambda _: [effects.Exit()]
-        loop.feed(self.world.ctx, events.DrainAsked())
-        self.world.reactor.pump([program.EXIT_CHECK_S] * 20)
+        """A caller that never reads must not prevent the exit."""
+        self.connection.write(LARGE_EVENT)
+        self.harness.script[events.DrainAsked] = lambda _: [effects.Exit()]
+        loop.feed(self.harness.ctx, events.DrainAsked())
+        self.harness.reactor.pump([program.EXIT_CHECK_INTERVAL_S] * 20)
         self.assertEqual(self.exits, [])
-        self.world.reactor.advance(program.EXIT_MOST_S)
-        self.world.reactor.advance(program.EXIT_CHECK_S)
+        self.harness.reactor.advance(program.EXIT_TIMEOUT_S)
+        self.harness.reactor.advance(program.EXIT_CHECK_INTERVAL_S)
         self.assertEqual(self.exits, [1])
