--- a/crocuskeel/runtime/bounded_request.py
+++ b/crocuskeel/runtime/bounded_request.py
@@ -52,7 +52,7 @@
         self.refused = True
         problem = problems.problem(
             problems.Reason.TOO_LARGE,
-            detail=f"request body exceeds {self.max_body} bytes")
+            detail=f"a body may have {self.max_body} bytes")
         body = json.dumps(problem_bodies.as_dict(problem)).encode()
         channel = self.channel
         channel.transport.write(
--- a/crocuskeel/runtime/ops.py
+++ b/crocuskeel/runtime/ops.py
@@ -48,12 +48,12 @@
     operation = ctx.ops.get((req.method, name))
     if operation is None:
         return _refuse(req, problems.problem(
-            problems.Reason.BAD_REQUEST, detail=f"unknown operation {name}"))
+            problems.Reason.BAD_REQUEST, detail=f"no operation {name}"))
     caller = follower.caller(ctx.daemon, parsing.token_hash(req))
     if caller is None or operation.role not in caller.roles:
         return _refuse(req, problems.problem(
             problems.Reason.UNAUTHORIZED,
-            detail=f"role {operation.role} is required"))
+            detail=f"the role {operation.role} is needed"))
     args = {key.decode("latin-1"): values[-1].decode("latin-1")
             for key, values in req.args.items()}
     ops_request = OpsRequest(caller, args, req.content.read())
--- a/crocuskeel/runtime/parsing.py
+++ b/crocuskeel/runtime/parsing.py
@@ -31,7 +31,7 @@
     document = _parse_body(body)
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise exceptions.BadRequest("messages must be a non-empty list")
+        raise exceptions.BadRequest("messages must be a list")
     prompt = _prompt(messages)
     return _new_event(
         req, rid, token, body,
@@ -77,25 +77,23 @@
     try:
         document = json.loads(body)
     except ValueError as exc:
-        raise exceptions.BadRequest(
-            f"request body is not valid JSON: {exc}") from exc
+        raise exceptions.BadRequest(f"the body is no JSON: {exc}") from exc
     if not isinstance(document, dict):
-        raise exceptions.BadRequest("request body must be a JSON object")
+        raise exceptions.BadRequest("the body must be an object")
     return document
 
 
 def _text_field(document, name):
     value = document.get(name, "")
     if not isinstance(value, str) or len(value) > MAX_NAME_CHARS:
-        raise exceptions.BadRequest(f"{name} must be a short string")
+        raise exceptions.BadRequest(f"{name} must be a short text")
     return value
 
 
 def _count_field(document, name):
     value = document.get(name) or 0
     if not isinstance(value, int) or value < 0 or value > 2**31:
-        raise exceptions.BadRequest(
-            f"{name} must be an integer between 0 and 2**31")
+        raise exceptions.BadRequest(f"{name} must be a count")
     return value
 
 
@@ -103,7 +101,7 @@
     value = req.getHeader(name) or ""
     if len(value) > max_chars:
         raise exceptions.BadRequest(
-            f"{name} header exceeds {max_chars} characters")
+            f"{name} may have {max_chars} characters")
     return value
 
 
@@ -113,7 +111,7 @@
         return max(0.0, float(text)) if text else 0.0
     except ValueError as exc:
         raise exceptions.BadRequest(
-            "X-Crocuskeel-Issued-At must be a Unix time in seconds") from exc
+            "X-Crocuskeel-Issued-At must be Unix seconds") from exc
 
 
 def _prompt(messages):
@@ -121,7 +119,7 @@
     lines = []
     for message in messages:
         if not isinstance(message, dict):
-            raise exceptions.BadRequest("each message must be an object")
+            raise exceptions.BadRequest("a message must be an object")
         content = message.get("content")
         if not isinstance(content, str):
             content = json.dumps(content, sort_keys=True)
