--- a/crocuskeel/conf/__init__.py
+++ b/crocuskeel/conf/__init__.py
@@ -1,6 +1,6 @@
-"""The settings: text, tree, inheritance, batches, storage, commits."""
+"""The settings: parsing, inheritance, batches, storage and commits."""
 
-from crocuskeel.conf.batches import apply
+from crocuskeel.conf.batches import apply_batch
 from crocuskeel.conf.batches import Batch
 from crocuskeel.conf.batches import Edit
 from crocuskeel.conf.batches import new_batch
@@ -70,7 +70,7 @@
     'SettingsFault',
     'Tree',
     'advance',
-    'apply',
+    'apply_batch',
     'assemble',
     'cell_size',
     'commit_step',
--- a/crocuskeel/conf/batches.py
+++ b/crocuskeel/conf/batches.py
@@ -1,4 +1,4 @@
-"""Batches of edits: accepted whole or not at all."""
+"""Batches of edits, applied atomically."""
 
 import dataclasses
 import enum
@@ -20,7 +20,7 @@
 from crocuskeel.conf import tokens
 from crocuskeel.conf import tree as trees
 
-BAD_PATH = 'conf.E201'
+INVALID_PATH = 'conf.E201'
 OVERLAPPING_EDITS = 'conf.E202'
 TOO_LARGE = 'conf.E203'
 
@@ -39,7 +39,7 @@
 class Edit(NamedTuple):
     """One change: the value that ``path`` gets, or ``REMOVE``.
 
-    Lists are values as a whole; a path leads through objects only.
+    A list is replaced as a whole: a path can't address its items.
     """
 
     path: model.Path
@@ -50,10 +50,10 @@
 class Batch:
     """Edits that take effect together.
 
-    ``id`` names the batch for good: a commit that finds the id done does
-    not repeat it. ``at`` is the author's Unix time in seconds, for people
-    only; nothing is ordered by it. ``base_generation`` is what the author
-    had in view.
+    ``id`` identifies the batch permanently: a commit that finds the id
+    already accepted does not apply it again. ``at`` is the author's Unix
+    time in seconds, for display only; nothing is ordered by it.
+    ``base_generation`` is the generation that the edits were made on.
     """
 
     id: str
@@ -71,7 +71,7 @@
 
 
 def decode_edit(body: Mapping[str, Any]) -> Edit:
-    """Return the edit of its JSON form."""
+    """Return the edit decoded from its JSON form."""
     value = REMOVE if 'remove' in body else body['value']
     return Edit(tuple(body['path']), value)
 
@@ -88,7 +88,7 @@
 
 
 def decode_batch(body: Mapping[str, Any]) -> Batch:
-    """Return the batch of its JSON form."""
+    """Return the batch decoded from its JSON form."""
     edits = tuple(decode_edit(edit) for edit in body['edits'])
     return Batch(
         body['id'], body['author'], body['at'], body['base_generation'],
@@ -98,35 +98,36 @@
 def new_batch(
     author: str, at: float, base_generation: int, edits: Iterable[Edit],
 ) -> Batch:
-    """Return a batch whose id comes from its content.
+    """Return a batch whose id is a hash of its content.
 
-    Sent again after a lost answer it has the same id; a batch that
-    differs in anything has another.
+    A batch that is resent after a lost answer has the same id; any
+    difference in content gives another id.
     """
     batch = Batch('', author, at, base_generation, tuple(edits))
-    digest = hashlib.sha256(parts.canonical(encode_batch(batch)))
+    digest = hashlib.sha256(parts.canonical_json(encode_batch(batch)))
     return dataclasses.replace(batch, id=digest.hexdigest()[:32])
 
 
-def overlap(one: model.Path, other: model.Path) -> bool:
-    """Say whether two paths are equal or one leads through the other."""
-    shared = min(len(one), len(other))
-    return one[:shared] == other[:shared]
+def paths_overlap(first: model.Path, second: model.Path) -> bool:
+    """Return whether one path is a prefix of the other, or equal to it."""
+    shared = min(len(first), len(second))
+    return first[:shared] == second[:shared]
 
 
-def edited(node: Any, path: model.Path, value: Any) -> Any:
-    """Return ``node`` with one edit done; shares what is unchanged.
+def edit_node(node: Any, path: model.Path, value: Any) -> Any:
+    """Return a copy of ``node`` with one edit; shares what is unchanged.
 
-    Raises ``PathBlocked`` where the path leads through a non-object.
+    Raises ``InvalidEditPath`` if a parent of the path is not an object.
     """
     if not isinstance(node, dict):
-        raise exceptions.PathBlocked('the path leads through a value')
+        raise exceptions.InvalidEditPath(
+            'a parent of the path is not an object')
     key, rest = path[0], path[1:]
     if value is REMOVE and key not in node:
         return node
     changed = dict(node)
     if rest:
-        changed[key] = edited(node.get(key, {}), rest, value)
+        changed[key] = edit_node(node.get(key, {}), rest, value)
     elif value is REMOVE:
         del changed[key]
     else:
@@ -134,165 +135,167 @@
     return changed
 
 
-def _path_faults(batch: Batch) -> Iterator[model.SettingsFault]:
+def _edit_path_faults(batch: Batch) -> Iterator[model.SettingsFault]:
     for edit in batch.edits:
         if not edit.path or edit.path == ('workspaces',):
             yield model.SettingsFault(
-                BAD_PATH, edit.path, None, 'the path is too short',
-                'edit one section, or one workspace, at a time')
+                INVALID_PATH, edit.path, None, 'the path is too short',
+                'edit one section or one workspace at a time')
     ordered = sorted(edit.path for edit in batch.edits)
-    for one, other in zip(ordered, ordered[1:]):
-        # Sorted tuples put a path right before those that it leads to.
-        if overlap(one, other):
+    for first, second in zip(ordered, ordered[1:]):
+        # Sorting puts a path directly before the paths below it.
+        if paths_overlap(first, second):
             yield model.SettingsFault(
-                OVERLAPPING_EDITS, other, None,
-                'two edits of the batch touch the same value',
-                f'the other is at {".".join(one)}')
+                OVERLAPPING_EDITS, second, None,
+                'two edits of the batch have overlapping paths',
+                f'the other path is {".".join(first)}')
 
 
 @dataclasses.dataclass(slots=True)
-class _Change:
-    """Work in progress of one ``apply``."""
+class _BatchState:
+    """State that accumulates while a batch is applied."""
 
     common: Mapping[str, Any]
     shards: dict[int, Mapping[str, Any]]
-    touched: set[str]
+    edited_names: set[str]
     faults: list[model.SettingsFault]
 
 
-def _apply_edit(tree: model.Tree, change: _Change, edit: Edit) -> None:
+def _apply_edit(tree: model.Tree, state: _BatchState, edit: Edit) -> None:
     try:
         if edit.path[0] != 'workspaces':
-            change.common = edited(change.common, edit.path, edit.value)
+            state.common = edit_node(state.common, edit.path, edit.value)
             return
         number = parts.shard_of(edit.path[1])
-        before = change.shards.get(number)
+        before = state.shards.get(number)
         if before is None:
             before = trees.shard_document(tree, number)
-        change.shards[number] = edited(before, edit.path[1:], edit.value)
-        change.touched.add(edit.path[1])
-    except exceptions.PathBlocked as exc:
-        change.faults.append(model.SettingsFault(
-            BAD_PATH, edit.path, None, str(exc),
-            'set the object as a whole'))
+        state.shards[number] = edit_node(before, edit.path[1:], edit.value)
+        state.edited_names.add(edit.path[1])
+    except exceptions.InvalidEditPath as exc:
+        state.faults.append(model.SettingsFault(
+            INVALID_PATH, edit.path, None, str(exc),
+            'replace the whole object'))
 
 
-def _bodies(change: _Change) -> dict[str, Any]:
+def _edited_workspaces(state: _BatchState) -> dict[str, Any]:
     found = {}
-    for name in sorted(change.touched):
-        shard = change.shards[parts.shard_of(name)]
+    for name in sorted(state.edited_names):
+        shard = state.shards[parts.shard_of(name)]
         if name in shard:
             found[name] = shard[name]
     return found
 
 
-def _all_cross_faults(
-    tree: model.Tree, change: _Change,
+def _unedited_workspace_faults(
+    tree: model.Tree, state: _BatchState,
 ) -> Iterator[model.SettingsFault]:
     for number, part in tree.shards.items():
-        untouched = {
+        unedited = {
             name: body for name, body in parts.decode_part(part).items()
-            if name not in change.touched
+            if name not in state.edited_names
         }
-        yield from checks.cross_faults(change.common, untouched)
+        yield from checks.cross_section_faults(state.common, unedited)
 
 
-def _change_faults(
-    tree: model.Tree, change: _Change,
+def _validation_faults(
+    tree: model.Tree, state: _BatchState,
 ) -> Iterator[model.SettingsFault]:
-    """Check only what the change can have broken.
+    """Check only what the change can have invalidated.
 
-    Workspaces that are not touched keep their shape, and fit the other
-    sections as before unless one of these changed.
+    Workspaces that are not edited still match the schema. They are
+    checked against the other sections only if one of these changed.
     """
-    if change.common is not tree.common:
-        yield from checks.common_faults(change.common)
-        yield from _all_cross_faults(tree, change)
-    yield from checks.workspace_faults(change.common, _bodies(change))
+    if state.common is not tree.common:
+        yield from checks.common_faults(state.common)
+        yield from _unedited_workspace_faults(tree, state)
+    yield from checks.workspace_faults(
+        state.common, _edited_workspaces(state))
 
 
-def _other_holders(
-    after: model.Tree, change: _Change, sha256: str,
+def _other_owners(
+    after: model.Tree, state: _BatchState, sha256: str,
 ) -> Iterator[str]:
-    """Yield untouched workspaces that have the token too."""
+    """Yield the unedited workspaces that have the same token."""
     shards = tokens.find_shards(after.tokens, sha256)
     if len(shards) < 2:
         return
     for number in shards:
-        for holder, body in trees.shard_document(after, number).items():
-            held = {one for _at, one in checks.hashes(body)}
-            if holder not in change.touched and sha256 in held:
-                yield holder
+        for owner, body in trees.shard_document(after, number).items():
+            present = {each for _, each in checks.token_hashes(body)}
+            if owner not in state.edited_names and sha256 in present:
+                yield owner
 
 
 def _token_faults(
-    after: model.Tree, change: _Change,
+    after: model.Tree, state: _BatchState,
 ) -> Iterator[model.SettingsFault]:
-    for name, body in _bodies(change).items():
-        for number, sha256 in checks.hashes(body):
-            for holder in _other_holders(after, change, sha256):
-                yield checks.token_fault(name, number, holder)
+    for name, body in _edited_workspaces(state).items():
+        for number, sha256 in checks.token_hashes(body):
+            for owner in _other_owners(after, state, sha256):
+                yield checks.token_fault(name, number, owner)
 
 
-def _next_index(tree: model.Tree, change: _Change) -> bytes:
-    """Return the token index; rebuilt only if a token changed."""
+def _next_token_index(tree: model.Tree, state: _BatchState) -> bytes:
+    """Return the token index, rebuilt only if a token changed."""
     before: list[bytes] = []
     after: list[bytes] = []
-    for number, group in change.shards.items():
+    for number, group in state.shards.items():
         old = trees.shard_document(tree, number)
-        before.extend(tokens.pack(number, old))
-        after.extend(tokens.pack(number, group))
+        before.extend(tokens.pack_entries(number, old))
+        after.extend(tokens.pack_entries(number, group))
     if sorted(before) == sorted(after):
         return tree.tokens
-    return tokens.replace(tree.tokens, frozenset(change.shards), after)
+    return tokens.replace_entries(tree.tokens, frozenset(state.shards), after)
 
 
-def _next_tree(tree: model.Tree, change: _Change) -> model.Tree:
+def _next_tree(tree: model.Tree, state: _BatchState) -> model.Tree:
     shards = dict(tree.shards)
-    for number, group in change.shards.items():
+    for number, group in state.shards.items():
         if group:
             shards[number] = parts.new_part(group)
         else:
             shards.pop(number, None)
-    index = _next_index(tree, change)
+    index = _next_token_index(tree, state)
     return trees.new_tree(
-        tree.generation + 1, change.common, shards, index, tree.decode)
+        tree.generation + 1, state.common, shards, index, tree.decode)
 
 
-def change_tree(tree: model.Tree, batch: Batch) -> model.Tree:
-    """Return the next generation without checking it.
+def apply_unchecked(tree: model.Tree, batch: Batch) -> model.Tree:
+    """Return the next generation without validating it.
 
-    For a follower, which applies what was checked when it was accepted.
-    Raises ``PathBlocked``, ``PartTooLarge`` or ``PartCorrupt``.
+    For followers, which apply batches that were validated when they were
+    accepted.
+    Raises ``InvalidEditPath``, ``PartTooLarge`` or ``PartCorrupt``.
     """
-    change = _Change(tree.common, {}, set(), [])
+    state = _BatchState(tree.common, {}, set(), [])
     for edit in batch.edits:
-        _apply_edit(tree, change, edit)
-    if change.faults:
-        raise exceptions.PathBlocked(str(change.faults[0]))
-    return _next_tree(tree, change)
+        _apply_edit(tree, state, edit)
+    if state.faults:
+        raise exceptions.InvalidEditPath(str(state.faults[0]))
+    return _next_tree(tree, state)
 
 
-def apply(tree: model.Tree, batch: Batch) -> Result[model.Tree, Faults]:
-    """Return the next generation, or every fault the batch would make.
+def apply_batch(tree: model.Tree, batch: Batch) -> Result[model.Tree, Faults]:
+    """Return the next generation, or all faults found in the batch.
 
-    ``tree`` must be the generation the batch is to follow; see
-    ``crocuskeel.conf.merging`` for a batch made on an older one.
+    ``tree`` must be the generation directly before the batch; a batch made
+    on an older one is rebased first, see ``crocuskeel.conf.merging``.
     """
-    faults = list(_path_faults(batch))
+    faults = list(_edit_path_faults(batch))
     if faults:
         return Err(tuple(faults))
-    change = _Change(tree.common, {}, set(), [])
+    state = _BatchState(tree.common, {}, set(), [])
     for edit in batch.edits:
-        _apply_edit(tree, change, edit)
-    faults = [*change.faults, *_change_faults(tree, change)]
+        _apply_edit(tree, state, edit)
+    faults = [*state.faults, *_validation_faults(tree, state)]
     if faults:
         return Err(tuple(faults))
     try:
-        after = _next_tree(tree, change)
+        after = _next_tree(tree, state)
         parts.new_part(after.common)
     except exceptions.PartTooLarge as exc:
         return Err((model.SettingsFault(
-            TOO_LARGE, (), None, str(exc), 'remove what is unused'),))
-    faults = list(_token_faults(after, change))
+            TOO_LARGE, (), None, str(exc), 'remove unused settings'),))
+    faults = list(_token_faults(after, state))
     return Err(tuple(faults)) if faults else Ok(after)
--- a/crocuskeel/conf/commit.py
+++ b/crocuskeel/conf/commit.py
@@ -1,23 +1,22 @@
 """Committing a batch: a pure reducer over the store's answers.
 
-The promises, with the failures that threaten them:
-
-* At most once. A head write is conditional on the version that was read,
-  so of all writes on one version only one takes effect, however late. The
-  answer to it can be lost after it took effect; then the head is read
-  back, and a head that holds the batch's id ends the commit.
-* Nothing accepted is lost. A head is built only from the tree of the head
-  it replaces, brought there through every delta in between.
-* A retry that comes too late is not applied again. The head remembers a
-  bounded number of batches. A batch made on generation g can only have
-  been accepted after g, so its id is sure to be found while the window
-  reaches back to g + 1; after that its outcome is unknown and it is
-  refused.
-
-Callers do the I/O, with their own time limits and back-off, and feed each
+Guarantees, and the failures that each one covers:
+
+* At-most-once application. A head write is conditional on the version
+  that was read, so of all writes on one version only one takes effect,
+  however late. Its answer can be lost after it took effect; then the head
+  is read again, and a head that contains the batch's id ends the commit.
+* No accepted batch is lost. A head is built only from the tree of the
+  head that it replaces, to which every delta in between was applied.
+* A late retry is not applied again. The head lists a bounded number of
+  recent batches. A batch made on generation g can only have been accepted
+  after g, so its id is certain to be listed while the window reaches back
+  to g + 1; after that its outcome is unknown and it is refused.
+
+Callers do the I/O, with their own timeouts and backoff, and pass each
 answer to ``commit_step``. An operation must be sent to the store once: a
-client that repeats a head write by itself would take its own success for
-a lost race.
+client that retries a head write by itself would mistake its own success
+for a lost race.
 """
 
 import dataclasses
@@ -30,9 +29,9 @@
 from crocuskeel.conf import model
 from crocuskeel.conf import storage
 
-MAX_ROUNDS = 32
-# An earlier attempt's write, on a head that this one has not read yet.
-ANY_HEAD = -1
+MAX_RETRIES = 32
+# Marks a possible write of an earlier attempt, on a head not read yet.
+UNREAD_HEAD = -1
 
 
 # Operations on the store.
@@ -59,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteHead:
-    """Update the head if it still has ``version``; None: if absent.
+    """Update the head if it still has ``version``; None creates it.
 
     Answered by ``HeadWritten``, ``HeadMoved`` or ``OutcomeUnknown``.
     """
@@ -81,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartRead:
-    """A part that was asked for."""
+    """The requested part."""
 
     part: model.Part
 
@@ -108,10 +107,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """The operation is known to have had no effect."""
+    """The operation is known to have failed without effect."""
 
 
-# Ends of a commit.
+# Results of a commit.
 
 
 class Reason(enum.Enum):
@@ -127,7 +126,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a refusal says of the batch's effect."""
+    """What is known of the effect of a refused batch."""
 
     NOT_APPLIED = 'not_applied'
     UNKNOWN = 'unknown'
@@ -137,8 +136,8 @@
 class Done:
     """The batch is accepted as ``generation``.
 
-    ``tree`` is that generation where this commit wrote it, else None: it
-    was found to be done already.
+    ``tree`` is that generation if this commit wrote it, and None if the
+    batch was found to be accepted already.
     """
 
     generation: int
@@ -147,10 +146,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The batch was not accepted now.
+    """The batch was not accepted by this commit.
 
     ``UNKNOWN``: it may have been accepted earlier, or a write that is
-    still under way may yet be; the same batch may be sent again.
+    still in flight may take effect; the same batch may be sent again.
     """
 
     reason: Reason
@@ -171,25 +170,25 @@
 class Commit:
     """State of one commit.
 
-    ``tree`` is the newest generation at hand and moves along ``head``.
-    ``history`` holds the generations known since the batch's base.
+    ``tree`` is the newest generation available here; deltas advance it
+    to that of ``head``. ``in_flight`` is the operation whose answer is
+    awaited. ``history`` holds the batches accepted since this one's base.
     ``pending`` is the generation of the newest head on which a write of
-    this batch may yet take effect; None if there is no such write.
-    ``rounds`` counts down the failures that are left.
+    this batch may still take effect; None if there is no such write.
     """
 
     batch: batches.Batch
     tree: model.Tree
-    waiting: Operation
-    rounds: int
+    in_flight: Operation
+    retries_left: int
     head: storage.Head | None = None
     version: int | str | None = None
-    history: tuple[merging.Accepted, ...] = ()
-    prepared: storage.Prepared | None = None
+    history: tuple[merging.AcceptedBatch, ...] = ()
+    prepared: storage.PreparedCommit | None = None
     pending: int | None = None
 
 
-Move: TypeAlias = tuple[Commit, Step]
+Transition: TypeAlias = tuple[Commit, Step]
 
 
 def new_commit(
@@ -197,49 +196,49 @@
     tree: model.Tree,
     *,
     resent: bool,
-    rounds: int = MAX_ROUNDS,
+    max_retries: int = MAX_RETRIES,
 ) -> tuple[Commit, Operation]:
-    """Return a commit of ``batch`` by a host that holds ``tree``.
+    """Return a commit of ``batch`` by a host that has ``tree``.
 
     ``resent`` must be True if any host may have begun to commit this
-    batch before: a write of that attempt may still be under way, so that
-    "not applied" can't be said before the head has moved on. ``rounds``
-    bounds failed answers and lost races together.
+    batch before: a write of that attempt may still be in flight, so "not
+    applied" can't be reported before the head has a newer generation.
+    ``max_retries`` bounds failed answers and lost races together.
     """
     first = ReadHead()
-    pending = ANY_HEAD if resent else None
-    return Commit(batch, tree, first, rounds, pending=pending), first
+    pending = UNREAD_HEAD if resent else None
+    return Commit(batch, tree, first, max_retries, pending=pending), first
 
 
-def _ask(state: Commit, operation: Operation) -> Move:
-    return dataclasses.replace(state, waiting=operation), operation
+def _request(state: Commit, operation: Operation) -> Transition:
+    return dataclasses.replace(state, in_flight=operation), operation
 
 
-def _refuse(state: Commit, reason: Reason, **details) -> Move:
-    # An attempt on this head, or on one before, would have met the same
-    # conflict, so none has a write under way that can still succeed.
+def _refuse(state: Commit, reason: Reason, **details) -> Transition:
+    # An attempt on this head or an older one would have had the same
+    # conflict, so none has a write in flight that can still succeed.
     settled = state.pending is None or reason is Reason.CONFLICT
     unknown = not settled or reason is Reason.OUTSIDE_WINDOW
     outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_APPLIED
     return state, Refused(reason, outcome, **details)
 
 
-def _try_again(state: Commit, operation: Operation) -> Move:
-    if not state.rounds:
+def _retry(state: Commit, operation: Operation) -> Transition:
+    if not state.retries_left:
         return _refuse(state, Reason.STORE_UNAVAILABLE)
-    left = dataclasses.replace(state, rounds=state.rounds - 1)
-    return _ask(left, operation)
+    state = dataclasses.replace(state, retries_left=state.retries_left - 1)
+    return _request(state, operation)
 
 
 def _generation(head: storage.Head | None) -> int:
     return head.generation if head else 0
 
 
-def _oldest(head: storage.Head | None) -> int:
+def _oldest_listed_generation(head: storage.Head | None) -> int:
     return head.recent[0].generation if head else 1
 
 
-def _done_before(state: Commit) -> int | None:
+def _accepted_generation(state: Commit) -> int | None:
     for entry in state.head.recent if state.head else ():
         if entry.batch_id == state.batch.id:
             return entry.generation
@@ -248,53 +247,53 @@
 
 def _still_pending(state: Commit, newest: int) -> int | None:
     # A write whose answer was lost can take effect late. Once the head
-    # has a newer generation, from another batch, it can't any more, as
-    # its version is gone. A read that shows the same head, or an older
-    # one, proves nothing.
-    if state.pending == ANY_HEAD:
+    # has a newer generation, from another batch, it no longer can, as the
+    # version that it requires is gone. A read that returns the same head,
+    # or an older one, proves nothing.
+    if state.pending == UNREAD_HEAD:
         return newest
     if state.pending is None or newest > state.pending:
         return None
     return state.pending
 
 
-def _on_head(state: Commit, answer: HeadRead) -> Move:
+def _on_head(state: Commit, answer: HeadRead) -> Transition:
     state = dataclasses.replace(
         state, head=answer.head, version=answer.version,
         pending=_still_pending(state, _generation(answer.head)))
-    found = _done_before(state)
+    found = _accepted_generation(state)
     if found is not None:
         return state, Done(found, None)
     newest, base = _generation(state.head), state.batch.base_generation
     if base > newest or state.tree.generation > newest:
-        # A store that was set back. Following it would take a generation
-        # number for the second time, and hosts would differ for good.
+        # The store was restored from an older copy. A commit on it would
+        # reuse a generation number, and hosts would permanently differ.
         return _refuse(state, Reason.UNKNOWN_BASE)
-    if base + 1 < _oldest(state.head):
+    if base + 1 < _oldest_listed_generation(state.head):
         return _refuse(state, Reason.OUTSIDE_WINDOW)
-    if state.tree.generation + 1 < _oldest(state.head):
+    if state.tree.generation + 1 < _oldest_listed_generation(state.head):
         return _refuse(state, Reason.TREE_BEHIND)
     return _catch_up(state)
 
 
-def _known(state: Commit) -> int:
-    """Return the newest generation whose batch is at hand."""
+def _newest_known_generation(state: Commit) -> int:
+    """Return the newest generation whose batch need not be fetched."""
     if state.history:
         return state.history[-1].generation
     return min(state.batch.base_generation, state.tree.generation)
 
 
-def _catch_up(state: Commit) -> Move:
-    """Fetch the deltas from the base, or the tree, up to the head."""
-    if _known(state) == _generation(state.head):
+def _catch_up(state: Commit) -> Transition:
+    """Fetch the next delta, or prepare the write once at the head."""
+    if _newest_known_generation(state) == _generation(state.head):
         return _prepare(state)
     assert state.head is not None
-    digest = storage.delta_of(state.head, _known(state) + 1)
+    digest = storage.delta_of(state.head, _newest_known_generation(state) + 1)
     assert digest is not None
-    return _ask(state, ReadPart(digest))
+    return _request(state, ReadPart(digest))
 
 
-def _on_part(state: Commit, answer: PartRead) -> Move:
+def _on_part(state: Commit, answer: PartRead) -> Transition:
     try:
         delta = storage.decode_delta(answer.part)
     except exceptions.PartCorrupt as exc:
@@ -306,12 +305,12 @@
             detail = advanced.unwrap_err()
             return _refuse(state, Reason.CORRUPT, detail=detail)
         tree = advanced.unwrap()
-    history = (*state.history, storage.accepted(delta))
+    history = (*state.history, storage.accepted_batch(delta))
     return _catch_up(
         dataclasses.replace(state, tree=tree, history=history))
 
 
-def _prepare(state: Commit) -> Move:
+def _prepare(state: Commit) -> Transition:
     merged = merging.merge(state.history, state.batch)
     if merged.is_err():
         conflicts = merged.unwrap_err()
@@ -321,35 +320,35 @@
         faults = prepared.unwrap_err()
         return _refuse(state, Reason.FAULTS, faults=faults)
     state = dataclasses.replace(state, prepared=prepared.unwrap())
-    return _ask(state, WriteParts(prepared.unwrap().parts))
+    return _request(state, WriteParts(prepared.unwrap().parts))
 
 
-def _on_parts_written(state: Commit) -> Move:
+def _on_parts_written(state: Commit) -> Transition:
     assert state.prepared is not None
-    return _ask(state, WriteHead(state.prepared.head, state.version))
+    return _request(state, WriteHead(state.prepared.head, state.version))
 
 
-def _on_head_written(state: Commit) -> Move:
+def _on_head_written(state: Commit) -> Transition:
     assert state.prepared is not None
     tree = state.prepared.tree
     return state, Done(tree.generation, tree)
 
 
-def _on_unknown(state: Commit) -> Move:
-    if isinstance(state.waiting, WriteHead):
-        # Writing again without a look would be safe too, as it has the
-        # same version, but it could not tell our write from another's.
+def _on_outcome_unknown(state: Commit) -> Transition:
+    if isinstance(state.in_flight, WriteHead):
+        # Writing again without a read would be safe too, as the version is
+        # the same, but could not tell our write from another's.
         pending = _generation(state.head)
         state = dataclasses.replace(state, pending=pending)
-        return _try_again(state, ReadHead())
-    return _try_again(state, state.waiting)
+        return _retry(state, ReadHead())
+    return _retry(state, state.in_flight)
 
 
-def commit_step(state: Commit, answer: Answer) -> Move:
+def commit_step(state: Commit, answer: Answer) -> Transition:
     """Return the state after ``answer`` and what to do next.
 
-    ``answer`` is that to the operation returned last. ``Done`` and
-    ``Refused`` end the commit.
+    ``answer`` is the store's answer to the last returned operation.
+    ``Done`` and ``Refused`` end the commit.
     """
     match answer:
         case HeadRead():
@@ -361,9 +360,9 @@
         case HeadWritten():
             return _on_head_written(state)
         case HeadMoved():
-            return _try_again(state, ReadHead())
+            return _retry(state, ReadHead())
         case OutcomeUnknown():
-            return _on_unknown(state)
+            return _on_outcome_unknown(state)
         case StoreFailed():
-            return _try_again(state, state.waiting)
+            return _retry(state, state.in_flight)
     raise AssertionError(answer)
--- a/crocuskeel/conf/exceptions.py
+++ b/crocuskeel/conf/exceptions.py
@@ -1,13 +1,13 @@
 """Errors of the settings layer.
 
 Faults of the settings themselves are values (``SettingsFault``, in
-``crocuskeel.conf.model``); the exceptions here say that stored data can't
-be what this layer wrote.
+``crocuskeel.conf.model``). The exceptions here report corrupt stored data,
+parts too large to store, and edits that can't be applied.
 """
 
 
 class ConfError(Exception):
-    """Base of the settings layer's errors."""
+    """Base class of the settings layer's errors."""
 
 
 class PartCorrupt(ConfError):
@@ -15,8 +15,8 @@
 
 
 class PartTooLarge(ConfError):
-    """An encoded part exceeds what one platform object may hold."""
+    """An encoded part exceeds the size limit of one platform object."""
 
 
-class PathBlocked(ConfError):
-    """An edit's path leads through a value that is not an object."""
+class InvalidEditPath(ConfError):
+    """A parent of an edit's path is not an object."""
--- a/crocuskeel/conf/fields.py
+++ b/crocuskeel/conf/fields.py
@@ -1,4 +1,4 @@
-"""The keys of a class's policy: their bounds, units and built-in values."""
+"""The keys of a class's policy: schemas, limits and built-in values."""
 
 import dataclasses
 from typing import Any
@@ -12,15 +12,15 @@
 _SECONDS = {'type': 'number', 'exclusiveMinimum': 0, 'maximum': MAX_SECONDS}
 _SHARE = {'type': 'number', 'minimum': 0, 'maximum': 1}
 _COUNT = {'type': 'integer', 'minimum': 1, 'maximum': MAX_COUNT}
-_FLAG = {'type': 'boolean'}
+_BOOLEAN = {'type': 'boolean'}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Field:
     """One inheritable key: its JSON Schema and built-in value.
 
-    ``in_workspace`` is False for keys that describe a class for the whole
-    deployment and so can't differ between workspaces.
+    ``in_workspace`` is False for keys that apply to a class in the whole
+    deployment and so can't be overridden by a workspace.
     """
 
     schema: Mapping[str, Any]
@@ -36,8 +36,8 @@
     'target_itl_s': Field(_SECONDS, 0.1),
     'deadline_s': Field(_SECONDS, 60.0),
     'late': Field({'enum': ['deliver', 'drop']}, 'deliver'),
-    'repeatable': Field(_FLAG, True),
-    'hedge': Field(_FLAG, False),
+    'repeatable': Field(_BOOLEAN, True),
+    'hedge': Field(_BOOLEAN, False),
     'floor': Field(_SHARE, 0.02, in_workspace=False),
     'max_tokens': Field(_COUNT, 1024),
     'queue_limit': Field(_COUNT, 200),
--- a/crocuskeel/conf/merging.py
+++ b/crocuskeel/conf/merging.py
@@ -1,4 +1,4 @@
-"""Merging a batch with those accepted since its base, and comparing."""
+"""Merging a batch with those accepted since its base; diffs; reversal."""
 
 import dataclasses
 from typing import Any
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """Two edits of one value: what each sets, and who was first.
+    """Two conflicting edits, one of them already accepted.
 
     ``theirs`` was accepted in ``generation``, by ``author`` at the Unix
     time ``at``; ``ours`` belongs to the refused batch.
@@ -32,64 +32,64 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accepted:
-    """A batch and the generation that it became."""
+class AcceptedBatch:
+    """An accepted batch and the generation that it produced."""
 
     generation: int
     batch: batches.Batch
 
 
-def _same(one: batches.Edit, other: batches.Edit) -> bool:
+def _equal_edits(first: batches.Edit, second: batches.Edit) -> bool:
     return (
-        one.path == other.path
-        and type(one.value) is type(other.value)
-        and one.value == other.value
+        first.path == second.path
+        and type(first.value) is type(second.value)
+        and first.value == second.value
     )
 
 
-class _Index:
-    """Edits of one accepted batch, by path and by every path above."""
+class _EditIndex:
+    """Edits of one accepted batch, by path and by each prefix of it."""
 
     def __init__(self, edits: Sequence[batches.Edit]):
-        self._at = {edit.path: edit for edit in edits}
-        self._under: dict[model.Path, list[batches.Edit]] = {}
+        self._by_path = {edit.path: edit for edit in edits}
+        self._by_prefix: dict[model.Path, list[batches.Edit]] = {}
         for edit in edits:
             for count in range(1, len(edit.path) + 1):
-                above = edit.path[:count]
-                self._under.setdefault(above, []).append(edit)
+                prefix = edit.path[:count]
+                self._by_prefix.setdefault(prefix, []).append(edit)
 
     def overlapping(self, path: model.Path) -> Iterator[batches.Edit]:
         """Yield the edits at, above or below ``path``."""
         for count in range(1, len(path)):
-            if path[:count] in self._at:
-                yield self._at[path[:count]]
-        yield from self._under.get(path, ())
+            if path[:count] in self._by_path:
+                yield self._by_path[path[:count]]
+        yield from self._by_prefix.get(path, ())
 
 
 def _conflicts(
-    history: Sequence[Accepted], batch: batches.Batch,
+    history: Sequence[AcceptedBatch], batch: batches.Batch,
 ) -> Iterator[Conflict]:
     for accepted in history:
         if accepted.generation <= batch.base_generation:
             continue
         theirs = accepted.batch
-        index = _Index(theirs.edits)
+        index = _EditIndex(theirs.edits)
         for ours in batch.edits:
             for edit in index.overlapping(ours.path):
-                if not _same(edit, ours):
+                if not _equal_edits(edit, ours):
                     yield Conflict(
                         ours, edit, theirs.id, accepted.generation,
                         theirs.author, theirs.at)
 
 
 def merge(
-    history: Sequence[Accepted], batch: batches.Batch,
+    history: Sequence[AcceptedBatch], batch: batches.Batch,
 ) -> Result[batches.Batch, tuple[Conflict, ...]]:
-    """Return ``batch`` rebased on the last of ``history``, or conflicts.
+    """Return ``batch`` rebased on the end of ``history``, or conflicts.
 
-    ``history`` must hold every batch accepted since the base. Edits of
-    paths that don't overlap are disjoint; two that set the same path to
-    the same value agree.
+    ``history`` must contain every batch accepted since the base. Edits
+    with overlapping paths conflict unless they set the same path to the
+    same value.
     """
     found = tuple(_conflicts(history, batch))
     if found:
@@ -102,7 +102,7 @@
 def diff(
     before: Mapping[str, Any], after: Mapping[str, Any],
 ) -> tuple[batches.Edit, ...]:
-    """Return the smallest edits that turn one document into another."""
+    """Return the minimal edits that turn one document into another."""
     return tuple(_diff(before, after, ()))
 
 
@@ -119,11 +119,11 @@
             yield batches.Edit(inner, new)
 
 
-def _before(node: Any, path: model.Path) -> batches.Edit:
+def _undo_edit(node: Any, path: model.Path) -> batches.Edit:
     """Return the edit that undoes a change at ``path``.
 
-    Where the path did not exist, its first missing step is removed, so
-    that no empty objects stay behind.
+    If the path did not exist, the edit removes its first missing key, so
+    that no empty objects remain.
     """
     for count, key in enumerate(path, start=1):
         if not isinstance(node, Mapping) or key not in node:
@@ -139,11 +139,11 @@
     found: dict[model.Path, batches.Edit] = {}
     for edit in batch.edits:
         if edit.path[0] != 'workspaces':
-            undo = _before(tree.common, edit.path)
+            undo = _undo_edit(tree.common, edit.path)
         else:
             body = tree.lookups.workspace(edit.path[1])
             present = {} if body is None else {edit.path[1]: body}
-            undo = _before({'workspaces': present}, edit.path)
+            undo = _undo_edit({'workspaces': present}, edit.path)
         found[undo.path] = undo
     return tuple(found.values())
 
@@ -151,5 +151,5 @@
 def document_edits(
     tree: model.Tree, document: Mapping[str, Any],
 ) -> tuple[batches.Edit, ...]:
-    """Return the edits that turn ``tree`` into a whole document."""
+    """Return the edits that turn ``tree`` into ``document``."""
     return diff(trees.to_document(tree), document)
--- a/crocuskeel/conf/model.py
+++ b/crocuskeel/conf/model.py
@@ -1,4 +1,4 @@
-"""Data of the settings: the tree, faults, and resolved policies."""
+"""Data types of the settings: tree, faults and resolved policies."""
 
 import dataclasses
 import enum
@@ -11,10 +11,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsFault:
-    """One fault of a settings text or batch.
+    """One validation error in a settings text or batch.
 
     ``id`` is stable (``conf.E101``); ``line`` counts from 1 and is None
-    where no text is at hand, such as for a batch of edits.
+    if there is no text, such as for a batch of edits.
     """
 
     id: str
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClassPolicy:
-    """All that the request path needs to know of a workspace's class.
+    """The resolved settings of a class for one workspace.
 
     Times are in seconds. ``floor`` is a share of a cell's slots from 0 to
     1, ``retry_budget`` the retries allowed as a share of first attempts,
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServicePolicy:
-    """One service: its kind, models, slots an engine, fencing check."""
+    """One service: kind, models, slots per engine, fencing check."""
 
     name: str
     kind: str
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerIdentity:
-    """Who a bearer token stands for."""
+    """The caller that a bearer token identifies."""
 
     workspace: str
     caller: str
@@ -79,7 +79,7 @@
 
 
 class Layer(enum.Enum):
-    """The layers of inheritance, weakest first."""
+    """The layers of inheritance, lowest precedence first."""
 
     BUILTIN = 'builtin'
     DEFAULT = 'default'
@@ -99,11 +99,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """An immutable piece of the settings, named by its content.
+    """An immutable, content-addressed piece of the settings.
 
     ``digest`` is the hex SHA-256 of the canonical JSON; ``blob`` is that
-    JSON compressed. The digest covers the plain bytes, so that hosts with
-    different builds of zlib agree on it.
+    JSON compressed. The digest covers the uncompressed bytes, so that
+    hosts with different builds of zlib agree on it.
     """
 
     digest: str
@@ -112,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lookups:
-    """Bounded, memoised readers of one tree (see ``tree.new_tree``)."""
+    """Bounded, cached readers of one tree (see ``tree.new_tree``)."""
 
     workspace: Callable[[str], Mapping[str, Any] | None]
     policy: Callable[[str, str], ClassPolicy | None]
@@ -121,11 +121,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class Tree:
-    """The settings of one generation; never changed after it is made.
+    """The settings of one generation; immutable.
 
     ``common`` holds every section but ``workspaces`` and must be treated
-    as read-only. Workspaces stay compressed in ``shards`` (shard number
-    to part) and are decoded on demand. ``tokens`` is the packed index of
+    as read-only. Workspaces stay compressed in ``shards`` (parts by shard
+    number) and are decoded on demand. ``tokens`` is the packed index of
     token hashes (see ``crocuskeel.conf.tokens``).
     """
 
--- a/crocuskeel/conf/parsing.py
+++ b/crocuskeel/conf/parsing.py
@@ -1,4 +1,4 @@
-"""Reading a settings text: every fault at once, each with its line."""
+"""Parsing a settings text, with all faults reported by line."""
 
 import dataclasses
 import re
@@ -16,79 +16,85 @@
 
 NOT_JSON = 'conf.E001'
 REPEATED_KEY = 'conf.E002'
-MAX_TEXT = 4_000_000
+MAX_TEXT_LENGTH = 4_000_000
 
 Faults = tuple[model.SettingsFault, ...]
 
 
-def _one(fault: str, line: int | None = None, hint: str = '') -> Faults:
+def _not_json(
+    fault: str, line: int | None = None, hint: str = '',
+) -> Faults:
     return (model.SettingsFault(NOT_JSON, (), line, fault, hint),)
 
 
 def _syntax_fault(error: str) -> Faults:
     found = re.match(r'<string>:(\d+) (.*)', error)
     if not found:
-        return _one(error)
+        return _not_json(error)
     line, fault = found.groups()
-    return _one(
-        fault, int(line), 'JSON with comments: check commas and brackets')
+    return _not_json(
+        fault, int(line),
+        'expected JSON with comments: check commas and brackets')
 
 
-def _read(text: str) -> Result[Any, Faults]:
+def _read_object(text: str) -> Result[Any, Faults]:
     if not text.strip():
-        return Err(_one('the text is empty', 1))
-    if len(text) > MAX_TEXT:
-        return Err(_one(f'the text is over {MAX_TEXT} characters'))
+        return Err(_not_json('the text is empty', 1))
+    if len(text) > MAX_TEXT_LENGTH:
+        return Err(_not_json(f'the text is over {MAX_TEXT_LENGTH} characters'))
     try:
-        value, error, _at = json5.parse(text)
+        value, error, _position = json5.parse(text)
     except RecursionError:
-        # The parser descends once a bracket. A text of many thousand
-        # brackets would end the operator's program without a fault.
-        return Err(_one('the text is nested too deeply'))
+        # The parser recurses once per bracket. A text with thousands of
+        # brackets would crash the operator's program with no fault shown.
+        return Err(_not_json('the text is nested too deeply'))
     if error:
         return Err(_syntax_fault(error))
     if not isinstance(value, dict):
-        return Err(_one('the settings are not an object', 1))
+        return Err(_not_json('the top level is not an object', 1))
     return Ok(value)
 
 
-def _repeated(places: positions.Positions) -> list[model.SettingsFault]:
-    found = {one.path for one in places.repeated}
+def _repeated_key_faults(
+    found: positions.Positions,
+) -> list[model.SettingsFault]:
+    paths = {key.path for key in found.repeated}
     return [
         model.SettingsFault(
-            REPEATED_KEY, one.path, one.line,
-            f'key {one.path[-1]!r} stands twice',
-            f'first on line {one.first}; the later one would win')
-        for one in places.repeated
+            REPEATED_KEY, key.path, key.line,
+            f'key {key.path[-1]!r} is repeated',
+            f'first on line {key.first_line}; the last one would apply')
+        for key in found.repeated
         if not any(
-            one.path[:at] in found for at in range(1, len(one.path)))
+            key.path[:count] in paths for count in range(1, len(key.path)))
     ]
 
 
-def _locate(found: Faults, text: str) -> Faults:
-    places = positions.read_positions(text)
+def _locate(faults: Faults, text: str) -> Faults:
+    found = positions.read_positions(text)
     located = [
-        dataclasses.replace(fault, line=places.line(fault.path))
-        for fault in found
+        dataclasses.replace(fault, line=found.line(fault.path))
+        for fault in faults
     ]
-    located += _repeated(places)
+    located += _repeated_key_faults(found)
     return tuple(sorted(located, key=lambda fault: (fault.line, fault.id)))
 
 
 def _has_repeated_keys(text: str) -> bool:
-    _value, error, _at = json5.parse(text, allow_duplicate_keys=False)
+    _value, error, _position = json5.parse(
+        text, allow_duplicate_keys=False)
     return error is not None
 
 
 def parse_document(text: str) -> Result[dict[str, Any], Faults]:
-    """Return the checked document of ``text``, or all its faults."""
-    read = _read(text)
+    """Return the validated document of ``text``, or all its faults."""
+    read = _read_object(text)
     if read.is_err():
         return Err(read.unwrap_err())
     document = read.unwrap()
-    found = checks.document_faults(document)
-    if found or _has_repeated_keys(text):
-        return Err(_locate(found, text))
+    faults = checks.document_faults(document)
+    if faults or _has_repeated_keys(text):
+        return Err(_locate(faults, text))
     return Ok(document)
 
 
--- a/crocuskeel/conf/positions.py
+++ b/crocuskeel/conf/positions.py
@@ -1,8 +1,8 @@
-"""Lines of a settings text: where each key stands, which keys repeat.
+"""Line numbers of the keys of a settings text, and its repeated keys.
 
-The public json5 API gives no positions, so its parser is extended at the
-one rule that reads a member of an object. This runs only for a text that
-has a fault, since it parses the text a second time.
+The public json5 API returns no positions, so this extends the parser's
+rules for object members and values. It runs only for a text with a fault,
+since it parses the text a second time.
 """
 
 from bisect import bisect_right
@@ -16,17 +16,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Positions:
-    """Line of each path, and the keys that stand more than once.
+    """Line of each path, and the keys that occur more than once.
 
-    The last of several equal keys is the one that json5 reads, so it is
-    the one that ``lines`` has.
+    json5 uses the last of several equal keys, so ``lines`` has its line.
     """
 
     lines: dict[model.Path, int]
     repeated: tuple['Repeated', ...]
 
     def line(self, path: model.Path) -> int:
-        """Line of ``path`` or of its nearest parent in the text."""
+        """Return the line of ``path`` or of its nearest parent."""
         while path not in self.lines and path:
             path = path[:-1]
         return self.lines.get(path, 1)
@@ -34,11 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Repeated:
-    """A key that stands on ``line`` and stood before on ``first``."""
+    """A key on ``line`` that occurs before on ``first_line``."""
 
     path: model.Path
     line: int
-    first: int
+    first_line: int
 
 
 class _TracingParser(parser.Parser):
@@ -61,31 +60,32 @@
             self.starts[id(self.val)] = start
 
 
-def _walk(node, path: model.Path) -> Iterator[tuple[model.Path, object]]:
+def _walk_ast(node, path: model.Path) -> Iterator[tuple[model.Path, object]]:
     if not isinstance(node, (tuple, list)) or len(node) < 2:
         return
     if node[0] == 'object':
         for member in node[1]:
-            inner = (*path, member[0])
-            yield inner, member
-            yield from _walk(member[1], inner)
+            child = (*path, member[0])
+            yield child, member
+            yield from _walk_ast(member[1], child)
     if node[0] == 'array':
         for number, item in enumerate(node[1]):
-            inner = (*path, str(number))
-            yield inner, item
-            yield from _walk(item, inner)
+            child = (*path, str(number))
+            yield child, item
+            yield from _walk_ast(item, child)
 
 
 def read_positions(text: str) -> Positions:
-    """Return where each key of ``text``, a valid JSON5 text, stands."""
+    """Return the positions of the keys of ``text``, a valid JSON5 text."""
     tracing = _TracingParser(text)
     ast, _err, _pos = tracing.parse(
         {'_strict': True, '_consume_trailing': True})
-    breaks = [at for at, char in enumerate(text) if char == '\n']
+    newlines = [
+        offset for offset, char in enumerate(text) if char == '\n']
     lines: dict[model.Path, int] = {(): 1}
     repeated = []
-    for path, node in _walk(ast, ()):
-        line = bisect_right(breaks, tracing.starts.get(id(node), 0)) + 1
+    for path, node in _walk_ast(ast, ()):
+        line = bisect_right(newlines, tracing.starts.get(id(node), 0)) + 1
         if path in lines:
             repeated.append(Repeated(path, line, lines[path]))
         lines[path] = line
--- a/crocuskeel/conf/resolving.py
+++ b/crocuskeel/conf/resolving.py
@@ -1,8 +1,8 @@
-"""Inheritance: from sparse settings to what holds for one class.
+"""Inheritance: resolving sparse settings to the policy of one class.
 
-A value is looked for, strongest first, in the workspace's own overrides
-for the class, in the class, in the workspace, in the defaults; what none
-of them sets is built in.
+A value is looked up, highest precedence first, in the workspace's own
+overrides for the class, in the class, in the workspace and in the
+defaults. A value that none of them sets is built in.
 """
 
 import functools
@@ -25,7 +25,7 @@
     workspace: str,
     class_name: str,
 ) -> Iterator[tuple[model.Layer, model.Path, Mapping[str, Any]]]:
-    """Yield the layers that a value may come from, strongest first."""
+    """Yield the layers of inheritance, highest precedence first."""
     inner = ('workspaces', workspace, 'classes', class_name)
     yield (
         model.Layer.WORKSPACE_CLASS, inner,
@@ -50,9 +50,9 @@
     class_name: str,
     key: str,
 ) -> model.Origin:
-    """Return the value of ``key`` that holds, and its layer."""
-    found = layers(common, body, workspace, class_name)
-    for layer, path, values in found:
+    """Return the resolved value of ``key``, and its layer."""
+    candidates = layers(common, body, workspace, class_name)
+    for layer, path, values in candidates:
         if key in values:
             return model.Origin(layer, (*path, key), values[key])
     return model.Origin(model.Layer.BUILTIN, (), _builtin(key))
@@ -65,7 +65,7 @@
     workspace: str,
     class_name: str,
 ) -> model.ClassPolicy:
-    """Return the policy of a class that is known to exist."""
+    """Return the policy of a class, which must exist."""
     keys = (*fields.FIELDS, 'weight')
     values = {
         key: find_value(common, body, workspace, class_name, key).value
@@ -84,14 +84,14 @@
 def _policy_reader(
     generation: int,
     common: Mapping[str, Any],
-    read: Callable[[str], Mapping[str, Any] | None],
-    size: int,
+    read_workspace: Callable[[str], Mapping[str, Any] | None],
+    max_size: int,
 ) -> Callable[[str, str], model.ClassPolicy | None]:
     classes = common.get('classes', {})
 
-    @functools.lru_cache(maxsize=size)
+    @functools.lru_cache(maxsize=max_size)
     def policy(workspace: str, class_name: str) -> model.ClassPolicy | None:
-        body = read(workspace)
+        body = read_workspace(workspace)
         if body is None or class_name not in classes:
             return None
         return build_policy(generation, common, body, workspace, class_name)
@@ -117,20 +117,20 @@
     shards: Mapping[int, model.Part],
     index: bytes,
     decode: Callable[[model.Part], Mapping[str, Any]],
-    policies: int,
-    callers: int,
+    max_policies: int,
+    max_callers: int,
 ) -> model.Lookups:
-    """Return memoised readers that keep at most the given counts.
+    """Return cached readers that keep at most the given counts.
 
-    The readers close over the tree's pieces and not over the tree, so a
+    The readers close over the tree's fields and not over the tree, so a
     replaced generation is freed as soon as its last request ends.
     """
 
-    def read(workspace: str) -> Mapping[str, Any] | None:
+    def read_workspace(workspace: str) -> Mapping[str, Any] | None:
         part = shards.get(parts.shard_of(workspace))
         return decode(part).get(workspace) if part else None
 
-    @functools.lru_cache(maxsize=callers)
+    @functools.lru_cache(maxsize=max_callers)
     def caller(sha256: str) -> model.CallerIdentity | None:
         for number in tokens.find_shards(index, sha256):
             found = _find_token(decode(shards[number]), sha256)
@@ -138,28 +138,29 @@
                 return found
         return None
 
-    policy = _policy_reader(generation, common, read, policies)
-    return model.Lookups(read, policy, caller)
+    policy = _policy_reader(
+        generation, common, read_workspace, max_policies)
+    return model.Lookups(read_workspace, policy, caller)
 
 
 def resolve(
     tree: model.Tree, workspace: str, class_name: str,
 ) -> model.ClassPolicy | None:
-    """Return what holds for a class, or None where either is unknown."""
+    """Return the policy of a class, or None where either is unknown."""
     return tree.lookups.policy(workspace, class_name)
 
 
 def find_caller(
     tree: model.Tree, token_sha256: str,
 ) -> model.CallerIdentity | None:
-    """Return whom the token with this hex SHA-256 stands for, or None."""
+    """Return the caller of the token with this hex SHA-256, or None."""
     return tree.lookups.caller(token_sha256)
 
 
 def origin(
     tree: model.Tree, workspace: str, class_name: str, key: str,
 ) -> model.Origin | None:
-    """Say where the value of ``key`` comes from; None if unknown."""
+    """Return the value of ``key`` and its layer; None if unknown."""
     body = tree.lookups.workspace(workspace)
     known = class_name in tree.common.get('classes', {})
     if body is None or not known:
@@ -170,7 +171,7 @@
 
 
 def service(tree: model.Tree, name: str) -> model.ServicePolicy | None:
-    """Return one service's settings with their built-in values."""
+    """Return one service's settings, completed by built-in values."""
     body = tree.common.get('services', {}).get(name)
     if body is None:
         return None
@@ -185,5 +186,5 @@
 
 
 def cell_size(tree: model.Tree) -> int:
-    """Return the greatest number of engines in one cell."""
+    """Return the maximum number of engines in one cell."""
     return tree.common.get('cell_size', fields.DEFAULT_CELL_SIZE)
--- a/crocuskeel/conf/shape.py
+++ b/crocuskeel/conf/schema_faults.py
@@ -1,4 +1,4 @@
-"""Faults of shape: from jsonschema's errors to settings faults."""
+"""Conversion of jsonschema's errors to settings faults."""
 
 import difflib
 from typing import Any
@@ -16,7 +16,7 @@
 MISSING_KEY = 'conf.E006'
 MALFORMED = 'conf.E007'
 
-_IDS = {
+_FAULT_IDS = {
     'type': WRONG_TYPE,
     'enum': OUT_OF_RANGE,
     'minimum': OUT_OF_RANGE,
@@ -27,7 +27,7 @@
 
 
 def suggest(word: str, known: Iterable[str]) -> str:
-    """Return a hint with the known word nearest to ``word``."""
+    """Return a hint with the known word most similar to ``word``."""
     close = difflib.get_close_matches(word, list(known), 1)
     if close:
         return f'did you mean {close[0]!r}?'
@@ -35,7 +35,7 @@
 
 
 def _path(error) -> model.Path:
-    return tuple(str(step) for step in error.absolute_path)
+    return tuple(str(key) for key in error.absolute_path)
 
 
 def _unknown_keys(error) -> Iterator[model.SettingsFault]:
@@ -43,7 +43,7 @@
     for key in sorted(set(error.instance) - set(known)):
         field = fields.FIELDS.get(key)
         if field and not field.in_workspace:
-            hint = 'holds for the deployment; set it in the class'
+            hint = 'applies to the whole deployment; set it in the class'
         else:
             hint = suggest(key, known)
         yield model.SettingsFault(
@@ -52,7 +52,7 @@
 
 
 def _missing_keys(error) -> Iterator[model.SettingsFault]:
-    # jsonschema reports each missing key as an error of its own.
+    # jsonschema reports each missing key as a separate error.
     key = error.message.split("'")[1]
     yield model.SettingsFault(
         MISSING_KEY, _path(error), None, f'key {key!r} is missing')
@@ -68,12 +68,12 @@
               if name in error.schema]
     if limits:
         return ', '.join(limits)
-    if error.schema.get('pattern') == schema.SHA256:
+    if error.schema.get('pattern') == schema.SHA256_PATTERN:
         return 'the hex SHA-256 of the token, 64 lower-case characters'
     return _NAME_HINT if error.validator == 'pattern' else ''
 
 
-def _translate(error) -> Iterator[model.SettingsFault]:
+def _to_faults(error) -> Iterator[model.SettingsFault]:
     if error.validator == 'additionalProperties':
         return _unknown_keys(error)
     if error.validator == 'required':
@@ -81,7 +81,7 @@
     path = _path(error)
     if 'propertyNames' in error.absolute_schema_path:
         path = (*path, str(error.instance))
-    fault_id = _IDS.get(error.validator, MALFORMED)
+    fault_id = _FAULT_IDS.get(error.validator, MALFORMED)
     fault = model.SettingsFault(
         fault_id, path, None, error.message[:200], _hint(error))
     return iter((fault,))
@@ -90,10 +90,10 @@
 def common_faults(
     common: Mapping[str, Any],
 ) -> Iterator[model.SettingsFault]:
-    """Yield faults of shape in every section but the workspaces."""
+    """Yield schema faults in every section but the workspaces."""
     validator, _workspaces = schema.validators()
     for error in validator.iter_errors(common):
-        for fault in _translate(error):
+        for fault in _to_faults(error):
             if fault.id == UNKNOWN_KEY and len(fault.path) == 1:
                 hint = suggest(fault.path[0], schema.SECTIONS)
                 yield model.SettingsFault(
@@ -103,10 +103,10 @@
 
 
 def workspace_faults(bodies: Any) -> Iterator[model.SettingsFault]:
-    """Yield faults of shape in workspaces, name to body."""
+    """Yield schema faults in ``bodies``, workspaces by name."""
     _common, validator = schema.validators()
     for error in validator.iter_errors(bodies):
-        for fault in _translate(error):
+        for fault in _to_faults(error):
             yield model.SettingsFault(
                 fault.id, ('workspaces', *fault.path), None, fault.fault,
                 fault.hint)
--- a/crocuskeel/conf/storage.py
+++ b/crocuskeel/conf/storage.py
@@ -1,14 +1,15 @@
 """Layout of the settings in the Object API.
 
-One small object, the head, is the only one that is ever updated. It names
-the index part, which names the part of the common sections and one part a
-shard of workspaces. Parts are named by their content and never change, so
-they can be written before the head names them, and twice without harm.
-Each generation also has a delta part, by which a follower that holds the
-generation before gets the next one without reading any shard.
-
-The head keeps the last batches by id. A commit whose answer was lost is
-recognised there; see ``crocuskeel.conf.commit``.
+One small object, the head, is the only one that is ever updated. It
+references the index part, which references the part of the common
+sections and one part per shard of workspaces. Parts are content-addressed
+and immutable, so they can be written before the head references them, and
+writing one twice is harmless. Each generation also has a delta part, from
+which a follower that has the previous generation builds the next one
+without reading any shard.
+
+The head lists the ids of the last batches, by which a commit whose answer
+was lost finds its batch; see ``crocuskeel.conf.commit``.
 """
 
 import dataclasses
@@ -32,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Recent:
+class RecentBatch:
     """An accepted batch, its generation, and its delta's digest."""
 
     generation: int
@@ -42,21 +43,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """The head object: the newest generation and how to get there.
+    """The head object: the newest generation and its recent batches.
 
     ``recent`` is ordered by generation without gaps and ends with this
-    one; it holds at most ``RECENT_BATCHES``.
+    one; it has at most ``RECENT_BATCHES`` entries.
     """
 
     generation: int
     batch_id: str
     index: str
-    recent: tuple[Recent, ...]
+    recent: tuple[RecentBatch, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Index:
-    """The digests of a generation's parts; shard number to digest."""
+    """The digests of a generation's parts, those of shards by number."""
 
     common: str
     shards: Mapping[int, str]
@@ -64,12 +65,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """One generation as a step from the one before.
+    """One generation as a change to the previous one.
 
-    ``index`` is the digest of the index after it, by which a follower
-    knows that it arrived at the same tree as everyone. ``parent`` is the
-    digest of the delta before, empty for the first; following it leads
-    through the whole history.
+    ``index`` is the digest of the resulting index, by which a follower
+    verifies that its tree equals that of all other hosts. ``parent`` is
+    the digest of the previous delta, empty for the first; these links
+    give the whole history.
     """
 
     generation: int
@@ -79,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Prepared:
+class PreparedCommit:
     """What one commit writes: new parts first, then the head."""
 
     tree: model.Tree
@@ -95,8 +96,10 @@
 
 def encode_head(head: Head) -> bytes:
     """Return the stored form of the head."""
-    recent = [[at.generation, at.batch_id, at.delta] for at in head.recent]
-    return parts.canonical({
+    recent = [
+        [entry.generation, entry.batch_id, entry.delta]
+        for entry in head.recent]
+    return parts.canonical_json({
         'generation': head.generation,
         'batch_id': head.batch_id,
         'index': head.index,
@@ -105,10 +108,13 @@
 
 
 def decode_head(stored: bytes) -> Head:
-    """Return the head of its stored form; raises ``PartCorrupt``."""
+    """Return the head decoded from its stored form.
+
+    Raises ``PartCorrupt``.
+    """
     try:
         body = json.loads(stored)
-        recent = tuple(Recent(*entry) for entry in body['recent'])
+        recent = tuple(RecentBatch(*entry) for entry in body['recent'])
         return Head(
             body['generation'], body['batch_id'], body['index'], recent)
     except (ValueError, KeyError, TypeError) as exc:
@@ -116,29 +122,31 @@
 
 
 def index_part(tree: model.Tree) -> model.Part:
-    """Return the part that names all parts of ``tree``."""
-    shards = {str(at): part.digest for at, part in tree.shards.items()}
+    """Return the part that references all parts of ``tree``."""
+    shards = {
+        str(number): part.digest for number, part in tree.shards.items()}
     return parts.new_part({
         'common': parts.new_part(tree.common).digest,
-        'shard_count': parts.SHARDS,
+        'shard_count': parts.SHARD_COUNT,
         'shards': shards,
     })
 
 
 def decode_index(part: model.Part) -> Index:
-    """Return the index of its part; raises ``PartCorrupt``."""
+    """Return the index decoded from its part; raises ``PartCorrupt``."""
     body = parts.decode_part(part)
     try:
-        if body['shard_count'] != parts.SHARDS:
-            raise exceptions.PartCorrupt('another number of shards')
-        shards = {int(at): name for at, name in body['shards'].items()}
+        if body['shard_count'] != parts.SHARD_COUNT:
+            raise exceptions.PartCorrupt('unexpected number of shards')
+        shards = {
+            int(number): digest for number, digest in body['shards'].items()}
         return Index(body['common'], shards)
     except (ValueError, KeyError, TypeError) as exc:
         raise exceptions.PartCorrupt(f'index: {exc!r}') from exc
 
 
 def delta_part(delta: Delta) -> model.Part:
-    """Return the part of a delta; raises ``PartTooLarge``."""
+    """Return a delta encoded as a part; raises ``PartTooLarge``."""
     return parts.new_part({
         'generation': delta.generation,
         'batch': batches.encode_batch(delta.batch),
@@ -148,7 +156,7 @@
 
 
 def decode_delta(part: model.Part) -> Delta:
-    """Return the delta of its part; raises ``PartCorrupt``."""
+    """Return the delta decoded from its part; raises ``PartCorrupt``."""
     body = parts.decode_part(part)
     try:
         batch = batches.decode_batch(body['batch'])
@@ -169,28 +177,31 @@
     before: model.Tree, after: model.Tree,
 ) -> tuple[model.Part, ...]:
     """Return the parts of ``after`` that ``before`` does not have."""
-    held = {part.digest for part in before.shards.values()}
+    existing = {part.digest for part in before.shards.values()}
     changed = [
-        part for part in after.shards.values() if part.digest not in held]
+        part for part in after.shards.values()
+        if part.digest not in existing]
     if after.common is not before.common:
         changed.append(parts.new_part(after.common))
     return (*changed, index_part(after))
 
 
-def _window(head: Head | None, entry: Recent) -> tuple[Recent, ...]:
+def _append_recent(
+    head: Head | None, entry: RecentBatch,
+) -> tuple[RecentBatch, ...]:
     earlier = head.recent if head else ()
     return (*earlier, entry)[-RECENT_BATCHES:]
 
 
 def prepare(
     tree: model.Tree, head: Head | None, batch: batches.Batch,
-) -> Result[Prepared, batches.Faults]:
+) -> Result[PreparedCommit, batches.Faults]:
     """Return what to write to commit ``batch`` on top of ``head``.
 
-    ``tree`` is the generation that ``head`` names, or the empty tree
-    where there is no head yet.
+    ``tree`` is the generation of ``head``, or the empty tree if there is
+    no head yet.
     """
-    applied = batches.apply(tree, batch)
+    applied = batches.apply_batch(tree, batch)
     if applied.is_err():
         return Err(applied.unwrap_err())
     after = applied.unwrap()
@@ -203,37 +214,39 @@
     except exceptions.PartTooLarge as exc:
         return Err((model.SettingsFault(
             batches.TOO_LARGE, (), None, str(exc),
-            'split the batch; each half takes effect by itself'),))
-    entry = Recent(after.generation, batch.id, stored.digest)
+            'split the batch; each smaller batch takes effect separately'),))
+    entry = RecentBatch(after.generation, batch.id, stored.digest)
     new_head = Head(
-        after.generation, batch.id, index, _window(head, entry))
-    return Ok(Prepared(after, new_head, delta, (*changed, stored)))
+        after.generation, batch.id, index, _append_recent(head, entry))
+    return Ok(PreparedCommit(after, new_head, delta, (*changed, stored)))
 
 
 def advance(tree: model.Tree, delta: Delta) -> Result[model.Tree, str]:
-    """Return the generation after ``tree``, or why it can't be had so.
+    """Return the generation after ``tree``, or why the delta can't apply.
 
-    A follower must load the tree whole on an error.
+    On an error a follower must load the whole tree.
     """
     if delta.generation != tree.generation + 1:
         return Err(f'delta is generation {delta.generation}, the tree '
                    f'is {tree.generation}')
     try:
-        after = batches.change_tree(tree, delta.batch)
+        after = batches.apply_unchecked(tree, delta.batch)
         reached = index_part(after).digest
     except exceptions.ConfError as exc:
         return Err(str(exc))
     if reached != delta.index:
-        return Err('the delta does not lead to the tree it names')
+        return Err('the tree after the delta does not match its index digest')
     return Ok(after)
 
 
-def missing_parts(index: Index, held: model.Tree | None) -> frozenset[str]:
+def missing_parts(
+    index: Index, local: model.Tree | None,
+) -> frozenset[str]:
     """Return the digests to fetch in order to assemble ``index``."""
     known = set()
-    if held is not None:
-        known = {part.digest for part in held.shards.values()}
-        known.add(parts.new_part(held.common).digest)
+    if local is not None:
+        known = {part.digest for part in local.shards.values()}
+        known.add(parts.new_part(local.common).digest)
     return frozenset({index.common, *index.shards.values()} - known)
 
 
@@ -241,29 +254,30 @@
     generation: int,
     index: Index,
     fetched: Mapping[str, model.Part],
-    held: model.Tree | None = None,
+    local: model.Tree | None = None,
 ) -> model.Tree:
-    """Return the whole tree from parts, fetched ones and those held.
+    """Return the tree of ``index`` from fetched parts and those of ``local``.
 
-    Raises ``PartCorrupt`` where a part is missing or damaged.
+    Raises ``PartCorrupt`` if a part is missing or damaged.
     """
-    known = dict(tree_parts(held)) if held is not None else {}
+    known = dict(tree_parts(local)) if local is not None else {}
     known.update(fetched)
     try:
         common = parts.decode_part(known[index.common])
-        shards = {at: known[name] for at, name in index.shards.items()}
+        shards = {
+            number: known[digest] for number, digest in index.shards.items()}
     except KeyError as exc:
         raise exceptions.PartCorrupt(f'part {exc} is missing') from exc
     return trees.load_tree(generation, common, shards)
 
 
-def accepted(delta: Delta) -> merging.Accepted:
-    """Return what a merge needs to know of a generation."""
-    return merging.Accepted(delta.generation, delta.batch)
+def accepted_batch(delta: Delta) -> merging.AcceptedBatch:
+    """Return the accepted batch of a delta, as a merge needs it."""
+    return merging.AcceptedBatch(delta.generation, delta.batch)
 
 
 def delta_of(head: Head, generation: int) -> str | None:
-    """Return the digest of a generation's delta, None if too old."""
+    """Return the digest of a generation's delta; None if not listed."""
     for entry in head.recent:
         if entry.generation == generation:
             return entry.delta
--- a/crocuskeel/conf/tokens.py
+++ b/crocuskeel/conf/tokens.py
@@ -1,9 +1,9 @@
 """A packed, sorted index from token hashes to shards.
 
-An entry is ten bytes: the first eight of the token's SHA-256 and two of
-the shard's number. 18,000 tokens take 180 kB, where a dict of their full
-hashes takes some megabytes. The reader compares the whole hash in the
-shard, so two hashes with the same eight bytes do no harm.
+An entry is ten bytes: the first eight of the token's SHA-256 and two for
+the shard number. 18,000 tokens take 180 kB, where a dict of their full
+hashes takes some megabytes. The reader compares the full hash in the
+shard, so hashes with the same first eight bytes are told apart there.
 """
 
 import bisect
@@ -11,21 +11,21 @@
 from typing import Iterator
 from typing import Mapping
 
-_PREFIX = 8
-_ENTRY = 10
+_PREFIX_BYTES = 8
+_ENTRY_BYTES = 10
 
 
-def pack(shard: int, workspaces: Mapping) -> Iterator[bytes]:
-    """Yield one entry for each token of ``workspaces`` (name to body)."""
+def pack_entries(shard: int, workspaces: Mapping) -> Iterator[bytes]:
+    """Yield one entry for each token of ``workspaces`` (bodies by name)."""
     for body in workspaces.values():
         for token in body.get('tokens', ()):
-            prefix = bytes.fromhex(token['sha256'])[:_PREFIX]
-            yield prefix + shard.to_bytes(_ENTRY - _PREFIX, 'big')
+            prefix = bytes.fromhex(token['sha256'])[:_PREFIX_BYTES]
+            yield prefix + shard.to_bytes(_ENTRY_BYTES - _PREFIX_BYTES, 'big')
 
 
 def _entries(index: bytes) -> Iterator[bytes]:
-    for at in range(0, len(index), _ENTRY):
-        yield index[at:at + _ENTRY]
+    for start in range(0, len(index), _ENTRY_BYTES):
+        yield index[start:start + _ENTRY_BYTES]
 
 
 def new_index(entries: Iterable[bytes]) -> bytes:
@@ -33,11 +33,13 @@
     return b''.join(sorted(entries))
 
 
-def replace(index: bytes, shards: frozenset, new: Iterable[bytes]) -> bytes:
+def replace_entries(
+    index: bytes, shards: frozenset, new: Iterable[bytes],
+) -> bytes:
     """Return ``index`` with the entries of ``shards`` replaced."""
     kept = (
         entry for entry in _entries(index)
-        if int.from_bytes(entry[_PREFIX:], 'big') not in shards
+        if int.from_bytes(entry[_PREFIX_BYTES:], 'big') not in shards
     )
     return new_index([*kept, *new])
 
@@ -45,21 +47,21 @@
 def find_shards(index: bytes, sha256: str) -> tuple[int, ...]:
     """Return the shards that may hold the token with this hex hash."""
     try:
-        prefix = bytes.fromhex(sha256)[:_PREFIX]
+        prefix = bytes.fromhex(sha256)[:_PREFIX_BYTES]
     except ValueError:
         return ()
-    if len(prefix) < _PREFIX:
+    if len(prefix) < _PREFIX_BYTES:
         return ()
-    count = len(index) // _ENTRY
+    count = len(index) // _ENTRY_BYTES
 
     def prefix_at(number: int) -> bytes:
-        at = number * _ENTRY
-        return index[at:at + _PREFIX]
+        start = number * _ENTRY_BYTES
+        return index[start:start + _PREFIX_BYTES]
 
-    first = bisect.bisect_left(range(count), prefix, key=prefix_at)
+    position = bisect.bisect_left(range(count), prefix, key=prefix_at)
     found = []
-    while first < count and prefix_at(first) == prefix:
-        at = first * _ENTRY + _PREFIX
-        found.append(int.from_bytes(index[at:at + 2], 'big'))
-        first += 1
+    while position < count and prefix_at(position) == prefix:
+        start = position * _ENTRY_BYTES + _PREFIX_BYTES
+        found.append(int.from_bytes(index[start:start + 2], 'big'))
+        position += 1
     return tuple(found)
--- a/crocuskeel/conf/tree.py
+++ b/crocuskeel/conf/tree.py
@@ -1,11 +1,10 @@
-"""Construction of trees, and reading of whole documents out of them.
-
-A tree holds its workspaces compressed and decodes a shard when one of its
-workspaces is asked for. What is decoded or resolved is kept in bounded
-least-recently-used caches: a daemon must not hold 18,000 workspaces
-resolved. Decoded shards are named by content and so are shared from one
-generation to the next; resolved policies are not, as each names its
-generation.
+"""Construction of trees, and conversion of trees to documents.
+
+A tree keeps its workspaces compressed and decodes a shard when one of its
+workspaces is requested. Decoded shards and resolved policies are kept in
+bounded LRU caches: a daemon must not keep 18,000 workspaces resolved.
+Decoded shards are content-addressed and so are shared from one generation
+to the next; resolved policies are not, as each includes its generation.
 """
 
 import functools
@@ -19,15 +18,15 @@
 from crocuskeel.conf import resolving
 from crocuskeel.conf import tokens
 
-DECODED_SHARDS = 16
-RESOLVED_POLICIES = 2048
-KNOWN_CALLERS = 2048
+MAX_DECODED_SHARDS = 16
+MAX_CACHED_POLICIES = 2048
+MAX_CACHED_CALLERS = 2048
 
 Decode = Callable[[model.Part], Mapping[str, Any]]
 
 
-def new_decoder(shards: int = DECODED_SHARDS) -> Decode:
-    """Return a decoder of parts that remembers the last few it read."""
+def new_decoder(shards: int = MAX_DECODED_SHARDS) -> Decode:
+    """Return a decoder of parts with an LRU cache."""
     return functools.lru_cache(maxsize=shards)(parts.decode_part)
 
 
@@ -38,15 +37,15 @@
     index: bytes,
     decode: Decode,
 ) -> model.Tree:
-    """Return a tree with its own memo of policies and callers."""
+    """Return a tree with its own cache of policies and callers."""
     lookups = resolving.new_lookups(
         generation, common, shards, index, decode,
-        RESOLVED_POLICIES, KNOWN_CALLERS)
+        MAX_CACHED_POLICIES, MAX_CACHED_CALLERS)
     return model.Tree(generation, common, shards, index, decode, lookups)
 
 
 def empty_tree() -> model.Tree:
-    """Return the tree of generation 0, in which nothing is set."""
+    """Return the tree of generation 0, without any settings."""
     return new_tree(0, {}, {}, b'', new_decoder())
 
 
@@ -60,14 +59,14 @@
     entries = (
         entry
         for number, part in shards.items()
-        for entry in tokens.pack(number, parts.decode_part(part))
+        for entry in tokens.pack_entries(number, parts.decode_part(part))
     )
     index = tokens.new_index(entries)
     return new_tree(generation, common, dict(shards), index, decode)
 
 
 def from_document(document: Mapping[str, Any], generation: int) -> model.Tree:
-    """Return the tree of a whole checked document."""
+    """Return the tree of a whole validated document."""
     common = {
         key: value for key, value in document.items() if key != 'workspaces'}
     grouped: dict[int, dict[str, Any]] = {}
@@ -79,7 +78,7 @@
 
 
 def shard_document(tree: model.Tree, number: int) -> Mapping[str, Any]:
-    """Return the workspaces of one shard, name to body; read-only."""
+    """Return the workspaces of one shard by name; read-only."""
     part = tree.shards.get(number)
     return tree.decode(part) if part else {}
 
@@ -91,7 +90,7 @@
 
 
 def to_document(tree: model.Tree) -> dict[str, Any]:
-    """Return the whole document; large for many workspaces."""
+    """Return the whole document; large if there are many workspaces."""
     document = dict(tree.common)
     found = dict(sorted(workspaces(tree)))
     if found:
--- a/tests/conf/samples.py
+++ b/tests/conf/samples.py
@@ -1,4 +1,4 @@
-"""Settings that several tests start from."""
+"""Settings that several tests use."""
 
 import hashlib
 import pathlib
@@ -9,13 +9,13 @@
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
 
 
-def sha256(clear: str) -> str:
-    """Return the hash under which a token is stored."""
-    return hashlib.sha256(clear.encode()).hexdigest()
+def sha256(token: str) -> str:
+    """Return the hash that is stored for a token."""
+    return hashlib.sha256(token.encode()).hexdigest()
 
 
 def text(name: str = 'paddlegum') -> str:
-    """Return one of the example settings."""
+    """Return the text of an example settings file."""
     return (EXAMPLES / f'{name}.jsonc').read_text()
 
 
--- a/tests/conf/test_batches.py
+++ b/tests/conf/test_batches.py
@@ -1,4 +1,4 @@
-"""Batches: whole or not at all, merged where disjoint, told apart."""
+"""Batches: atomic application, merging, diffs and reversal."""
 
 import itertools
 import unittest
@@ -14,7 +14,7 @@
 from crocuskeel.conf import merging
 from tests.conf import samples
 
-# Paths that overlap in many ways, with values right and wrong for them.
+# Paths that overlap in many ways, and values valid and invalid for them.
 PATHS = (
     ('cell_size',),
     ('defaults', 'tier'),
@@ -47,7 +47,7 @@
         conf.Edit, strategies.sampled_from(PATHS),
         strategies.sampled_from(VALUES)),
     min_size=1, max_size=4)
-SEEDED = settings(derandomize=True, deadline=None, max_examples=400)
+DERANDOMIZED = settings(derandomize=True, deadline=None, max_examples=400)
 
 
 def batch(edits, name='b', base=1):
@@ -55,24 +55,26 @@
 
 
 def valid_edits():
-    """Return a strategy of edit lists, each edit valid by itself."""
+    """Return a strategy of edit lists, each edit valid on its own."""
     tree = samples.tree()
     every = [conf.Edit(path, value) for path in PATHS for value in VALUES]
-    valid = [edit for edit in every if conf.apply(tree, batch([edit])).is_ok()]
+    valid = [
+        edit for edit in every
+        if conf.apply_batch(tree, batch([edit])).is_ok()]
     return strategies.lists(
         strategies.sampled_from(valid), min_size=1, max_size=3)
 
 
 def merged(tree, first, second):
-    """Return the tree after both, or None where either is refused."""
-    after = conf.apply(tree, first)
+    """Return the tree after both, or None if either is refused."""
+    after = conf.apply_batch(tree, first)
     if after.is_err():
         return None
-    history = [merging.Accepted(after.unwrap().generation, first)]
+    history = [merging.AcceptedBatch(after.unwrap().generation, first)]
     rebased = conf.merge(history, second)
     if rebased.is_err():
         return None
-    return conf.apply(after.unwrap(), rebased.unwrap()).ok()
+    return conf.apply_batch(after.unwrap(), rebased.unwrap()).ok()
 
 
 VALID_EDITS = valid_edits()
@@ -80,27 +82,28 @@
 
 class ApplyTest(unittest.TestCase):
 
-    @SEEDED
+    @DERANDOMIZED
     @given(EDITS)
-    def test_partial_checks_find_what_a_whole_check_finds(self, edits):
-        """A batch is accepted although the tree it makes has a fault.
+    def test_partial_validation_equals_full_validation(self, edits):
+        """Guards against accepting a batch whose tree has a fault.
 
-        Only touched parts are checked; a fault between a touched part
-        and one that is not (a token of another workspace, a class that
-        overrides still name) would get in force everywhere.
+        Only edited parts are validated. A fault between an edited part
+        and an unedited one (a token of another workspace, a class that
+        overrides still refer to) could be missed and would take effect on
+        all hosts.
         """
         tree = samples.tree()
         before = conf.to_document(tree)
         expected = before
         try:
             for edit in edits:
-                expected = batches.edited(expected, *edit)
+                expected = batches.edit_node(expected, *edit)
         except conf.ConfError:
             expected = None
         assume(not any(
-            batches.overlap(one.path, other.path)
-            for one, other in itertools.combinations(edits, 2)))
-        result = conf.apply(tree, batch(edits))
+            batches.paths_overlap(first.path, second.path)
+            for first, second in itertools.combinations(edits, 2)))
+        result = conf.apply_batch(tree, batch(edits))
         valid = expected is not None and not checks.document_faults(expected)
         self.assertEqual(valid, result.is_ok())
         if valid:
@@ -109,23 +112,23 @@
             self.assertEqual(expected, {'workspaces': {}, **found})
         self.assertEqual(before, conf.to_document(tree))
 
-    @SEEDED
+    @DERANDOMIZED
     @given(VALID_EDITS)
     def test_reversal_restores_the_tree(self, edits):
         tree = samples.tree()
-        after = conf.apply(tree, batch(edits))
+        after = conf.apply_batch(tree, batch(edits))
         assume(after.is_ok())
-        back = conf.reversal(tree, batch(edits))
-        restored = conf.apply(after.unwrap(), batch(back)).unwrap()
+        undo = conf.reversal(tree, batch(edits))
+        restored = conf.apply_batch(after.unwrap(), batch(undo)).unwrap()
         self.assertEqual(
             conf.to_document(tree), conf.to_document(restored))
         self.assertEqual(3, restored.generation)
 
-    def test_diff_leads_from_one_example_to_the_other(self):
+    def test_diff_turns_one_example_into_the_other(self):
         tree = conf.parse(samples.text('paddlegum')).unwrap()
         wanted = conf.parse_document(samples.text('wellness')).unwrap()
         edits = conf.document_edits(tree, wanted)
-        after = conf.apply(tree, batch(edits)).unwrap()
+        after = conf.apply_batch(tree, batch(edits)).unwrap()
         self.assertEqual(wanted, conf.to_document(after))
 
     def test_overlapping_edits_in_one_batch_are_refused(self):
@@ -133,41 +136,43 @@
             conf.Edit(('classes', 'fast', 'tier'), 2),
             conf.Edit(('cell_size',), 2),
             conf.Edit(('classes', 'fast'), {'tier': 3}))
-        faults = conf.apply(samples.tree(), batch(edits)).unwrap_err()
+        faults = conf.apply_batch(samples.tree(), batch(edits)).unwrap_err()
         self.assertEqual(['conf.E202'], [fault.id for fault in faults])
 
 
 class MergeTest(unittest.TestCase):
 
-    @SEEDED
+    @DERANDOMIZED
     @given(VALID_EDITS, VALID_EDITS)
     def test_disjoint_batches_commute(self, ours, theirs):
-        """Two operators' edits end in another tree by order of arrival.
+        """Guards against a result that depends on the order of batches.
 
-        Each is right by itself and they touch nothing in common, so the
-        result must not hang on who was first.
+        Each batch is valid on its own and their paths are disjoint, so
+        both orders must give the same tree.
         """
         tree = samples.tree()
         first, second = batch(ours, 'a'), batch(theirs, 'b')
-        assume(conf.apply(tree, first).is_ok())
-        assume(conf.apply(tree, second).is_ok())
-        one = merged(tree, first, second)
-        other = merged(tree, second, first)
-        self.assertEqual(one is None, other is None)
-        if one is not None:
+        assume(conf.apply_batch(tree, first).is_ok())
+        assume(conf.apply_batch(tree, second).is_ok())
+        in_order = merged(tree, first, second)
+        swapped = merged(tree, second, first)
+        self.assertEqual(in_order is None, swapped is None)
+        if in_order is not None:
             self.assertEqual(
-                conf.to_document(one), conf.to_document(other))
-            self.assertEqual((3, 3), (one.generation, other.generation))
+                conf.to_document(in_order), conf.to_document(swapped))
+            self.assertEqual(
+                (3, 3), (in_order.generation, swapped.generation))
 
     def test_conflict_names_both_values_author_and_time(self):
-        """A release-day edit silently undoes that of another operator.
+        """Guards against an edit that silently overwrites another one.
 
-        Both were made on generation 1. The second is refused, and says
-        what it would have overwritten, whose, and when that was set.
+        Both were made on generation 1. The second is refused, and the
+        conflict shows the value that it would have overwritten, its author
+        and its time.
         """
         path = ('classes', 'fast', 'floor')
         theirs = batch([conf.Edit(path, 0.3)], 'theirs')
-        history = [merging.Accepted(2, theirs)]
+        history = [merging.AcceptedBatch(2, theirs)]
         for ours, refused in (
                 (conf.Edit(path, 0.4), True),
                 (conf.Edit(path[:2], conf.REMOVE), True),
--- a/tests/conf/test_parsing.py
+++ b/tests/conf/test_parsing.py
@@ -1,4 +1,4 @@
-"""Contract of the settings text: faults, lines, inheritance, callers."""
+"""Settings text: faults with lines, inheritance, caller lookup."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 from crocuskeel.conf import tree as trees
 from tests.conf import samples
 
-# Each line with the faults expected there; the text is their sum.
+# Each line of one text, with the ids of the faults expected there.
 FAULTY = (
     ('{ // every fault below is reported in one run', ()),
     ('deployment: {name: "x", failure_domains: ["a"]},', ()),
@@ -53,10 +53,10 @@
 class ParsingTest(unittest.TestCase):
 
     def test_all_faults_at_once_with_line_and_hint(self):
-        """An operator's file has many faults and he sees only the first.
+        """Guards against reporting only the first of many faults.
 
-        He mends one, runs the check, meets the next, and on release day
-        gives up. Every fault is reported in one run, by its line.
+        The operator would have to fix them one run at a time. Every fault
+        is reported in one run, with its line.
         """
         text = '\n'.join(line for line, _ids in FAULTY)
         found = conf.parse(text).unwrap_err()
@@ -64,21 +64,22 @@
             here = sorted(
                 fault.id for fault in found if fault.line == number)
             with self.subTest(line=line):
-                self.assertEqual([f'conf.{at}' for at in ids], here)
+                self.assertEqual(
+                    [f'conf.{fault_id}' for fault_id in ids], here)
         hints = {fault.path: fault.hint for fault in found}
         self.assertIn("'models'", hints['services', 's2', 'modles'])
         self.assertIn("'tier'", hints['defaults', 'teir'])
 
-    def test_texts_that_are_no_settings(self):
+    def test_unreadable_text_has_one_fault(self):
         for text in ('', '[1]', '{"a":}', '{a:' + '[' * 100_000):
             faults = conf.parse(text).unwrap_err()
-            self.assertEqual(['conf.E001'], [at.id for at in faults])
+            self.assertEqual(['conf.E001'], [fault.id for fault in faults])
         self.assertEqual(
             3, conf.parse('{"a": 1}\n\n}').unwrap_err()[0].line)
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(DOCUMENTS)
-    def test_any_document_is_judged_without_an_exception(self, document):
+    def test_any_document_is_validated_without_an_exception(self, document):
         self.assertTrue(all(
             isinstance(fault, conf.SettingsFault)
             for fault in checks.document_faults(document)))
@@ -86,10 +87,10 @@
 
 class ExamplesTest(unittest.TestCase):
 
-    def test_examples_are_valid_and_their_tokens_work(self):
-        for name in ('paddlegum', 'wellness'):
-            tree = conf.parse(samples.text(name)).unwrap()
-            names = [at for at, _body in conf.workspaces(tree)]
+    def test_examples_are_valid_and_their_tokens_are_found(self):
+        for example in ('paddlegum', 'wellness'):
+            tree = conf.parse(samples.text(example)).unwrap()
+            names = [name for name, _body in conf.workspaces(tree)]
             self.assertEqual(10, len(names))
             for workspace in names:
                 token = samples.sha256(f'{workspace}-token')
@@ -102,7 +103,7 @@
 
 class ResolvingTest(unittest.TestCase):
 
-    def test_nearest_layer_wins_and_is_named(self):
+    def test_highest_layer_applies_and_is_reported(self):
         document = samples.document(2)
         layers = (
             (conf.Layer.BUILTIN, None, 200),
@@ -112,9 +113,9 @@
             (conf.Layer.WORKSPACE_CLASS,
              document['workspaces']['w1']['classes']['fast'], 14),
         )
-        for layer, place, value in layers:
-            if place is not None:
-                place['queue_limit'] = value
+        for layer, layer_settings, value in layers:
+            if layer_settings is not None:
+                layer_settings['queue_limit'] = value
             tree = trees.from_document(document, 7)
             policy = conf.resolve(tree, 'w1', 'fast')
             found = conf.origin(tree, 'w1', 'fast', 'queue_limit')
@@ -125,29 +126,30 @@
         self.assertIsNone(conf.resolve(tree, 'w1', 'none'))
         self.assertIsNone(conf.resolve(tree, 'none', 'fast'))
 
-    def test_memos_stay_bounded(self):
-        """A daemon's memory grows by each workspace that ever called.
+    def test_caches_are_bounded(self):
+        """Guards against memory growth with each workspace that calls.
 
-        After a day of 18,000 workspaces it is over its limit and is
-        killed. Decoded shards, policies and callers are kept in bounded
-        memos, whichever keys are asked for, unknown ones included.
+        A daemon that sees 18,000 workspaces in a day would exceed its
+        memory limit and be killed. The caches of decoded shards, policies
+        and callers are bounded for any keys, unknown ones included.
         """
         tree = samples.tree(300)
         for number in range(3000):
             name = f'w{number}'
             conf.resolve(tree, name, 'fast')
             conf.find_caller(tree, samples.sha256(f'{name}-token'))
-        for memo, most in (
-                (tree.decode, trees.DECODED_SHARDS),
-                (tree.lookups.policy, trees.RESOLVED_POLICIES),
-                (tree.lookups.caller, trees.KNOWN_CALLERS)):
-            self.assertEqual(most, memo.cache_info().currsize)
-
-    def test_tokens_that_share_the_indexed_bytes(self):
-        """A caller is served as another workspace's caller.
-
-        The index holds eight bytes of a hash; two tokens that share them
-        must be told apart by the whole hash, and a third not be known.
+        for cache, max_size in (
+                (tree.decode, trees.MAX_DECODED_SHARDS),
+                (tree.lookups.policy, trees.MAX_CACHED_POLICIES),
+                (tree.lookups.caller, trees.MAX_CACHED_CALLERS)):
+            self.assertEqual(max_size, cache.cache_info().currsize)
+
+    def test_tokens_with_the_same_hash_prefix(self):
+        """Guards against identifying a caller as another workspace's.
+
+        The index has eight bytes of a hash. Tokens that share them must be
+        distinguished by the full hash, and an unknown token with the same
+        bytes must not be found.
         """
         document = samples.document(4)
         hashes = {
--- a/tests/conf/test_storage.py
+++ b/tests/conf/test_storage.py
@@ -1,4 +1,4 @@
-"""Layout in the Object API: small writes, deltas, damaged parts."""
+"""Storage layout: small writes, deltas, damaged parts."""
 
 import hashlib
 import unittest
@@ -10,7 +10,7 @@
 from crocuskeel.conf import storage
 from tests.conf import samples
 
-MANY = 600
+WORKSPACE_COUNT = 600
 EDIT = conf.Edit(('workspaces', 'w5', 'weight'), 7)
 
 
@@ -22,22 +22,22 @@
 class LayoutTest(unittest.TestCase):
 
     def test_one_edit_rewrites_one_shard(self):
-        """A release day's edits fill the platform's write budget.
+        """Guards against exceeding the platform's write budget.
 
-        Each edit of one workspace would rewrite all of them. It writes
-        the workspace's shard, the index and the delta, whatever their
-        number.
+        An edit of one workspace must not rewrite all of them. It writes
+        the workspace's shard, the index and the delta, regardless of the
+        number of workspaces.
         """
-        tree = samples.tree(MANY)
+        tree = samples.tree(WORKSPACE_COUNT)
         written = prepared(tree, EDIT).parts
         self.assertEqual(3, len(written))
         all_parts = storage.tree_parts(tree).values()
-        whole = sum(len(part.blob) for part in all_parts)
+        total = sum(len(part.blob) for part in all_parts)
         rewritten = sum(len(part.blob) for part in written)
-        self.assertLess(rewritten, whole / 4)
+        self.assertLess(rewritten, total / 4)
 
-    def test_delta_and_whole_load_reach_the_same_tree(self):
-        tree = samples.tree(MANY)
+    def test_delta_and_full_load_give_the_same_tree(self):
+        tree = samples.tree(WORKSPACE_COUNT)
         result = prepared(
             tree, EDIT, conf.Edit(('cell_size',), 3),
             conf.Edit(('workspaces', 'w6'), conf.REMOVE))
@@ -46,8 +46,8 @@
         stored = {part.digest: part for part in result.parts}
         by_delta = conf.advance(tree, delta).unwrap()
         by_parts = conf.assemble(2, index, stored, tree)
-        fresh = conf.assemble(2, index, storage.tree_parts(result.tree))
-        for found in (by_delta, by_parts, fresh):
+        by_full_load = conf.assemble(2, index, storage.tree_parts(result.tree))
+        for found in (by_delta, by_parts, by_full_load):
             self.assertEqual(
                 result.head.index, storage.index_part(found).digest)
             self.assertEqual(2, found.generation)
@@ -57,12 +57,13 @@
         head = storage.decode_head(storage.encode_head(result.head))
         self.assertEqual(result.head, head)
 
-    def test_follower_takes_only_the_step_from_its_own_tree(self):
-        """A host goes back, skips a batch, or ends in a tree of its own.
+    def test_delta_applies_only_to_its_own_parent_tree(self):
+        """Guards against a host that reaches a tree nobody accepted.
 
-        A delta comes twice, or late, or from a peer whose tree differs;
-        after a revert it even leads to a tree that was there before.
-        Requests would be judged by settings nobody accepted.
+        A delta can arrive twice, late, or from a peer whose tree differs;
+        after a revert it even leads to a tree that existed before. The
+        host would go back, skip a batch or diverge, and handle requests by
+        settings that were never accepted.
         """
         tree = samples.tree()
         delta = prepared(tree, EDIT).delta
@@ -79,21 +80,22 @@
         self.assertTrue(conf.advance(conf.empty_tree(), delta).is_err())
 
     def test_damaged_parts_are_refused(self):
-        """A peer's or the platform's answer is cut off or is another's.
+        """Guards against using a truncated, damaged or wrong part.
 
-        Judged by, it would be settings that nobody accepted; a small one
-        that inflates to gigabytes would end the daemon.
+        An answer of a peer or the platform would be used as settings that
+        nobody accepted, and a small part that decompresses to gigabytes
+        would exhaust the daemon's memory.
         """
-        good = parts.new_part({'a': 1})
-        zeros = b'0' * (parts.MAX_PLAIN + 1)
+        valid = parts.new_part({'a': 1})
+        zeros = b'0' * (parts.MAX_PLAIN_BYTES + 1)
         bomb = conf.Part(
             hashlib.sha256(zeros).hexdigest(), zlib.compress(zeros))
         with self.assertRaises(conf.PartCorrupt):
             parts.decode_part(bomb)
-        for blob in (b'', b'junk', good.blob[:-1], good.blob[:-5],
+        for blob in (b'', b'junk', valid.blob[:-1], valid.blob[:-5],
                      parts.new_part({'a': 2}).blob):
             with self.assertRaises(conf.PartCorrupt):
-                parts.decode_part(conf.Part(good.digest, blob))
+                parts.decode_part(conf.Part(valid.digest, blob))
         for stored in (b'', b'[]', b'{}', b'{"recent": [[1]]}'):
             with self.assertRaises(conf.PartCorrupt):
                 storage.decode_head(stored)
@@ -101,13 +103,13 @@
         with self.assertRaises(conf.PartCorrupt):
             conf.assemble(1, index, {})
 
-    def test_a_batch_too_large_for_one_object_is_refused_whole(self):
+    def test_batch_too_large_for_one_object_is_refused(self):
         edits = [
             conf.Edit(('workspaces', f'x{number}'),
-                      samples.workspace(number + MANY))
+                      samples.workspace(number + WORKSPACE_COUNT))
             for number in range(50)]
         batch = conf.new_batch('op', 1.0, 1, edits)
-        with mock.patch.object(parts, 'MAX_BLOB', 2000):
+        with mock.patch.object(parts, 'MAX_BLOB_BYTES', 2000):
             result = storage.prepare(samples.tree(), None, batch)
         fault = result.unwrap_err()[0]
         self.assertEqual('conf.E203', fault.id)
