--- a/crocuskeel/ctl/__init__.py
+++ b/crocuskeel/ctl/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command, apart from its start (``programs.ctl``)."""
+"""The operators' command; its entry point is ``programs.ctl``."""
 
 from crocuskeel.ctl.client import Client
 from crocuskeel.ctl.main import connection
--- a/crocuskeel/ctl/client.py
+++ b/crocuskeel/ctl/client.py
@@ -1,4 +1,4 @@
-"""Asks entry hosts over HTTP, one after the other until one answers."""
+"""Sends HTTP requests to entry hosts, one by one until one responds."""
 
 import dataclasses
 import json
@@ -11,11 +11,11 @@
 from result import Err
 from result import Ok
 
-__all__ = ["Client", "ask", "ask_host"]
+__all__ = ["Client", "request", "request_host"]
 
-READ_S = 5.0
-# A commit may wait for the Object API for up to some 14 s.
-WRITE_S = 20.0
+READ_TIMEOUT_S = 5.0
+# A commit may wait for the Object API for up to about 14 s.
+WRITE_TIMEOUT_S = 20.0
 _FIRST_ERROR = 400
 _FIRST_SERVER_ERROR = 500
 _CODES = {
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Client:
-    """``hosts`` are ``address:port``, tried in their order.
+    """``hosts`` are ``address:port``, tried in order.
 
     ``send(method, url, headers, data, timeout)`` returns a Deferred of
     a ``objectapi.HttpAnswer``, or fails with ``objectapi.NotSent`` or
@@ -39,55 +39,56 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _NoAnswer:
-    """A host that could not be asked, or could not answer now."""
+class _HostFailure:
+    """A host that was not reached, or sent no usable response."""
 
     host: str
     why: str
     sent: bool
 
 
-async def ask(client, method, path, query=None, body=None):
-    """Ask the hosts in turn; Ok of the JSON answer or Err(Failure).
+async def request(client, method, path, query=None, body=None):
+    """Try the hosts in turn; Ok of the JSON response or Err(Failure).
 
-    A host that can't be reached, or that says it can't answer now
-    (5xx), is passed over. A body must be safe to send twice; it then
-    says ``"resent": true``, since the first host may still be at work.
+    A host that can't be reached or that responds with a server error
+    (5xx) is skipped. A request with a body must be safe to repeat; the
+    body then contains ``"resent": true``, since the first host may
+    still be processing it.
     """
-    passed = []
+    failures = []
     for host in client.hosts:
-        if body is not None and any(each.sent for each in passed):
+        if body is not None and any(each.sent for each in failures):
             body = {**body, "resent": True}
-        found = await _exchange(client, host, method, path, query, body)
-        if not isinstance(found, _NoAnswer):
-            return found
-        passed.append(found)
-    return Err(_unreachable(passed, method))
+        result = await _send(client, host, method, path, query, body)
+        if not isinstance(result, _HostFailure):
+            return result
+        failures.append(result)
+    return Err(_unreachable(failures, method))
 
 
-async def ask_host(client, host, method, path, query=None, body=None):
-    """Ask one host, ``address:port``; as :func:`ask`."""
-    only = dataclasses.replace(client, hosts=(host,))
-    return await ask(only, method, path, query, body)
+async def request_host(client, host, method, path, query=None, body=None):
+    """Send a request to one host, ``address:port``; as :func:`request`."""
+    single_host = dataclasses.replace(client, hosts=(host,))
+    return await request(single_host, method, path, query, body)
 
 
-def _unreachable(passed, method):
-    lines = [f"  {each.host}: {each.why}" for each in passed]
-    data = {"hosts": [dataclasses.asdict(each) for each in passed]}
-    if method != "GET" and any(each.sent for each in passed):
+def _unreachable(failures, method):
+    lines = [f"  {each.host}: {each.why}" for each in failures]
+    data = {"hosts": [dataclasses.asdict(each) for each in failures]}
+    if method != "GET" and any(each.sent for each in failures):
         return Failure(
             Code.UNKNOWN_OUTCOME,
-            "no host said whether the change was made:\n"
+            "no host confirmed whether the change was made:\n"
             + "\n".join(lines),
-            "Look before you send it again: crocuskeelctl settings log",
+            "Check before you send it again: crocuskeelctl settings log",
             data)
     return Failure(
-        Code.UNREACHABLE, "no host answered:\n" + "\n".join(lines),
-        "Check the addresses in --host or CROCUSKEELCTL_HOSTS and that "
-        "the daemons run.", data)
+        Code.UNREACHABLE, "no host responded:\n" + "\n".join(lines),
+        "Check the addresses in --host or CROCUSKEELCTL_HOSTS, and that "
+        "the daemons are running.", data)
 
 
-async def _exchange(client, host, method, path, query, body):
+async def _send(client, host, method, path, query, body):
     url = f"http://{host}{urllib.parse.quote(path)}"
     if query:
         url += "?" + urllib.parse.urlencode(query, doseq=True)
@@ -96,30 +97,30 @@
     if body is not None:
         headers["Content-Type"] = "application/json"
         data = json.dumps(body).encode()
-    timeout = READ_S if method == "GET" else WRITE_S
+    timeout = READ_TIMEOUT_S if method == "GET" else WRITE_TIMEOUT_S
     try:
-        answer = await client.send(method, url, headers, data, timeout)
+        response = await client.send(method, url, headers, data, timeout)
     except objectapi.NotSent as exc:
-        return _NoAnswer(host, f"not reached: {exc}", False)
+        return _HostFailure(host, f"not reached: {exc}", False)
     except objectapi.AnswerLost as exc:
-        return _NoAnswer(host, f"no answer: {exc}", True)
-    return _read(host, answer)
+        return _HostFailure(host, f"no response: {exc}", True)
+    return _parse_response(host, response)
 
 
-def _read(host, answer):
+def _parse_response(host, response):
     try:
-        body = json.loads(answer.body)
+        body = json.loads(response.body)
     except ValueError:
-        return _NoAnswer(host, f"HTTP {answer.status}, no JSON", True)
-    if answer.status >= _FIRST_SERVER_ERROR:
-        return _NoAnswer(host, _words(body, answer.status), True)
-    if answer.status >= _FIRST_ERROR:
+        return _HostFailure(host, f"HTTP {response.status}, not JSON", True)
+    if response.status >= _FIRST_SERVER_ERROR:
+        return _HostFailure(host, _error_text(body, response.status), True)
+    if response.status >= _FIRST_ERROR:
         return Err(Failure(
-            _CODES.get(answer.status, Code.REFUSED),
-            f"{host}: {_words(body, answer.status)}", "", body))
+            _CODES.get(response.status, Code.REFUSED),
+            f"{host}: {_error_text(body, response.status)}", "", body))
     return Ok(body)
 
 
-def _words(body, status):
+def _error_text(body, status):
     detail = body.get("detail") if isinstance(body, dict) else ""
     return f"HTTP {status}: {detail}" if detail else f"HTTP {status}"
--- a/crocuskeel/ctl/duty_logs.py
+++ b/crocuskeel/ctl/duty_logs.py
@@ -1,4 +1,4 @@
-"""Who holds the duties, and what became of a window, out of logs."""
+"""Shows from logs who holds the duties and how a window was handled."""
 
 from crocuskeel.ctl import entry_logs
 from crocuskeel.ctl import files
@@ -11,40 +11,41 @@
 
 __all__ = ["duties"]
 
-HOLDING = frozenset((
+LEASE_EVENTS = frozenset((
     "lease_acquired", "lease_lapsed", "lease_lost", "lease_released",
     "lease_not_read", "lease_not_written", "clock_jump", "bad_record"))
-DUTIES = frozenset(("window_decided", "duty_sent", "duty_answered"))
-# Fields that stand in columns of their own.
-KNOWN = frozenset(("t", "wall", "host", "event"))
+DUTY_EVENTS = frozenset(("window_decided", "duty_sent", "duty_answered"))
+# Fields that have their own columns.
+COLUMN_FIELDS = frozenset(("t", "wall", "host", "event"))
 
 
 async def duties(session, args):
-    """``duties``: the holders of the duties, and what they did."""
+    """``duties``: the holders of the duties and their actions."""
     texts = [files.read(session, name) for name in args.files]
-    rows, bad = entry_logs.read(
+    rows, invalid = entry_logs.parse(
         [text.unwrap() for text in texts if text.is_ok()])
-    notes = (f"{bad} lines could not be read",) if bad else ()
+    notes = (f"{invalid} lines could not be read",) if invalid else ()
     notes += tuple(str(text.unwrap_err()) for text in texts
                    if text.is_err())
     found = select(rows, args.window)
     if not found:
         return Err(Failure(
-            Code.NOT_FOUND, "\n".join(("no line on the duties", *notes)),
+            Code.NOT_FOUND,
+            "\n".join(("no log line about the duties", *notes)),
             "Give the logs of all entry hosts: any of them may hold "
             "the duties."))
-    return Ok(Report(tell(found), found, notes))
+    return Ok(Report(format_rows(found), found, notes))
 
 
 def select(rows, window=None):
-    """Return the rows on the lease and on a window, or on all duties."""
-    return [row for row in rows if row["event"] in HOLDING
-            or (row["event"] in DUTIES
+    """Return the rows about the lease and one window, or all duties."""
+    return [row for row in rows if row["event"] in LEASE_EVENTS
+            or (row["event"] in DUTY_EVENTS
                 and window in (None, row.get("window")))]
 
 
 def holder(rows):
-    """Return the last row of a lease acquired and not given up, or None."""
+    """Return the row of the last lease that was not given up, or None."""
     found = None
     for row in rows:
         if row["event"] == "lease_acquired":
@@ -55,15 +56,16 @@
     return found
 
 
-def tell(rows):
-    """Return the story as text; ``rows`` are those of ``select``."""
-    last = holder(rows)
-    head = "nobody is seen to hold the duties"
-    if last is not None:
-        head = (f"{last['host']} holds the duties since "
-                f"{tables.moment(last['wall'])}, fence {last['fence']}")
-    lines = [(tables.moment(row["wall"]), row["host"], row["event"],
+def format_rows(rows):
+    """Format the rows returned by ``select`` as text."""
+    current = holder(rows)
+    heading = "no host holds the duties according to these logs"
+    if current is not None:
+        heading = (f"{current['host']} has held the duties since "
+                   f"{tables.format_time(current['wall'])}, "
+                   f"fence {current['fence']}")
+    lines = [(tables.format_time(row["wall"]), row["host"], row["event"],
               " ".join(f"{name}={value}" for name, value in row.items()
-                       if name not in KNOWN)) for row in rows]
-    return head + "\n" + tables.table(
+                       if name not in COLUMN_FIELDS)) for row in rows]
+    return heading + "\n" + tables.table(
         ("WHEN", "HOST", "EVENT", "INPUTS"), lines)
--- a/crocuskeel/ctl/editing.py
+++ b/crocuskeel/ctl/editing.py
@@ -1,4 +1,4 @@
-"""The commands under ``settings`` that change something."""
+"""The commands under ``settings`` that change settings."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 __all__ = ["apply", "edit", "init", "revert"]
 
-FIRST_AUTHOR = "init"
+INIT_AUTHOR = "init"
 
 
 async def edit(session, args):
@@ -41,9 +41,9 @@
 
 
 async def apply(session, args):
-    """``settings apply``: a file of edits, or a whole settings file."""
+    """``settings apply``: a file of edits or a complete settings file."""
     if args.whole:
-        return await _apply_whole(session, args)
+        return await _apply_document(session, args)
     text = files.read(session, args.file)
     if text.is_err():
         return text
@@ -55,43 +55,43 @@
     return await changes.send_batch(session, found.edits, base, args.wait)
 
 
-async def _apply_whole(session, args):
-    document = settings.document_of(session, args.file)
+async def _apply_document(session, args):
+    document = settings.load_document(session, args.file)
     if document.is_err():
         return document
     base = args.base
     if base is None:
-        base = _named_base(files.read(session, args.file).unwrap())
+        base = _base_generation(files.read(session, args.file).unwrap())
     if base is None:
         return Err(Failure(
-            Code.USAGE, f"{args.file}: made from which generation?",
-            "Begin from the output of crocuskeelctl settings get, which "
-            "names it on its first line, or give --base."))
-    found = await settings.whole_document(session)
+            Code.USAGE, f"{args.file}: unknown base generation",
+            "Start from the output of crocuskeelctl settings get, whose "
+            "first line names it, or give --base."))
+    found = await settings.fetch_document(session)
     if found.is_err():
         return found
     body = found.unwrap()
     if body["generation"] != base:
-        # The file lacks what others changed since, so its difference
-        # would hold the undoing of their changes: a list of conflicts
-        # that says nothing of the cause.
+        # The file lacks the changes made since, so its difference would
+        # revert them and be refused with a list of conflicts that does
+        # not show the cause.
         return Err(Failure(
             Code.REFUSED,
-            f"{args.file} was made from generation {base}, but "
+            f"{args.file} is based on generation {base}, but "
             f"{body['generation']} is in force",
-            "See what changed with settings log, get the settings anew "
+            "See what changed with settings log, get the settings again "
             "and repeat your edits, or apply a file of edits.",
             {"reason": "base_moved", "base": base,
              "generation": body["generation"]}))
     edits = [batches.encode_edit(each) for each in
              merging.diff(body["document"], document.unwrap())]
     if not edits:
-        return Ok(Report("no difference, nothing was sent\n",
+        return Ok(Report("no difference; nothing was sent\n",
                          {"generation": base, "batch_id": ""}))
     return await changes.send_batch(session, edits, base, args.wait)
 
 
-def _named_base(text):
+def _base_generation(text):
     first = text.partition("\n")[0].strip()
     number = first.removeprefix(settings.BASE_COMMENT)
     if number == first or not number.isdecimal():
@@ -100,12 +100,12 @@
 
 
 async def revert(session, args):
-    """``settings revert``: a new batch that undoes one generation.
+    """``settings revert``: a new batch that reverts one generation.
 
-    It is made on that generation, so that a value changed again since
-    is shown as a conflict and not lost.
+    The batch is based on that generation, so that a value that was
+    changed again since is reported as a conflict and not overwritten.
     """
-    found = await clients.ask(
+    found = await clients.request(
         session.client, "GET",
         f"/ops/settings/reversal/{args.generation}")
     if found.is_err():
@@ -116,12 +116,12 @@
 
 
 async def init(session, args):
-    """``settings init``: store the first settings of a deployment.
+    """``settings init``: store the initial settings of a deployment.
 
-    No host knows a token before there are settings, so this goes to the
-    Object API itself, by the platform's own token.
+    Hosts can check no tokens before there are settings, so this accesses
+    the Object API directly, with the platform's token.
     """
-    document = settings.document_of(session, args.file)
+    document = settings.load_document(session, args.file)
     if document.is_err():
         return document
     token = files.read(session, args.platform_token_file)
@@ -134,24 +134,25 @@
         session.client.send, random.Random(args.platform))
     tree = conf.empty_tree()
     edits = merging.document_edits(tree, document.unwrap())
-    # Without a time of its own the batch has the same id at each run,
-    # so that a run after a lost answer finds the first one's work.
-    batch = batches.new_batch(FIRST_AUTHOR, 0.0, 0, edits)
-    ended = await store.run_commit(
+    # With a constant time the batch has the same ID in each run, so
+    # that a run after a lost response finds what the first one wrote.
+    batch = batches.new_batch(INIT_AUTHOR, 0.0, 0, edits)
+    result = await store.run_commit(
         session.reactor, client, batch, tree, resent=True)
-    return _first(args.platform, batch, ended)
+    return _init_result(args.platform, batch, result)
 
 
-def _first(url, batch, ended):
-    if isinstance(ended, commit.Done):
+def _init_result(url, batch, result):
+    if isinstance(result, commit.Done):
         return Ok(Report(
-            f"stored as generation {ended.generation}\n",
-            {"generation": ended.generation, "batch_id": batch.id}))
-    if ended.reason is commit.Reason.STORE_UNAVAILABLE:
+            f"stored as generation {result.generation}\n",
+            {"generation": result.generation, "batch_id": batch.id}))
+    if result.reason is commit.Reason.STORE_UNAVAILABLE:
         return Err(Failure(
-            Code.UNREACHABLE, f"{url}: the Object API did not answer",
+            Code.UNREACHABLE, f"{url}: the Object API did not respond",
             "Check --platform and --platform-token-file, then run the "
-            "same command again: what is stored is not stored twice."))
+            "same command again; the settings are stored only once."))
     return Err(Failure(
-        Code.REFUSED, f"{url}: refused: {ended.reason.value}",
-        "There are settings already: change them with settings apply."))
+        Code.REFUSED, f"{url}: refused: {result.reason.value}",
+        "The deployment already has settings: change them with "
+        "settings apply."))
--- a/crocuskeel/ctl/files.py
+++ b/crocuskeel/ctl/files.py
@@ -1,4 +1,4 @@
-"""Reads the operator's files; a failure says which and why."""
+"""Reads and writes files; a failure names the file and the reason."""
 
 from crocuskeel.ctl.results import Code
 from crocuskeel.ctl.results import Failure
--- a/crocuskeel/ctl/fleet.py
+++ b/crocuskeel/ctl/fleet.py
@@ -1,4 +1,4 @@
-"""Asks all live hosts at once."""
+"""Sends a request to all live hosts concurrently."""
 
 import dataclasses
 import typing
@@ -7,51 +7,52 @@
 from result import Ok
 from twisted.internet import defer
 
-__all__ = ["FleetAnswers", "address_of", "ask_fleet", "live_hosts"]
+__all__ = ["FleetResponses", "address_of", "request_all", "live_hosts"]
 
-MAX_AT_ONCE = 32
-_GONE = ("dead",)
+MAX_CONCURRENT_REQUESTS = 32
+_DEAD_STATUSES = ("dead",)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FleetAnswers:
-    """Answers by host name, and why others did not answer."""
+class FleetResponses:
+    """Responses by host name, and why the other hosts sent none."""
 
-    answers: dict[str, typing.Any]
+    responses: dict[str, typing.Any]
     missing: dict[str, str]
 
 
-def address_of(line):
-    """Return ``address:port`` of a host's line of a status answer."""
-    return f"{line['address']}:{line['door_port']}"
+def address_of(host):
+    """Return the ``address:port`` of a host in a status response."""
+    return f"{host['address']}:{host['door_port']}"
 
 
 def live_hosts(status):
-    """Return the lines of hosts that should answer."""
-    return [line for line in status["hosts"]
-            if line["status"] not in _GONE and line["door_port"]]
+    """Return the hosts of a status response that should respond."""
+    return [host for host in status["hosts"]
+            if host["status"] not in _DEAD_STATUSES and host["door_port"]]
 
 
-async def ask_fleet(client, path, query=None):
-    """GET a path of every live host: Ok(FleetAnswers) or Err(Failure).
+async def request_all(client, path, query=None):
+    """GET a path from every live host: Ok(FleetResponses) or Err(Failure).
 
-    Who is live is asked of the first host that answers.
+    The list of live hosts comes from the first host that responds.
     """
-    first = await clients.ask(
+    first = await clients.request(
         client, "GET", "/ops/status", {"brief": "1"})
     if first.is_err():
         return first
-    gate = defer.DeferredSemaphore(MAX_AT_ONCE)
-    lines = live_hosts(first.unwrap())
-    asked = [
-        gate.run(lambda line=line: defer.ensureDeferred(clients.ask_host(
-            client, address_of(line), "GET", path, query)))
-        for line in lines]
-    found = await defer.gatherResults(asked, consumeErrors=True)
-    answers, missing = {}, {}
-    for line, each in zip(lines, found):
-        if each.is_ok():
-            answers[line["host"]] = each.unwrap()
+    semaphore = defer.DeferredSemaphore(MAX_CONCURRENT_REQUESTS)
+    hosts = live_hosts(first.unwrap())
+    pending = [
+        semaphore.run(lambda host=host: defer.ensureDeferred(
+            clients.request_host(
+                client, address_of(host), "GET", path, query)))
+        for host in hosts]
+    results = await defer.gatherResults(pending, consumeErrors=True)
+    responses, missing = {}, {}
+    for host, result in zip(hosts, results):
+        if result.is_ok():
+            responses[host["host"]] = result.unwrap()
         else:
-            missing[line["host"]] = each.unwrap_err().message
-    return Ok(FleetAnswers(answers, missing))
+            missing[host["host"]] = result.unwrap_err().message
+    return Ok(FleetResponses(responses, missing))
--- a/crocuskeel/ctl/main.py
+++ b/crocuskeel/ctl/main.py
@@ -1,4 +1,4 @@
-"""Runs one command and prints how it ended."""
+"""Runs one command and prints its result."""
 
 import json
 
@@ -27,7 +27,7 @@
         return Ok(clients.Client((), "", send))
     if not hosts:
         return Err(Failure(
-            Code.USAGE, "which entry hosts?",
+            Code.USAGE, "no entry hosts given",
             f"Give --host ADDRESS:PORT or set {_HOSTS}."))
     token = _token(args, environ, read_text)
     return token.map(lambda text: clients.Client(hosts, text, send))
@@ -49,7 +49,7 @@
         return Ok(environ[_TOKEN].strip())
     if not name:
         return Err(Failure(
-            Code.USAGE, "no operator's token",
+            Code.USAGE, "no operator token given",
             f"Give --token-file FILE or set {_TOKEN_FILE} or {_TOKEN}."))
     try:
         return Ok(read_text(name).strip())
@@ -87,5 +87,5 @@
 
 
 def parse(argv):
-    """Return the parsed command line; exits with 2 if it is wrong."""
+    """Return the parsed command line; exits with 2 if it is invalid."""
     return arguments.new_parser().parse_args(argv)
--- a/crocuskeel/ctl/overview.py
+++ b/crocuskeel/ctl/overview.py
@@ -16,68 +16,68 @@
 
 async def status(session, args):
     """``status``: hosts, cells, engines and classes of the fleet."""
-    asked = await fleet.ask_fleet(session.client, "/ops/status")
-    if asked.is_err():
-        return asked
-    found = asked.unwrap()
-    if not found.answers:
+    result = await fleet.request_all(session.client, "/ops/status")
+    if result.is_err():
+        return result
+    found = result.unwrap()
+    if not found.responses:
         return Err(Failure(
-            Code.UNREACHABLE, "the hosts know each other, but none "
-            "answered at its own address",
-            "\n".join(f"{host}: {why}"
-                      for host, why in sorted(found.missing.items()))))
+            Code.UNREACHABLE, "no host responded at the address that "
+            "membership lists for it",
+            "\n".join(f"{host}: {reason}"
+                      for host, reason in sorted(found.missing.items()))))
     data = _merged(found)
-    notes = tuple(f"no answer from {host}: {why}"
-                  for host, why in sorted(found.missing.items()))
+    notes = tuple(f"no response from {host}: {reason}"
+                  for host, reason in sorted(found.missing.items()))
     return Ok(Report(_text(data), data, notes))
 
 
 def _merged(found):
-    answers = [found.answers[host] for host in sorted(found.answers)]
+    responses = [found.responses[host] for host in sorted(found.responses)]
     return {
         "hosts": _hosts(found),
-        "cells": _best(answers, "cells", "cell",
-                       lambda line: bool(line["tiers"])),
-        "engines": _best(answers, "engines", "engine",
-                         lambda line: line["in_flight"] >= 0),
-        "classes": _classes(answers),
+        "cells": _preferred(responses, "cells", "cell",
+                            lambda row: bool(row["tiers"])),
+        "engines": _preferred(responses, "engines", "engine",
+                              lambda row: row["in_flight"] >= 0),
+        "classes": _classes(responses),
         "missing": found.missing,
     }
 
 
 def _hosts(found):
-    """One line a host: what it says of itself goes before rumours."""
-    lines = {}
-    for answer in found.answers.values():
-        for line in answer["hosts"]:
-            kept = lines.get(line["host"])
-            if kept is None or line["generation"] > kept["generation"]:
-                lines[line["host"]] = line
-    out = []
-    for host, line in sorted(lines.items()):
-        own = found.answers.get(host, {}).get("own", {})
-        out.append({**line, **own, "answered": bool(own)})
-    return out
-
-
-def _best(answers, part, name, prefer):
-    """One line an item, from its dispatcher where that has answered."""
-    lines = {}
-    for answer in answers:
-        for line in answer[part]:
-            if line[name] not in lines or prefer(line):
-                lines[line[name]] = line
-    return [lines[each] for each in sorted(lines)]
-
-
-def _classes(answers):
+    """Return one row per host; a host's own data takes precedence."""
+    rows = {}
+    for response in found.responses.values():
+        for row in response["hosts"]:
+            known = rows.get(row["host"])
+            if known is None or row["generation"] > known["generation"]:
+                rows[row["host"]] = row
+    merged = []
+    for host, row in sorted(rows.items()):
+        own = found.responses.get(host, {}).get("own", {})
+        merged.append({**row, **own, "answered": bool(own)})
+    return merged
+
+
+def _preferred(responses, section, name, prefer):
+    """Return one row per item, preferably from its dispatcher."""
+    rows = {}
+    for response in responses:
+        for row in response[section]:
+            if row[name] not in rows or prefer(row):
+                rows[row[name]] = row
+    return [rows[each] for each in sorted(rows)]
+
+
+def _classes(responses):
     sums = {}
-    for answer in answers:
-        for line in answer["classes"]:
-            total = sums.setdefault(line["class_name"], dict.fromkeys(
+    for response in responses:
+        for row in response["classes"]:
+            total = sums.setdefault(row["class_name"], dict.fromkeys(
                 ("answered", "attained", "refused", "failed"), 0))
             for key in total:
-                total[key] += line[key]
+                total[key] += row[key]
     return [{"class_name": name, **sums[name]} for name in sorted(sums)]
 
 
@@ -86,87 +86,87 @@
         _headline(data["hosts"]),
         tables.table(
             ("HOST", "DOMAIN", "STATE", "GENERATION", "REQUESTS", "LOAD"),
-            [_host_row(line) for line in data["hosts"]]),
+            [_host_row(row) for row in data["hosts"]]),
         tables.table(
             ("CELL", "DISPATCHER", "ENGINES",
              *(f"TIER {tier}" for tier in _TIERS)),
-            [_cell_row(line) for line in data["cells"]]),
+            [_cell_row(row) for row in data["cells"]]),
         "Tiers: waiting/running.\n",
         tables.table(
             ("ENGINE", "CELL", "DOMAIN", "STATE", "RUNNING", "LIMIT"),
-            [_engine_row(line) for line in data["engines"]]),
+            [_engine_row(row) for row in data["engines"]]),
     ]
     if data["classes"]:
         parts.append(tables.table(
             ("CLASS", "ANSWERED", "IN TIME", "ATTAINMENT", "REFUSED",
              "FAILED"),
-            [_class_row(line) for line in data["classes"]]))
-        parts.append("Classes: recent answers, as far as the hosts' "
-                     "rings go back.\n")
+            [_class_row(row) for row in data["classes"]]))
+        parts.append("Classes: recent responses that are still in the "
+                     "hosts' ring buffers.\n")
     return "\n".join(parts)
 
 
 def _headline(hosts):
-    told = {line["generation"] for line in hosts if line["answered"]}
-    count = sum(line["answered"] for line in hosts)
-    numbers = ", ".join(str(number) for number in sorted(told))
-    word = "generation" if len(told) == 1 else "generations"
-    return f"{count} of {len(hosts)} hosts answered; {word} {numbers}\n"
+    generations = {row["generation"] for row in hosts if row["answered"]}
+    responded = sum(row["answered"] for row in hosts)
+    numbers = ", ".join(str(number) for number in sorted(generations))
+    word = "generation" if len(generations) == 1 else "generations"
+    return f"{responded} of {len(hosts)} hosts responded; {word} {numbers}\n"
 
 
-def _host_row(line):
-    if not line["answered"]:
-        state = line["status"]
+def _host_row(row):
+    if not row["answered"]:
+        state = row["status"]
         if state != "left":
-            state += ", silent"
-        return (line["host"], line["domain"], state,
-                line["generation"], "-", "-")
-    return (line["host"], line["domain"], _host_state(line),
-            line["generation"], line["requests"], f"{line['load']:.0%}")
+            state += ", no response"
+        return (row["host"], row["domain"], state,
+                row["generation"], "-", "-")
+    return (row["host"], row["domain"], _host_state(row),
+            row["generation"], row["requests"], f"{row['load']:.0%}")
 
 
-def _host_state(line):
-    if line["draining"]:
+def _host_state(row):
+    if row["draining"]:
         return "draining"
-    return line["status"] if line["ready"] else "not ready"
+    return row["status"] if row["ready"] else "not ready"
 
 
-def _cell_row(line):
+def _cell_row(row):
     tiers = {each["tier"]: f"{each['waiting']}/{each['running']}"
-             for each in line["tiers"]}
-    return (line["cell"], line["dispatcher"] or "-",
-            f"{line['usable']}/{line['engines']}",
+             for each in row["tiers"]}
+    return (row["cell"], row["dispatcher"] or "-",
+            f"{row['usable']}/{row['engines']}",
             *(tiers.get(tier, "0/0") for tier in _TIERS))
 
 
-def _engine_row(line):
-    known = line["in_flight"] >= 0
-    return (line["engine"], line["cell"] or "-", line["domain"],
-            line["state"], line["in_flight"] if known else "-",
-            f"{line['limit']:.0f}" if line["limit"] else "-")
+def _engine_row(row):
+    known = row["in_flight"] >= 0
+    return (row["engine"], row["cell"] or "-", row["domain"],
+            row["state"], row["in_flight"] if known else "-",
+            f"{row['limit']:.0f}" if row["limit"] else "-")
 
 
-def _class_row(line):
-    share = (f"{line['attained'] / line['answered']:.1%}"
-             if line["answered"] else "-")
-    return (line["class_name"], line["answered"], line["attained"], share,
-            line["refused"], line["failed"])
+def _class_row(row):
+    share = (f"{row['attained'] / row['answered']:.1%}"
+             if row["answered"] else "-")
+    return (row["class_name"], row["answered"], row["attained"], share,
+            row["refused"], row["failed"])
 
 
 async def drain(session, args):
-    """``drain``: let one host finish its requests and stop."""
-    asked = await clients.ask(
+    """``drain``: stop one host after it has finished its requests."""
+    result = await clients.request(
         session.client, "GET", "/ops/status", {"brief": "1"})
-    if asked.is_err():
-        return asked
-    lines = {line["host"]: line for line in asked.unwrap()["hosts"]}
-    if args.name not in lines:
+    if result.is_err():
+        return result
+    rows = {row["host"]: row for row in result.unwrap()["hosts"]}
+    if args.name not in rows:
         return Err(Failure(
-            Code.NOT_FOUND, f"no host {args.name}",
-            "hosts: " + ", ".join(sorted(lines))))
-    address = fleet.address_of(lines[args.name])
-    answer = await clients.ask_host(
+            Code.NOT_FOUND, f"unknown host {args.name}",
+            "Known hosts: " + ", ".join(sorted(rows))))
+    address = fleet.address_of(rows[args.name])
+    response = await clients.request_host(
         session.client, address, "POST", "/ops/drain", body={})
-    return answer.map(lambda body: Report(
-        f"{args.name} is draining; {body['requests']} requests still run "
-        "there\n", body))
+    return response.map(lambda body: Report(
+        f"{args.name} is draining; {body['requests']} requests in "
+        "progress\n", body))
--- a/crocuskeel/ctl/results.py
+++ b/crocuskeel/ctl/results.py
@@ -1,4 +1,4 @@
-"""What a command ends with: a report or a failure, and exit codes."""
+"""Results of commands: reports, failures and exit codes."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class Code(enum.IntEnum):
-    """Exit codes; part of the command's interface, never renumbered."""
+    """Exit codes; part of the public interface, never renumbered."""
 
     OK = 0
     REFUSED = 1
@@ -24,7 +24,7 @@
 class Report:
     """What to print: ``text`` for people, ``data`` for scripts.
 
-    ``notes`` are said beside it, on standard error.
+    ``notes`` are printed on standard error.
     """
 
     text: str
@@ -34,9 +34,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a command failed and how to mend it.
+    """Why a command failed and how to fix it.
 
-    ``data`` has more for scripts.
+    ``data`` has details for scripts.
     """
 
     code: Code
--- a/crocuskeel/ctl/session.py
+++ b/crocuskeel/ctl/session.py
@@ -1,4 +1,4 @@
-"""What every command works with."""
+"""The dependencies of every command."""
 
 import dataclasses
 import typing
@@ -10,9 +10,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Session:
-    """Clock, hosts and files, handed in so that tests can replace them.
+    """Clock, client and files, passed in so that tests can replace them.
 
-    ``wall()`` returns Unix seconds; ``read_text(name)`` returns a
+    ``wall()`` returns the Unix time in seconds; ``read_text(name)`` returns a
     file's text and ``write_text(name, text)`` writes one; both raise
     OSError.
     """
--- a/crocuskeel/ctl/settings.py
+++ b/crocuskeel/ctl/settings.py
@@ -1,4 +1,4 @@
-"""The commands under ``settings`` that read or check."""
+"""The commands under ``settings`` that read or check settings."""
 
 import json
 
@@ -16,25 +16,25 @@
 from result import Err
 from result import Ok
 
-__all__ = ["BASE_COMMENT", "check", "diff", "document_of", "get", "log",
-           "whole_document", "wait"]
+__all__ = ["BASE_COMMENT", "check", "diff", "load_document", "get", "log",
+           "fetch_document", "wait"]
 
 BASE_COMMENT = "// crocuskeel settings, generation "
 
 
 async def check(session, args):
-    """``settings check``: read a settings file without any host."""
-    document = document_of(session, args.file)
+    """``settings check``: check a settings file without a host."""
+    document = load_document(session, args.file)
     if document.is_err():
         return document
     count = len(document.unwrap().get("workspaces", {}))
     return Ok(Report(
-        f"{args.file}: no faults, {count} workspaces\n",
+        f"{args.file}: no errors, {count} workspaces\n",
         {"file": args.file, "faults": [], "workspaces": count}))
 
 
-def document_of(session, name):
-    """Return Ok of a file's checked document or Err with all faults."""
+def load_document(session, name):
+    """Return Ok of a file's valid document or Err with all its errors."""
     text = files.read(session, name)
     if text.is_err():
         return text
@@ -47,23 +47,23 @@
     data = {"file": name, "faults": [
         {"id": each.id, "path": list(each.path), "line": each.line,
          "fault": each.fault, "hint": each.hint} for each in faults]}
-    word = "fault" if len(faults) == 1 else "faults"
+    word = "error" if len(faults) == 1 else "errors"
     return Failure(
         Code.FAULTS, "\n".join(lines), f"{len(faults)} {word}", data)
 
 
 def _fault(name, fault):
     hint = f"\n    {fault.hint}" if fault.hint else ""
-    return (f"{name}:{fault.line or 1}: {paths.show_path(fault.path)}: "
+    return (f"{name}:{fault.line or 1}: {paths.format_path(fault.path)}: "
             f"{fault.id} {fault.fault}{hint}")
 
 
 async def get(session, args):
-    """``settings get``: a class's values, a workspace, or the whole."""
+    """``settings get``: a class's values, a workspace, or everything."""
     if not args.class_name:
         return await _get_document(session, args.workspace or "")
     query = {"workspace": args.workspace, "class": args.class_name}
-    found = await clients.ask(
+    found = await clients.request(
         session.client, "GET", "/ops/settings", query)
     if found.is_err():
         return found
@@ -72,27 +72,28 @@
             if args.key in (None, each["key"])]
     if not rows:
         return Err(Failure(
-            Code.NOT_FOUND, f"no key {args.key!r} in a class",
-            "keys: " + ", ".join(each["key"] for each in body["values"])))
+            Code.NOT_FOUND, f"unknown key {args.key!r}",
+            "Known keys: " + ", ".join(
+                each["key"] for each in body["values"])))
     text = tables.table(
         ("KEY", "VALUE", "FROM", "SET AT"),
-        [(each["key"], paths.show_value(each["value"]), each["layer"],
-          paths.show_path(each["path"]) if each["path"] else "-")
+        [(each["key"], paths.format_value(each["value"]), each["layer"],
+          paths.format_path(each["path"]) if each["path"] else "-")
          for each in rows])
     heading = (f"class {args.class_name} in workspace {args.workspace}, "
                f"generation {body['generation']}\n")
     return Ok(Report(heading + text, {**body, "values": rows}))
 
 
-async def whole_document(session, workspace=""):
-    """Return Ok of the answer with the stored document or Err."""
+async def fetch_document(session, workspace=""):
+    """Return Ok of the response with the stored document or Err."""
     query = {"workspace": workspace} if workspace else None
-    return await clients.ask(
+    return await clients.request(
         session.client, "GET", "/ops/settings/document", query)
 
 
 async def _get_document(session, workspace):
-    found = await whole_document(session, workspace)
+    found = await fetch_document(session, workspace)
     if found.is_err():
         return found
     body = found.unwrap()
@@ -102,11 +103,11 @@
 
 
 async def diff(session, args):
-    """``settings diff``: a file against what is in force."""
-    after = document_of(session, args.file)
+    """``settings diff``: compare a file with the settings in force."""
+    after = load_document(session, args.file)
     if after.is_err():
         return after
-    found = await whole_document(session)
+    found = await fetch_document(session)
     if found.is_err():
         return found
     body = found.unwrap()
@@ -114,7 +115,7 @@
     edits = merging.diff(before, after.unwrap())
     data = {"generation": body["generation"],
             "edits": [batches.encode_edit(edit) for edit in edits]}
-    heading = f"{args.file} against generation {body['generation']}: "
+    heading = f"{args.file} compared with generation {body['generation']}: "
     if not edits:
         return Ok(Report(heading + "no difference\n", data))
     text = "".join(_change(before, edit) for edit in edits)
@@ -123,17 +124,17 @@
 
 
 def _change(before, edit):
-    old = _at(before, edit.path)
-    name = paths.show_path(edit.path)
+    old = _value_at(before, edit.path)
+    name = paths.format_path(edit.path)
     if edit.value is batches.REMOVE:
-        return f"- {name}: {paths.show_value(old)}\n"
-    new = paths.show_value(edit.value)
+        return f"- {name}: {paths.format_value(old)}\n"
+    new = paths.format_value(edit.value)
     if old is None:
         return f"+ {name}: {new}\n"
-    return f"~ {name}: {paths.show_value(old)} -> {new}\n"
+    return f"~ {name}: {paths.format_value(old)} -> {new}\n"
 
 
-def _at(node, path):
+def _value_at(node, path):
     for step in path:
         if not isinstance(node, dict) or step not in node:
             return None
@@ -142,16 +143,16 @@
 
 
 async def log(session, args):
-    """``settings log``: the last batches, newest first."""
-    found = await clients.ask(
+    """``settings log``: recent batches, newest first."""
+    found = await clients.request(
         session.client, "GET", "/ops/settings/log",
         {"limit": str(args.limit)})
     if found.is_err():
         return found
     body = found.unwrap()
-    rows = [(each["generation"], tables.moment(each["at"]),
+    rows = [(each["generation"], tables.format_time(each["at"]),
              each["author"], len(each["edits"]), each["batch_id"],
-             _touched(each["edits"]))
+             _changed_paths(each["edits"]))
             for each in body["entries"]]
     text = tables.table(
         ("GENERATION", "TIME (UTC)", "AUTHOR", "EDITS", "BATCH",
@@ -161,24 +162,24 @@
     return Ok(Report(text, body, notes))
 
 
-def _touched(edits):
-    names = [paths.show_path(edit["path"]) for edit in edits]
+def _changed_paths(edits):
+    names = [paths.format_path(edit["path"]) for edit in edits]
     more = f" and {len(names) - 2} more" if len(names) > 2 else ""
     return ", ".join(names[:2]) + more
 
 
 async def wait(session, args):
-    """``settings wait``: until a generation is in force everywhere."""
+    """``settings wait``: wait until all hosts have a generation in force."""
     generation = args.generation
     if generation is None:
-        status = await clients.ask(
+        status = await clients.request(
             session.client, "GET", "/ops/status", {"brief": "1"})
         if status.is_err():
             return status
         generation = status.unwrap()["own"]["newest"]
-    waited = await waiting.wait_in_force(
+    wait_result = await waiting.wait_in_force(
         session, generation, args.within)
-    return waited.map(lambda found: Report(
+    return wait_result.map(lambda found: Report(
         f"generation {generation} is in force on all "
         f"{len(found.hosts)} hosts\n",
         {"generation": generation, "hosts": list(found.hosts)}))
--- a/crocuskeel/ctl/tables.py
+++ b/crocuskeel/ctl/tables.py
@@ -1,34 +1,34 @@
-"""Tables in plain text for people."""
+"""Formats plain-text tables."""
 
 import datetime
 
-__all__ = ["moment", "table"]
+__all__ = ["format_time", "table"]
 
-_GAP = "  "
+_COLUMN_SEPARATOR = "  "
 
 
-def table(heads, rows):
-    """Return rows under heads; numbers are set to the right."""
+def table(headers, rows):
+    """Return rows under column headers; numbers are right-aligned."""
     cells = [tuple(str(cell) for cell in row) for row in rows]
-    columns = list(zip(heads, *cells))
+    columns = list(zip(headers, *cells))
     widths = [max(map(len, column)) for column in columns]
-    right = [bool(rows) and all(
-        isinstance(row[at], (int, float)) for row in rows)
-        for at in range(len(heads))]
-    lines = [_line(row, widths, right) for row in (heads, *cells)]
+    right_aligned = [bool(rows) and all(
+        isinstance(row[index], (int, float)) for row in rows)
+        for index in range(len(headers))]
+    lines = [_line(row, widths, right_aligned) for row in (headers, *cells)]
     return "\n".join(lines) + "\n"
 
 
-def _line(row, widths, right):
-    cells = (cell.rjust(width) if to_right else cell.ljust(width)
-             for cell, width, to_right in zip(row, widths, right))
-    return _GAP.join(cells).rstrip()
+def _line(row, widths, right_aligned):
+    cells = (cell.rjust(width) if align_right else cell.ljust(width)
+             for cell, width, align_right in zip(row, widths, right_aligned))
+    return _COLUMN_SEPARATOR.join(cells).rstrip()
 
 
-def moment(unix_s):
-    """Return Unix seconds as a date and time in UTC, ``-`` for 0."""
+def format_time(unix_s):
+    """Format a Unix time as date and time in UTC; 0 becomes ``-``."""
     if not unix_s:
         return "-"
-    when = datetime.datetime.fromtimestamp(
+    time = datetime.datetime.fromtimestamp(
         unix_s, tz=datetime.timezone.utc)
-    return when.strftime("%Y-%m-%d %H:%M:%S")
+    return time.strftime("%Y-%m-%d %H:%M:%S")
--- a/crocuskeel/ctl/tracing.py
+++ b/crocuskeel/ctl/tracing.py
@@ -11,83 +11,86 @@
 from crocuskeel.ctl.results import Failure
 from crocuskeel.ctl.results import Report
 from crocuskeel.ctl import tables
-from crocuskeel.ops import stories
+from crocuskeel.ops import explanations
 from crocuskeel import timeline
 from result import Err
 from result import Ok
 
-__all__ = ["draw", "explain", "parse_time"]
+__all__ = ["explain", "parse_time", "show_timeline"]
 
-_AGO = re.compile(r"^(\d+(?:\.\d+)?)([smh])$")
+_TIME_AGO = re.compile(r"^(\d+(?:\.\d+)?)([smh])$")
 _UNITS = {"s": 1.0, "m": 60.0, "h": 3600.0}
-_MAX_BAD_NAMED = 5
+_MAX_LISTED_LINES = 5
 
 
 async def explain(session, args):
-    """``explain``: the story of one request."""
-    told = _from_entry_logs(session, args)
-    if told is not None:
-        return told
+    """``explain``: what happened to one request."""
+    report = _from_entry_logs(session, args)
+    if report is not None:
+        return report
     if args.file:
-        read, notes = _read_files(session, args.file), ()
+        result, notes = _read_files(session, args.file), ()
     else:
-        read, notes = await _ask_about(session, args.request)
-    if read.is_err():
-        return read
-    found = read.unwrap()
-    notes += _bad_notes(found.bad)
-    story = stories.explain(timeline.merge(found.events), args.request)
-    if story is None:
-        return Err(_no_story(args, notes))
-    body = dataclasses.asdict(story)
-    return Ok(Report(_story(body), body, notes))
+        result, notes = await _fetch_request_events(session, args.request)
+    if result.is_err():
+        return result
+    found = result.unwrap()
+    notes += _invalid_line_notes(found.bad)
+    explanation = explanations.explain(
+        timeline.merge(found.events), args.request)
+    if explanation is None:
+        return Err(_not_found(args, notes))
+    body = dataclasses.asdict(explanation)
+    return Ok(Report(_format_explanation(body), body, notes))
 
 
 def _from_entry_logs(session, args):
-    """Return the story if the files are logs of entry hosts, or None."""
+    """Return the report if the files are logs of entry hosts, or None."""
     texts = [files.read(session, name) for name in args.file]
-    rows, bad = entry_logs.read(
+    rows, invalid = entry_logs.parse(
         [text.unwrap() for text in texts if text.is_ok()])
     found = entry_logs.find(rows, args.request)
     if not found:
         return None
-    notes = (f"{bad} lines could not be read",) if bad else ()
+    notes = (f"{invalid} lines could not be read",) if invalid else ()
     notes += tuple(str(text.unwrap_err()) for text in texts
                    if text.is_err())
-    return Ok(Report(entry_logs.tell(found, args.request), found, notes))
+    return Ok(Report(
+        entry_logs.format_rows(found, args.request), found, notes))
 
 
-def _no_story(args, notes):
-    host = stories.host_of(args.request)
-    taken = f"it was taken by {host}" if host else "is the id whole?"
-    lines = (f"no event of request {args.request}; {taken}", *notes)
+def _not_found(args, notes):
+    host = explanations.host_of(args.request)
+    origin = (f"it was received by {host}" if host
+              else "is the id complete?")
+    lines = (f"no event of request {args.request}; {origin}", *notes)
     return Failure(
         Code.NOT_FOUND, "\n".join(lines),
-        "Rings hold only the last events, and those of a host that is "
-        "gone are gone: read the logs with --file.")
+        "Hosts keep only their most recent events in memory, and lose "
+        "them when they stop: read the logs with --file.")
 
 
-async def _ask_about(session, rid):
-    """Ask all rings for the request, then for what went on meanwhile."""
-    read, notes = await _ask_rings(
+async def _fetch_request_events(session, rid):
+    """Fetch a request's events from all hosts, then context events."""
+    result, notes = await _fetch_events(
         session, timeline.Selection(requests=(rid,)))
-    if read.is_err() or not read.unwrap().events:
-        return read, notes
-    own = read.unwrap()
-    stamps = [event.stamp.ms / 1000 for event in own.events]
-    context, _notes = await _ask_rings(session, timeline.Selection(
-        kinds=stories.context_kinds(), since=min(stamps),
+    if result.is_err() or not result.unwrap().events:
+        return result, notes
+    request_events = result.unwrap()
+    stamps = [event.stamp.ms / 1000 for event in request_events.events]
+    context, _notes = await _fetch_events(session, timeline.Selection(
+        kinds=explanations.context_kinds(), since=min(stamps),
         until=max(stamps)))
     if context.is_err():
-        return Ok(own), notes
-    return Ok(timeline.join((own, context.unwrap()))), notes
+        return Ok(request_events), notes
+    return Ok(timeline.join((request_events, context.unwrap()))), notes
 
 
-def _story(body):
-    end = body["reason"] or "whole answer"
+def _format_explanation(body):
+    end = body["reason"] or "complete response"
     if body["outcome"] == "open":
-        end = "no answer yet"
-    head = (
+        end = "no response yet"
+    heading = (
         f"request {body['rid']}: {end}, outcome {body['outcome']}\n"
         f"class {body['class_name'] or '-'}, tier {body['tier'] or '-'}, "
         f"workspace {body['workspace'] or '-'}, cell "
@@ -95,12 +98,12 @@
         f"{body['generation']}\n"
         f"waited {body['waited_s']:g} s in queues\n")
     if body["hint"]:
-        head += f"what to do: {body['hint']}\n"
-    parts = [head]
+        heading += f"hint: {body['hint']}\n"
+    parts = [heading]
     if body["attempts"]:
         parts.append(tables.table(
             ("ATTEMPT", "ENGINE", "BY", "WAITED S", "SENT", "END"),
-            [_attempt(each) for each in body["attempts"]]))
+            [_attempt_row(each) for each in body["attempts"]]))
     parts.append(tables.table(
         ("AFTER S", "HOST", "WHAT HAPPENED"),
         [(f"{step['after_s']:.3f}", step["host"],
@@ -109,45 +112,45 @@
     return "\n".join(parts)
 
 
-def _attempt(each):
+def _attempt_row(each):
     return (each["number"], each["engine"] or "-", each["rule"] or "-",
             each["waited_s"], "yes" if each["opened"] else "no",
             each["end"] or "-")
 
 
-async def draw(session, args):
-    """``timeline``: events of files, or of live hosts' rings."""
-    wanted = _selection(session, args)
-    if wanted.is_err():
-        return wanted
+async def show_timeline(session, args):
+    """``timeline``: events of files, or recent events of live hosts."""
+    selection = _selection(session, args)
+    if selection.is_err():
+        return selection
     if args.files:
-        read = _read_files(session, args.files)
+        result = _read_files(session, args.files)
         notes = ()
     else:
-        read, notes = await _ask_rings(session, wanted.unwrap())
-    if read.is_err():
-        return read
-    found = read.unwrap()
+        result, notes = await _fetch_events(session, selection.unwrap())
+    if result.is_err():
+        return result
+    found = result.unwrap()
     events = timeline.select(
-        timeline.merge(found.events), wanted.unwrap())
-    notes += _bad_notes(found.bad)
+        timeline.merge(found.events), selection.unwrap())
+    notes += _invalid_line_notes(found.bad)
     if not events:
         return Err(Failure(
             Code.NOT_FOUND, "no events" + "".join(
                 f"\n{note}" for note in notes),
-            "Widen the filters; rings hold only the last events."))
-    return _drawn(session, args, events, found.bad, notes)
+            "Widen the filters; hosts keep only their most recent events."))
+    return _timeline_report(session, args, events, found.bad, notes)
 
 
-def _drawn(session, args, events, bad, notes):
+def _timeline_report(session, args, events, bad, notes):
     data = {"events": [timeline.to_dict(event) for event in events],
             "bad": [str(each) for each in bad]}
     if not args.html:
-        return Ok(Report(timeline.draw_text(events), data, notes))
-    page = timeline.draw_page(events, bad)
+        return Ok(Report(timeline.render_text(events), data, notes))
+    page = timeline.render_page(events, bad)
     written = files.write(session, args.html, page)
     return written.map(lambda name: Report(
-        f"{len(events)} events drawn in {name}\n",
+        f"{len(events)} events written to {name}\n",
         {"html": name, "events": len(events)}, notes))
 
 
@@ -162,39 +165,39 @@
     return Ok(timeline.join(parsed))
 
 
-async def _ask_rings(session, wanted):
-    asked = await fleet.ask_fleet(
-        session.client, "/ops/timeline", _query(wanted))
-    if asked.is_err():
-        return asked, ()
-    found = asked.unwrap()
-    rings = [timeline.parse_ring(answer["events"], host)
-             for host, answer in sorted(found.answers.items())]
-    notes = [f"no answer from {host}: {why}"
-             for host, why in sorted(found.missing.items())]
-    notes += [f"{host}: {answer['left_out']} older events left out"
-              for host, answer in sorted(found.answers.items())
-              if answer["left_out"]]
+async def _fetch_events(session, selection):
+    result = await fleet.request_all(
+        session.client, "/ops/timeline", _query(selection))
+    if result.is_err():
+        return result, ()
+    found = result.unwrap()
+    rings = [timeline.parse_ring(response["events"], host)
+             for host, response in sorted(found.responses.items())]
+    notes = [f"no response from {host}: {reason}"
+             for host, reason in sorted(found.missing.items())]
+    notes += [f"{host}: {response['left_out']} older events left out"
+              for host, response in sorted(found.responses.items())
+              if response["left_out"]]
     return Ok(timeline.join(rings)), tuple(notes)
 
 
-def _query(wanted):
-    query = {"request": wanted.requests, "batch": wanted.batches,
-             "host": wanted.hosts, "kind": wanted.kinds}
+def _query(selection):
+    query = {"request": selection.requests, "batch": selection.batches,
+             "host": selection.hosts, "kind": selection.kinds}
     for name in ("since", "until"):
-        value = getattr(wanted, name)
+        value = getattr(selection, name)
         if value is not None:
             query[name] = repr(value)
     return query
 
 
-def _bad_notes(bad):
+def _invalid_line_notes(bad):
     if not bad:
         return ()
-    named = tuple(str(each) for each in bad[:_MAX_BAD_NAMED])
-    more = len(bad) - len(named)
+    listed = tuple(str(each) for each in bad[:_MAX_LISTED_LINES])
+    more = len(bad) - len(listed)
     rest = (f"and {more} more",) if more else ()
-    return (f"{len(bad)} lines could not be read:", *named, *rest)
+    return (f"{len(bad)} lines could not be read:", *listed, *rest)
 
 
 def _selection(session, args):
@@ -213,10 +216,10 @@
 def parse_time(text, now):
     """Return Ok of Unix seconds or Err(Failure).
 
-    ``text`` is a span ago (``90s``, ``5m``, ``2h``), Unix seconds or an
-    ISO 8601 time, in UTC unless it says otherwise.
+    ``text`` is a time before now (``90s``, ``5m``, ``2h``), Unix seconds
+    or an ISO 8601 time, in UTC unless it has a time zone.
     """
-    ago = _AGO.match(text)
+    ago = _TIME_AGO.match(text)
     if ago:
         return Ok(now - float(ago[1]) * _UNITS[ago[2]])
     try:
@@ -224,11 +227,11 @@
     except ValueError:
         pass
     try:
-        moment = datetime.datetime.fromisoformat(text)
+        time = datetime.datetime.fromisoformat(text)
     except ValueError:
         return Err(Failure(
             Code.USAGE, f"{text!r} is not a time",
             "Examples: 5m (ago), 2026-12-02T18:30:00, 1793000000"))
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=datetime.timezone.utc)
-    return Ok(moment.timestamp())
+    if time.tzinfo is None:
+        time = time.replace(tzinfo=datetime.timezone.utc)
+    return Ok(time.timestamp())
--- a/crocuskeel/ctl/waiting.py
+++ b/crocuskeel/ctl/waiting.py
@@ -1,4 +1,4 @@
-"""Waits until a settings generation is in force on every host."""
+"""Waits until a settings generation is in force on all hosts."""
 
 import dataclasses
 
@@ -11,56 +11,56 @@
 
 __all__ = ["InForce", "wait_in_force"]
 
-POLL_S = 0.25
-DEFAULT_S = 10.0
+POLL_INTERVAL_S = 0.25
+DEFAULT_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """``generation`` is in force on all ``hosts`` that are live."""
+    """``generation`` is in force on ``hosts``, all the live ones."""
 
     generation: int
     hosts: tuple[str, ...]
     waited_s: float
 
 
-async def wait_in_force(session, generation, limit_s=DEFAULT_S):
+async def wait_in_force(session, generation, timeout_s=DEFAULT_TIMEOUT_S):
     """Return Ok(InForce), or Err naming the hosts that are behind.
 
-    A host that does not answer counts as behind until membership
-    calls it dead.
+    A host that does not respond counts as behind until membership
+    declares it dead.
     """
-    began = session.reactor.seconds()
+    started_at = session.reactor.seconds()
     while True:
-        asked = await fleet.ask_fleet(
+        result = await fleet.request_all(
             session.client, "/ops/status", {"brief": "1"})
-        if asked.is_ok():
-            found = asked.unwrap()
+        if result.is_ok():
+            found = result.unwrap()
             behind = _behind(found, generation)
-        waited = session.reactor.seconds() - began
-        if asked.is_ok() and not behind:
-            hosts = tuple(sorted(found.answers))
-            return Ok(InForce(generation, hosts, round(waited, 2)))
-        if waited >= limit_s:
-            return asked if asked.is_err() else Err(
-                _late(generation, behind, limit_s))
-        await task.deferLater(session.reactor, POLL_S)
+        elapsed = session.reactor.seconds() - started_at
+        if result.is_ok() and not behind:
+            hosts = tuple(sorted(found.responses))
+            return Ok(InForce(generation, hosts, round(elapsed, 2)))
+        if elapsed >= timeout_s:
+            return result if result.is_err() else Err(
+                _timeout_failure(generation, behind, timeout_s))
+        await task.deferLater(session.reactor, POLL_INTERVAL_S)
 
 
 def _behind(found, generation):
     behind = {
-        host: f"generation {answer['own']['generation']}"
-        for host, answer in found.answers.items()
-        if answer["own"]["generation"] < generation}
+        host: f"generation {response['own']['generation']}"
+        for host, response in found.responses.items()
+        if response["own"]["generation"] < generation}
     return behind | found.missing
 
 
-def _late(generation, behind, limit_s):
-    lines = [f"  {host}: {why}" for host, why in sorted(behind.items())]
+def _timeout_failure(generation, behind, timeout_s):
+    lines = [f"  {host}: {reason}" for host, reason in sorted(behind.items())]
     return Failure(
         Code.NOT_IN_FORCE,
-        f"generation {generation} is accepted but was not in force "
-        f"everywhere within {limit_s:g} s; behind:\n" + "\n".join(lines),
-        "It is not lost: hosts go on fetching it. Ask again with "
+        f"generation {generation} was accepted but was not in force "
+        f"on all hosts within {timeout_s:g} s; behind:\n" + "\n".join(lines),
+        "It is not lost: the hosts keep trying to fetch it. Check with "
         f"crocuskeelctl settings wait {generation}",
         {"generation": generation, "behind": behind})
--- a/crocuskeel/ops/access.py
+++ b/crocuskeel/ops/access.py
@@ -1,7 +1,7 @@
-"""Who may ask, and who may change: operators' tokens and roles.
+"""Access control of the operator API: tokens and their roles.
 
-A token's roles stand in the settings beside its hash. ``change``
-includes ``read``. A token that only calls has neither.
+The settings store a token's roles next to its hash. ``change``
+includes ``read``. A token that is used only to call services has neither.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
     CHANGE = "change"
 
 
-_ENOUGH = {
+_SUFFICIENT_ROLES = {
     Role.READ: frozenset({Role.READ, Role.CHANGE}),
     Role.CHANGE: frozenset({Role.CHANGE}),
 }
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Denied:
-    """Why an operator is turned away; ``status`` is the HTTP one."""
+    """Why access is denied; ``status`` is the HTTP status code."""
 
     status: int
     code: str
@@ -38,36 +38,36 @@
 
 
 _NO_SETTINGS = Denied(
-    503, "not_ready", "this host has no settings yet, so it knows no "
-    "token; ask another host, or store the first settings with "
+    503, "not_ready", "this host has no settings yet and cannot check "
+    "tokens; ask another host, or store the initial settings with "
     "crocuskeelctl settings init")
-_UNKNOWN = Denied(
-    401, "unauthorized", "no such token in the settings in force")
+_UNKNOWN_TOKEN = Denied(
+    401, "unauthorized", "the settings in force contain no such token")
 
 
 def check(daemon, token_sha256, role):
     """Return Ok of the token's ``conf.CallerIdentity`` or Err(Denied).
 
     ``token_sha256`` is the hex SHA-256 of the bearer token, empty if
-    there was none.
+    the request has none.
     """
     if daemon.follower.tree is None:
         return Err(_NO_SETTINGS)
     identity = follower.caller(daemon, token_sha256)
     if identity is None:
-        return Err(_UNKNOWN)
-    if _ENOUGH[role].isdisjoint(identity.roles):
+        return Err(_UNKNOWN_TOKEN)
+    if _SUFFICIENT_ROLES[role].isdisjoint(identity.roles):
         return Err(_forbidden(identity, role))
     return Ok(identity)
 
 
 def _forbidden(identity, role):
-    has = ", ".join(identity.roles) or "none"
+    roles = ", ".join(identity.roles) or "none"
     return Denied(
-        403, "forbidden", f"{author_of(identity)} has roles {has}; this "
-        f"needs {role}: add it to the token's roles in the settings")
+        403, "forbidden", f"{author_of(identity)} has roles {roles}; this "
+        f"operation needs {role}: add it to the token's roles in the settings")
 
 
 def author_of(identity):
-    """Return the name under which an operator's batches are kept."""
+    """Return the author name that is stored with an operator's batches."""
     return f"{identity.workspace}/{identity.caller}"
--- a/crocuskeel/ops/attainment.py
+++ b/crocuskeel/ops/attainment.py
@@ -1,25 +1,27 @@
 """Attainment of the latency targets by class, from recent events.
 
-Counted over this host's own answers that are still in its ring, by the
-targets of the settings now in force. The long view is statsd's.
+Counts the responses of this host whose events are still in its ring
+buffer, against the targets of the settings now in force. Longer periods
+are covered by the statsd metrics.
 """
 
 import dataclasses
 
 from crocuskeel.core import follower
 
-__all__ = ["ClassLine", "by_class"]
+__all__ = ["ClassAttainment", "by_class"]
 
 ANSWERED = "answered"
 REFUSED = "refused"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClassLine:
-    """One class: whole answers, those in time, and refusals.
+class ClassAttainment:
+    """Counts for one class.
 
-    ``failed`` are answers that ended in a failure after the request may
-    have run.
+    ``answered`` are complete responses, ``attained`` those of them that
+    met both latency targets, ``refused`` requests that did not run, and
+    ``failed`` requests that failed after they may have run.
     """
 
     class_name: str
@@ -30,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Count:
+class _ClassCounts:
     answered: int = 0
     attained: int = 0
     refused: int = 0
@@ -38,7 +40,7 @@
 
 
 def by_class(daemon, events):
-    """Return a :class:`ClassLine` for each class, sorted by name.
+    """Return a :class:`ClassAttainment` for each class, sorted by name.
 
     ``events`` are :class:`crocuskeel.timeline.Event` of this host.
     """
@@ -46,17 +48,18 @@
     for event in events:
         name = event.get("class", "")
         if name and event.kind in (ANSWERED, REFUSED):
-            _count(daemon, counts.setdefault(name, _Count()), event)
+            _count(daemon, counts.setdefault(name, _ClassCounts()), event)
     return tuple(
-        ClassLine(name, count.answered, count.attained, count.refused,
-                  count.failed)
+        ClassAttainment(name, count.answered, count.attained, count.refused,
+                        count.failed)
         for name, count in sorted(counts.items()))
 
 
 def _count(daemon, count, event):
     if event.kind == REFUSED:
-        # A dispatcher's refusal has an "answered" too; only what was
-        # never admitted ends with "refused".
+        # A refusal by a dispatcher (with a cell) is followed by an
+        # "answered" event; "refused" is the final event only of
+        # requests that were never admitted.
         count.refused += 0 if event.get("cell") else 1
     elif not event.get("reason"):
         count.answered += 1
--- a/crocuskeel/ops/binding.py
+++ b/crocuskeel/ops/binding.py
@@ -1,4 +1,4 @@
-"""Binds the operators' routes to a daemon's runtime."""
+"""Connects the operator API's routes to a daemon's runtime."""
 
 from crocuskeel.ops import routes
 from crocuskeel.runtime import loop
@@ -8,10 +8,10 @@
 
 
 def mount(app, ctx):
-    """Mount the routes on the door's app for a runtime context.
+    """Mount the routes on the HTTP app of a runtime context.
 
-    They are more specific than the door's own ``/ops/<name>`` and so
-    are found first.
+    They are more specific than the app's own ``/ops/<name>`` route and
+    therefore match first.
     """
     routes.register(app, routes.Runtime(
         reactor=ctx.reactor,
--- a/crocuskeel/ops/changes.py
+++ b/crocuskeel/ops/changes.py
@@ -1,4 +1,4 @@
-"""An operator's batch: from its JSON to the answer."""
+"""Parses an operator's batch and builds the response to its commit."""
 
 import dataclasses
 import math
@@ -8,27 +8,27 @@
 from crocuskeel.conf import commit
 from crocuskeel.ops import exceptions
 
-__all__ = ["Accepted", "ConflictLine", "FaultLine", "Rejected", "answer",
-           "new_batch"]
+__all__ = ["Accepted", "ConflictDetail", "Rejected",
+           "ValidationError", "new_batch", "new_response"]
 
 MAX_EDITS = 10_000
-_line = dataclasses.dataclass(frozen=True, slots=True)
+_frozen = dataclasses.dataclass(frozen=True, slots=True)
 
 
-@_line
+@_frozen
 class Accepted:
-    """The batch is in the settings as ``generation``."""
+    """The batch was committed as ``generation``."""
 
     generation: int
     batch_id: str
 
 
-@_line
-class ConflictLine:
-    """Two edits of one value, both in their JSON form.
+@_frozen
+class ConflictDetail:
+    """Two conflicting edits of one value, both in their JSON form.
 
-    ``theirs`` was accepted as ``generation`` by ``author``; ``at`` is
-    that author's Unix time.
+    ``theirs`` was committed by ``author`` as ``generation``; ``at`` is
+    the Unix time by that author's clock.
     """
 
     ours: dict[str, typing.Any]
@@ -38,9 +38,9 @@
     at: float
 
 
-@_line
-class FaultLine:
-    """A fault that the batch would make."""
+@_frozen
+class ValidationError:
+    """A validation error that the batch would cause."""
 
     id: str
     path: tuple[str, ...]
@@ -48,7 +48,7 @@
     hint: str
 
 
-@_line
+@_frozen
 class Rejected:
     """The batch was not accepted.
 
@@ -59,33 +59,34 @@
     reason: str
     outcome: str
     detail: str
-    conflicts: tuple[ConflictLine, ...]
-    faults: tuple[FaultLine, ...]
+    conflicts: tuple[ConflictDetail, ...]
+    faults: tuple[ValidationError, ...]
 
 
 def new_batch(body, author):
-    """Return the batch of a JSON body; raises :class:`BadQuery`.
+    """Parse a JSON body into a batch; raise :class:`InvalidQueryError`.
 
     The body has ``base_generation``, ``at`` (the operator's Unix time)
     and ``edits`` (``{"path": [...], "value": ...}`` or
-    ``{"path": [...], "remove": true}``). Its id comes from these and
-    the author, so that the same body sent again, to any host, is the
-    same batch and is never done twice. Whoever sends it again after a
-    lost answer adds ``"resent": true``.
+    ``{"path": [...], "remove": true}``). The batch ID is derived from
+    these and the author, so that the same body sent again, to any host,
+    is the same batch and is committed at most once. A client that sends
+    the body again after a lost response adds ``"resent": true``.
     """
     if not isinstance(body, dict):
-        raise exceptions.BadQuery("batch: not an object")
+        raise exceptions.InvalidQueryError("batch: not a JSON object")
     try:
         edits = tuple(_edit(each) for each in body["edits"])
         at = float(body["at"])
         base = body["base_generation"]
     except (KeyError, TypeError, ValueError) as exc:
-        raise exceptions.BadQuery(f"batch: {exc!r}") from exc
+        raise exceptions.InvalidQueryError(f"batch: {exc!r}") from exc
     if not math.isfinite(at) or type(base) is not int or base < 0:
-        raise exceptions.BadQuery("batch: bad at or base_generation")
+        raise exceptions.InvalidQueryError(
+            "batch: invalid at or base_generation")
     if not 0 < len(edits) <= MAX_EDITS:
-        raise exceptions.BadQuery(
-            f"a batch has 1 to {MAX_EDITS} edits, this one {len(edits)}")
+        raise exceptions.InvalidQueryError(
+            f"a batch has 1 to {MAX_EDITS} edits, this one has {len(edits)}")
     return batches.new_batch(author, at, base, edits)
 
 
@@ -98,19 +99,19 @@
     return batches.decode_edit(body)
 
 
-def answer(batch, ended):
-    """Return what an operator is told of an ended commit."""
-    if isinstance(ended, commit.Done):
-        return Accepted(ended.generation, batch.id)
+def new_response(batch, result):
+    """Return the response to an operator for a finished commit."""
+    if isinstance(result, commit.Done):
+        return Accepted(result.generation, batch.id)
     return Rejected(
-        batch.id, ended.reason.value, ended.outcome.value, ended.detail,
-        tuple(_conflict(each) for each in ended.conflicts),
-        tuple(FaultLine(each.id, each.path, each.fault, each.hint)
-              for each in ended.faults))
+        batch.id, result.reason.value, result.outcome.value, result.detail,
+        tuple(_conflict(each) for each in result.conflicts),
+        tuple(ValidationError(each.id, each.path, each.fault, each.hint)
+              for each in result.faults))
 
 
 def _conflict(conflict):
-    return ConflictLine(
+    return ConflictDetail(
         batches.encode_edit(conflict.ours),
         batches.encode_edit(conflict.theirs),
         conflict.generation, conflict.author, conflict.at)
--- a/crocuskeel/ops/exceptions.py
+++ b/crocuskeel/ops/exceptions.py
@@ -1,11 +1,11 @@
-"""Errors of the operators' interface."""
+"""Exceptions of the operator API."""
 
-__all__ = ["BadQuery", "OpsError"]
+__all__ = ["InvalidQueryError", "OpsError"]
 
 
 class OpsError(Exception):
-    """Base of the operators' interface's own errors."""
+    """Base class of the operator API's exceptions."""
 
 
-class BadQuery(OpsError):
-    """An operator's request can't be understood; the text says why."""
+class InvalidQueryError(OpsError):
+    """An operator's request is invalid; the message says why."""
--- a/crocuskeel/ops/history.py
+++ b/crocuskeel/ops/history.py
@@ -1,4 +1,4 @@
-"""Accepted batches: the log, and the edits that undo one of them."""
+"""The log of committed batches, and the edits that revert one of them."""
 
 import dataclasses
 
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """An accepted batch; ``at`` is its author's Unix time.
+    """A committed batch; ``at`` is the Unix time by its author's clock.
 
     ``edits`` are in their JSON form.
     """
@@ -32,7 +32,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Log:
-    """Newest batches first; ``unread`` could not be had now."""
+    """Batches, newest first.
+
+    ``unread`` lists generations whose batch could not be read now.
+    """
 
     generation: int
     entries: tuple[Entry, ...]
@@ -41,10 +44,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reversal:
-    """The edits, in their JSON form, that undo a generation.
+    """The edits, in their JSON form, that revert a generation.
 
-    A batch of them is to be made on ``base_generation``, so that later
-    edits of the same values show as conflicts and are not lost.
+    They are to be sent as a batch based on ``base_generation``, so that
+    later edits of the same values are reported as conflicts instead of
+    being overwritten.
     """
 
     generation: int
@@ -67,12 +71,12 @@
 
 
 async def reversal(daemon, client, generation):
-    """Return Ok of the :class:`Reversal` or Err of the reason."""
+    """Return Ok of the :class:`Reversal` or Err of an error message."""
     found = [each for each in _recent(daemon)
              if each.generation == generation]
     if not found:
         return Err(f"generation {generation} is not among the last "
-                   f"{storage.RECENT_BATCHES}; undo it by a batch of edits")
+                   f"{storage.RECENT_BATCHES}; revert it by sending edits")
     delta = await _delta(daemon, client, found[0].delta)
     if delta is None:
         return Err(f"the batch of generation {generation} can't be read "
@@ -105,14 +109,14 @@
     part = daemon.follower.deltas.get(digest)
     if part is None and client is not None:
         part = await store.read_part(client, digest)
-    return _decoded(storage.decode_delta, part)
+    return _decode_or_none(storage.decode_delta, part)
 
 
 async def _tree_before(daemon, client, delta):
-    """Return what the batch touched as it was before, None if unread.
+    """Return the tree before a batch, None if it could not be read.
 
-    Only the shards that the batch touched are read: the others can't be
-    part of its reversal.
+    Only the shards that the batch changed are loaded: the others can't
+    be part of its reversal.
     """
     if not delta.parent:
         return conf.empty_tree()
@@ -120,15 +124,15 @@
     if client is None or parent is None:
         return None
     part = await store.read_part(client, parent.index)
-    index = _decoded(storage.decode_index, part)
+    index = _decode_or_none(storage.decode_index, part)
     if index is None:
         return None
-    common = _decoded(conf_parts.decode_part,
-                      await store.read_part(client, index.common))
+    common = _decode_or_none(conf_parts.decode_part,
+                             await store.read_part(client, index.common))
     if common is None:
         return None
     shards = {}
-    for number in _touched(delta.batch):
+    for number in _changed_shards(delta.batch):
         if number in index.shards:
             shard = await store.read_part(client, index.shards[number])
             if shard is None:
@@ -137,13 +141,13 @@
     return trees.load_tree(delta.generation - 1, common, shards)
 
 
-def _touched(batch):
+def _changed_shards(batch):
     return sorted({conf_parts.shard_of(edit.path[1])
                    for edit in batch.edits
                    if edit.path[0] == "workspaces"})
 
 
-def _decoded(decode, part):
+def _decode_or_none(decode, part):
     if part is None:
         return None
     try:
--- a/crocuskeel/ops/overview.py
+++ b/crocuskeel/ops/overview.py
@@ -1,4 +1,4 @@
-"""The state of the fleet as one host knows it."""
+"""The state of the fleet from the point of view of one host."""
 
 import collections
 import dataclasses
@@ -9,15 +9,15 @@
 from crocuskeel.core import placement
 from crocuskeel.ops import attainment
 
-__all__ = ["CellLine", "EngineLine", "HostLine", "OwnLine", "Status",
-           "TierLine", "brief", "status"]
+__all__ = ["CellStatus", "EngineStatus", "HostStatus", "LocalStatus", "Status",
+           "TierStatus", "brief", "status"]
 
-_line = dataclasses.dataclass(frozen=True, slots=True)
+_frozen = dataclasses.dataclass(frozen=True, slots=True)
 
 
-@_line
-class HostLine:
-    """One entry host as membership has it; news of it may lag."""
+@_frozen
+class HostStatus:
+    """One entry host as membership knows it; the data may be out of date."""
 
     host: str
     status: str
@@ -30,32 +30,33 @@
     load: float
 
 
-@_line
-class TierLine:
-    """One tier's attempts in a cell: waiting and running."""
+@_frozen
+class TierStatus:
+    """The numbers of waiting and running attempts of one tier in a cell."""
 
     tier: int
     waiting: int
     running: int
 
 
-@_line
-class CellLine:
-    """One cell; ``tiers`` only from its dispatcher."""
+@_frozen
+class CellStatus:
+    """One cell; ``tiers`` is only set by its dispatcher."""
 
     cell: str
     dispatcher: str
     engines: int
     usable: int
-    tiers: tuple[TierLine, ...] = ()
+    tiers: tuple[TierStatus, ...] = ()
 
 
-@_line
-class EngineLine:
-    """One backend server; counts only from its cell's dispatcher.
+@_frozen
+class EngineStatus:
+    """One backend server.
 
-    ``state`` is ``live``, ``leaving`` or ``off`` (rested after faults).
-    ``in_flight`` is -1 and ``limit`` 0 where another host dispatches.
+    ``state`` is ``live``, ``leaving`` or ``off`` (backed off after
+    failures). Only the dispatcher of the server's cell knows
+    ``in_flight`` and ``limit``; on other hosts they are -1 and 0.
     """
 
     engine: str
@@ -68,11 +69,11 @@
     limit: float = 0.0
 
 
-@_line
-class OwnLine:
-    """What the asked host says of itself.
+@_frozen
+class LocalStatus:
+    """The state of the host that answers the request.
 
-    ``newest`` is the greatest settings generation that it heard of.
+    ``newest`` is the highest settings generation that it knows of.
     """
 
     host: str
@@ -84,35 +85,35 @@
     requests: int
 
 
-@_line
+@_frozen
 class Status:
-    """The whole answer of one host."""
+    """The complete status response of one host."""
 
-    own: OwnLine
-    hosts: tuple[HostLine, ...]
-    cells: tuple[CellLine, ...] = ()
-    engines: tuple[EngineLine, ...] = ()
-    classes: tuple[attainment.ClassLine, ...] = ()
+    own: LocalStatus
+    hosts: tuple[HostStatus, ...]
+    cells: tuple[CellStatus, ...] = ()
+    engines: tuple[EngineStatus, ...] = ()
+    classes: tuple[attainment.ClassAttainment, ...] = ()
 
 
 def brief(daemon, now):
     """Return a :class:`Status` without cells, engines and classes."""
-    return Status(_own(daemon, now), _hosts(daemon))
+    return Status(_local_status(daemon, now), _hosts(daemon))
 
 
 def status(daemon, events, now):
-    """Return the :class:`Status`; ``events`` are those of the ring."""
-    of_cell = _cells_of_engines(daemon)
+    """Return the :class:`Status`; ``events`` are the recent events."""
+    cell_by_engine = _cells_of_engines(daemon)
     return Status(
-        _own(daemon, now), _hosts(daemon), _cells(daemon),
-        tuple(_engine(daemon, backend, of_cell.get(name, ""), now)
+        _local_status(daemon, now), _hosts(daemon), _cells(daemon),
+        tuple(_engine(daemon, backend, cell_by_engine.get(name, ""), now)
               for name, backend in sorted(daemon.backends.known.items())),
         attainment.by_class(daemon, events))
 
 
-def _own(daemon, now):
+def _local_status(daemon, now):
     generation = follower.generation(daemon)
-    return OwnLine(
+    return LocalStatus(
         host=daemon.me.host,
         incarnation=daemon.me.incarnation,
         generation=generation,
@@ -125,7 +126,7 @@
 
 def _hosts(daemon):
     return tuple(
-        HostLine(
+        HostStatus(
             host=each.host, status=_status(daemon, each),
             incarnation=each.incarnation, generation=each.generation,
             domain=each.domain, region=each.region,
@@ -136,7 +137,7 @@
 
 
 def _status(daemon, member):
-    # A planned stop must not look like a crash to who watches it.
+    # A planned stop must not look like a crash to an operator.
     if membership.has_left(daemon, member.host):
         return "left"
     return member.status
@@ -145,16 +146,16 @@
 def _cells(daemon):
     live = membership.live(daemon)
     return tuple(
-        CellLine(
+        CellStatus(
             cell=name, dispatcher=placement.owner(name, live),
             engines=len(engines),
             usable=sum(backends.usable(daemon, engine)
                        for engine in engines),
-            tiers=_tiers(_own_cell(daemon, name)))
+            tiers=_tiers(_dispatched_cell(daemon, name)))
         for name, engines in sorted(daemon.backends.cells.items()))
 
 
-def _own_cell(daemon, name):
+def _dispatched_cell(daemon, name):
     cell = daemon.dispatch.cells.get(name)
     return cell if cell is not None and cell.lost_at is None else None
 
@@ -167,7 +168,7 @@
         for each in group.values())
     running = collections.Counter(
         slot.tier for slot in cell.running.values())
-    return tuple(TierLine(tier, waiting[tier], running[tier])
+    return tuple(TierStatus(tier, waiting[tier], running[tier])
                  for tier in sorted(waiting | running))
 
 
@@ -178,16 +179,16 @@
 
 def _engine(daemon, backend, cell_name, now):
     view = daemon.dispatch.engines.get(backend.name)
-    cell = _own_cell(daemon, cell_name)
-    return EngineLine(
+    cell = _dispatched_cell(daemon, cell_name)
+    return EngineStatus(
         engine=backend.name, service=backend.service, cell=cell_name,
         domain=backend.domain, kind=backend.kind,
         state=_engine_state(daemon, backend.name, view, now),
-        in_flight=-1 if cell is None else _running_on(cell, backend.name),
+        in_flight=-1 if cell is None else _running_count(cell, backend.name),
         limit=0.0 if cell is None or view is None else view.limit)
 
 
-def _running_on(cell, name):
+def _running_count(cell, name):
     return len(cell.by_engine.get(name, ()))
 
 
--- a/crocuskeel/ops/ring.py
+++ b/crocuskeel/ops/ring.py
@@ -1,23 +1,24 @@
-"""Questions to a host's ring of recent events."""
+"""Queries of a host's ring buffer of recent events."""
 
 import dataclasses
 
 from crocuskeel.ops import exceptions
 from crocuskeel import timeline
 
-__all__ = ["MAX_EVENTS", "RingAnswer", "query", "selection"]
+__all__ = ["MAX_EVENTS", "RecentEvents", "parse_selection", "query"]
 
 MAX_EVENTS = 10_000
-_LISTS = {"request": "requests", "batch": "batches", "host": "hosts",
-          "kind": "kinds"}
-_TIMES = ("since", "until")
+_LIST_ARGUMENTS = {"request": "requests", "batch": "batches",
+                   "host": "hosts", "kind": "kinds"}
+_TIME_ARGUMENTS = ("since", "until")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RingAnswer:
+class RecentEvents:
     """Events in their JSON form, oldest first.
 
-    ``left_out`` counts older ones that matched but are over the limit.
+    ``left_out`` counts the older events that matched but exceed the
+    limit.
     """
 
     host: str
@@ -25,31 +26,33 @@
     left_out: int = 0
 
 
-def selection(args):
-    """Return the ``timeline.Selection`` of a query's arguments.
+def parse_selection(args):
+    """Parse query arguments into a ``timeline.Selection``.
 
-    ``args`` maps a name to its values; raises :class:`BadQuery`.
+    ``args`` maps a name to its values. Raises
+    :class:`InvalidQueryError` for an invalid time.
     """
-    parts = {part: tuple(args.get(name, ()))
-             for name, part in _LISTS.items()}
-    for name in _TIMES:
+    criteria = {field: tuple(args.get(name, ()))
+                for name, field in _LIST_ARGUMENTS.items()}
+    for name in _TIME_ARGUMENTS:
         values = args.get(name, ())
-        parts[name] = _seconds(name, values[0]) if values else None
-    return timeline.Selection(**parts)
+        criteria[name] = _parse_seconds(name, values[0]) if values else None
+    return timeline.Selection(**criteria)
 
 
-def _seconds(name, text):
+def _parse_seconds(name, text):
     try:
         return float(text)
     except ValueError as exc:
-        raise exceptions.BadQuery(f"{name}: not Unix seconds") from exc
+        raise exceptions.InvalidQueryError(
+            f"{name}: not a Unix time in seconds") from exc
 
 
-def query(host, events, wanted, limit=MAX_EVENTS):
-    """Return the newest events that ``wanted`` keeps."""
-    found = timeline.select(events, wanted)
+def query(host, events, selection, limit=MAX_EVENTS):
+    """Return the newest events that match ``selection``."""
+    found = timeline.select(events, selection)
     limit = max(1, min(limit, MAX_EVENTS))
     newest = found[-limit:]
-    return RingAnswer(
+    return RecentEvents(
         host, tuple(timeline.to_dict(event) for event in newest),
         len(found) - len(newest))
--- a/crocuskeel/ops/routes.py
+++ b/crocuskeel/ops/routes.py
@@ -1,7 +1,7 @@
-"""The operators' HTTP interface of a daemon, under ``/ops/``.
+"""The operator API of a daemon over HTTP, under ``/ops/``.
 
-Answers are JSON; refusals are problem details (RFC 9457) with a
-``code``. Every route needs an operator's token, and its role.
+Responses are JSON; errors are problem details (RFC 9457) with a
+``code``. Every route requires an operator's token that has its role.
 """
 
 import dataclasses
@@ -16,30 +16,30 @@
 from crocuskeel.ops import access
 from crocuskeel.ops import changes
 from crocuskeel.ops import exceptions
+from crocuskeel.ops import explanations
 from crocuskeel.ops import history
 from crocuskeel.ops import overview
 from crocuskeel.ops import ring as rings
 from crocuskeel.ops import store
-from crocuskeel.ops import stories
 from crocuskeel.ops import values as settings
 from crocuskeel.runtime import parsing
 from crocuskeel import timeline
 
 __all__ = ["Runtime", "register"]
 
-LOG_LIMIT = 20
+DEFAULT_LOG_LIMIT = 20
 _JSON = "application/json"
 _PROBLEM = "application/problem+json"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Runtime:
-    """What the routes need of a daemon's runtime.
+    """The parts of a daemon's runtime that the routes use.
 
     ``ring()`` returns the recent events in their JSON form, oldest
-    first; ``feed(event)`` reduces a core event; ``record(effect)``
-    writes a ``Record`` to the time line; ``platform()`` returns the
-    platform client or None.
+    first; ``feed(event)`` passes an event to the core's reducer;
+    ``record(effect)`` writes a ``Record`` to the timeline;
+    ``platform()`` returns the platform client or None.
     """
 
     reactor: typing.Any
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Problem:
-    """A refusal: HTTP status, stable code, words for people."""
+    """An error response: HTTP status, stable code and description."""
 
     status: int
     code: str
@@ -60,8 +60,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Ask:
-    """One operator's request."""
+class _Request:
+    """An authorized operator's request."""
 
     req: typing.Any
     author: str
@@ -72,14 +72,14 @@
         return self.args().get(name, [default])[0]
 
     def args(self):
-        """Return all query arguments, a list of values a name."""
+        """Return all query arguments as lists of values by name."""
         return {name.decode("latin-1"): [value.decode("latin-1")
                                          for value in values]
                 for name, values in self.req.args.items()}
 
 
 def register(app, runtime):
-    """Mount the routes on a klein app; ``runtime``: Runtime."""
+    """Mount the routes for a :class:`Runtime` on a klein app."""
     read, change = access.Role.READ, access.Role.CHANGE
     for path, method, role, handler in (
             ("/ops/status", "GET", read, _status),
@@ -100,28 +100,28 @@
         checked = access.check(
             runtime.daemon, parsing.token_hash(req), role)
         if checked.is_err():
-            return _write(req, _denied(checked.unwrap_err()))
+            return _write_response(req, _access_problem(checked.unwrap_err()))
         author = access.author_of(checked.unwrap())
         try:
-            reply = await handler(runtime, _Ask(req, author, name))
-        except exceptions.BadQuery as exc:
-            reply = _Problem(400, "bad_request", str(exc))
+            response = await handler(runtime, _Request(req, author, name))
+        except exceptions.InvalidQueryError as exc:
+            response = _Problem(400, "bad_request", str(exc))
         except Exception:
-            logger.exception("operators' request failed: {}", path)
-            reply = _Problem(500, "fault", "see the daemon's log")
-        return _write(req, reply)
+            logger.exception("operator request failed: {}", path)
+            response = _Problem(500, "fault", "see the daemon's log")
+        return _write_response(req, response)
 
 
-def _denied(denied):
+def _access_problem(denied):
     return _Problem(denied.status, denied.code, denied.detail)
 
 
-def _write(req, reply):
-    body = dataclasses.asdict(reply)
-    kind = _PROBLEM if isinstance(reply, _Problem) else _JSON
-    if isinstance(reply, _Problem):
-        req.setResponseCode(reply.status)
-    elif isinstance(reply, changes.Rejected):
+def _write_response(req, response):
+    body = dataclasses.asdict(response)
+    kind = _PROBLEM if isinstance(response, _Problem) else _JSON
+    if isinstance(response, _Problem):
+        req.setResponseCode(response.status)
+    elif isinstance(response, changes.Rejected):
         req.setResponseCode(409)
     req.setHeader("Content-Type", kind)
     return json.dumps(body).encode()
@@ -132,40 +132,41 @@
     return timeline.merge(parsed.events)
 
 
-def _count(ask, name, default):
-    text = ask.arg(name, str(default))
+def _parse_count(request, name, default):
+    text = request.arg(name, str(default))
     if not text.isdecimal():
-        raise exceptions.BadQuery(f"{name}: not a count")
+        raise exceptions.InvalidQueryError(
+            f"{name}: not a non-negative integer")
     return int(text)
 
 
-async def _status(runtime, ask):
+async def _status(runtime, request):
     now = runtime.reactor.seconds()
-    if ask.arg("brief"):
+    if request.arg("brief"):
         return overview.brief(runtime.daemon, now)
     return overview.status(runtime.daemon, _events(runtime), now)
 
 
-async def _explain(runtime, ask):
-    story = stories.explain(_events(runtime), ask.name)
-    if story is not None:
-        return story
-    host = stories.host_of(ask.name)
+async def _explain(runtime, request):
+    explanation = explanations.explain(_events(runtime), request.name)
+    if explanation is not None:
+        return explanation
+    host = explanations.host_of(request.name)
     return _Problem(
-        404, "not_found", f"no event of request {ask.name} in the ring of "
-        f"{runtime.daemon.me.host}; it was taken by "
-        f"{host or 'no host (is the id whole?)'}")
+        404, "not_found", f"no recent event of request {request.name} on host "
+        f"{runtime.daemon.me.host}; the request was received by "
+        f"{host or 'an unknown host (is the id complete?)'}")
 
 
-async def _timeline(runtime, ask):
-    wanted = rings.selection(ask.args())
-    limit = _count(ask, "limit", rings.MAX_EVENTS)
+async def _timeline(runtime, request):
+    selection = rings.parse_selection(request.args())
+    limit = _parse_count(request, "limit", rings.MAX_EVENTS)
     return rings.query(
-        runtime.daemon.me.host, _events(runtime), wanted, limit)
+        runtime.daemon.me.host, _events(runtime), selection, limit)
 
 
-async def _values(runtime, ask):
-    workspace, name = ask.arg("workspace"), ask.arg("class")
+async def _values(runtime, request):
+    workspace, name = request.arg("workspace"), request.arg("class")
     found = settings.values(
         runtime.daemon.follower.tree, workspace, name)
     if found is not None:
@@ -175,68 +176,69 @@
         f"{name!r} in generation {runtime.daemon.follower.tree.generation}")
 
 
-async def _document(runtime, ask):
-    workspace = ask.arg("workspace")
+async def _document(runtime, request):
+    workspace = request.arg("workspace")
     found = settings.document(runtime.daemon.follower.tree, workspace)
     if found is not None:
         return found
     return _Problem(404, "not_found", f"no workspace {workspace!r}")
 
 
-async def _log(runtime, ask):
-    limit = _count(ask, "limit", LOG_LIMIT)
+async def _log(runtime, request):
+    limit = _parse_count(request, "limit", DEFAULT_LOG_LIMIT)
     return await history.log(runtime.daemon, runtime.platform(), limit)
 
 
-async def _reversal(runtime, ask):
-    if not ask.name.isdecimal():
-        raise exceptions.BadQuery("generation: not a number")
+async def _reversal(runtime, request):
+    if not request.name.isdecimal():
+        raise exceptions.InvalidQueryError("generation: not a number")
     found = await history.reversal(
-        runtime.daemon, runtime.platform(), int(ask.name))
+        runtime.daemon, runtime.platform(), int(request.name))
     if found.is_ok():
         return found.unwrap()
     return _Problem(404, "not_found", found.unwrap_err())
 
 
-async def _batch(runtime, ask):
+async def _batch(runtime, request):
     try:
-        body = json.loads(ask.req.content.read())
+        body = json.loads(request.req.content.read())
     except ValueError as exc:
-        raise exceptions.BadQuery(f"the body is no JSON: {exc}") from exc
-    batch = changes.new_batch(body, ask.author)
+        raise exceptions.InvalidQueryError(
+            f"the body is not JSON: {exc}") from exc
+    batch = changes.new_batch(body, request.author)
     client = runtime.platform()
     if client is None:
-        return _Problem(503, "no_platform", "this host has no platform; "
-                        "ask another host")
-    ended = await store.run_commit(
+        return _Problem(503, "no_platform", "this host has no platform "
+                        "client; ask another host")
+    result = await store.run_commit(
         runtime.reactor, client, batch, runtime.daemon.follower.tree,
         resent=bool(body.get("resent")))
-    runtime.record(_committed(batch, ended))
-    return changes.answer(batch, ended)
+    runtime.record(_commit_record(batch, result))
+    return changes.new_response(batch, result)
 
 
-def _committed(batch, ended):
+def _commit_record(batch, result):
     fields = [("batch", batch.id), ("author", batch.author),
               ("edits", len(batch.edits))]
-    if isinstance(ended, commit.Done):
-        fields.append(("to", ended.generation))
+    if isinstance(result, commit.Done):
+        fields.append(("to", result.generation))
         return effects.Record("settings_committed", "", tuple(fields))
-    fields.append(("reason", ended.reason.value))
+    fields.append(("reason", result.reason.value))
     return effects.Record("settings_rejected", "", tuple(fields))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Draining:
-    """The asked host has begun to drain."""
+class _DrainStarted:
+    """The host has begun to drain."""
 
     host: str
     requests: int
 
 
-async def _drain(runtime, ask):
+async def _drain(runtime, request):
     daemon = runtime.daemon
     runtime.record(effects.Record(
-        "drain_asked", "", (("author", ask.author),)))
-    # An idle host exits at once: the answer has to be written first.
+        "drain_asked", "", (("author", request.author),)))
+    # An idle host exits at once, so the response is written first.
     runtime.reactor.callLater(0, runtime.feed, events.DrainAsked())
-    return _Draining(daemon.me.host, len(daemon.door.requests))
+    return _DrainStarted(daemon.me.host, len(daemon.door.requests))
--- a/crocuskeel/ops/store.py
+++ b/crocuskeel/ops/store.py
@@ -1,8 +1,8 @@
-"""Carries out the operations of a commit on the Object API.
+"""Executes the steps of a commit on the Object API.
 
-The commit itself is pure (``crocuskeel.conf.commit``); this maps its
-operations to calls of the platform client and their results back, with
-a bound on the whole and a back-off between failed answers.
+The commit itself does no I/O (``crocuskeel.conf.commit``). This module
+maps its steps to calls of the platform client and the results back,
+with a timeout for the whole commit and a back-off after failures.
 """
 
 from crocuskeel import conf
@@ -11,48 +11,50 @@
 from crocuskeel import objectapi
 from twisted.internet import task
 
-__all__ = ["COMMIT_S", "read_part", "run_commit"]
+__all__ = ["COMMIT_TIMEOUT_S", "read_part", "run_commit"]
 
-COMMIT_S = 12.0
+COMMIT_TIMEOUT_S = 12.0
 BACKOFF_S = 0.1
 BACKOFF_MAX_S = 1.6
 _FAILED = (commit.StoreFailed, commit.OutcomeUnknown)
 
 
 async def run_commit(reactor, client, batch, tree, resent,
-                     limit_s=COMMIT_S):
+                     timeout_s=COMMIT_TIMEOUT_S):
     """Commit a batch; return ``commit.Done`` or ``commit.Refused``.
 
-    ``client`` is a platform client, ``tree`` the newest generation at
-    hand; ``resent`` says that another host may have begun to commit the
-    same batch. Takes at most about ``limit_s`` seconds and one call.
+    ``client`` is a platform client, ``tree`` the newest generation that
+    is known here; ``resent`` says that another host may have begun to
+    commit the same batch. Takes at most about ``timeout_s`` seconds plus
+    the duration of one call.
     """
-    ends = reactor.seconds() + limit_s
+    deadline = reactor.seconds() + timeout_s
     wait_s = BACKOFF_S
     state, step = commit.new_commit(batch, tree, resent=resent)
     while not isinstance(step, (commit.Done, commit.Refused)):
-        if reactor.seconds() >= ends:
-            return _out_of_time(state)
-        answer = await _carry_out(client, step)
-        if isinstance(answer, _FAILED):
+        if reactor.seconds() >= deadline:
+            return _timed_out(state)
+        result = await _execute(client, step)
+        if isinstance(result, _FAILED):
             await task.deferLater(reactor, wait_s)
             wait_s = min(BACKOFF_MAX_S, 2 * wait_s)
-        state, step = commit.commit_step(state, answer)
+        state, step = commit.commit_step(state, result)
     return step
 
 
-def _out_of_time(state):
-    # A head write without an answer may still take effect: to call the
-    # batch "not applied" would make its author send it under a new id.
+def _timed_out(state):
+    # A head write whose response is missing may still take effect: if the
+    # batch were reported as not applied, its author would send it again
+    # under a new ID.
     settled = state.pending is None
     outcome = (commit.Outcome.NOT_APPLIED if settled
                else commit.Outcome.UNKNOWN)
     return commit.Refused(
         commit.Reason.STORE_UNAVAILABLE, outcome,
-        detail="the Object API gave no answer in time")
+        detail="the Object API did not respond in time")
 
 
-async def _carry_out(client, step):
+async def _execute(client, step):
     match step:
         case commit.ReadHead():
             return await _read_head(client)
@@ -78,7 +80,7 @@
 
 
 async def read_part(client, digest):
-    """Return the stored part of that digest, None if it can't be had."""
+    """Return the stored part with a digest, None if it can't be read."""
     match await client.get(storage.part_key(digest)):
         case objectapi.Found(body=body):
             return conf.Part(digest, body)
@@ -90,8 +92,8 @@
         key = storage.part_key(part.digest)
         match await client.create(key, part.blob):
             case objectapi.Written() | objectapi.Conflict():
-                # A part is named by its content: one that is there
-                # already is the same.
+                # A part's key is the digest of its content, so an
+                # existing object has the same content.
                 continue
             case objectapi.WriteUnknown():
                 return commit.OutcomeUnknown()
--- a/crocuskeel/ops/values.py
+++ b/crocuskeel/ops/values.py
@@ -1,4 +1,4 @@
-"""Reading the settings in force: values with their origin, documents."""
+"""Reads the settings in force: values with their origin, and documents."""
 
 import dataclasses
 import typing
@@ -13,9 +13,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Value:
-    """One key of a class: what holds, and where it was set.
+    """The value of one key of a class, and where it was set.
 
-    ``layer`` is a ``conf.Layer`` value; ``path`` is empty if built in.
+    ``layer`` is a ``conf.Layer`` value; ``path`` is empty for a built-in
+    default.
     """
 
     key: str
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """Settings as stored: the whole, or one workspace's overrides."""
+    """Stored settings: the whole document, or one workspace's overrides."""
 
     generation: int
     document: dict[str, typing.Any]
--- a/crocuskeel/timeline/event.py
+++ b/crocuskeel/timeline/event.py
@@ -1,14 +1,14 @@
-"""One event of the time line, and its JSON form.
+"""One event of the timeline, and its JSON form.
 
-The JSON form is what daemons write, a line each, and what their rings
-hold: an object with the keys ``ts``, ``hlc`` (``[ms, count]``),
-``host``, ``incarnation``, ``generation``, ``kind``, ``rid``, ``batch``
-and ``fields`` (name to str, int, float or bool). ``rid``, ``batch``,
-``generation``, ``incarnation`` and ``fields`` may be left out; a
-``batch`` among the fields counts as the event's own.
+Daemons write the JSON form to their log, one event a line, and keep it
+in their ring buffers. It is an object with the keys ``ts``, ``hlc``
+(``[ms, count]``), ``host``, ``incarnation``, ``generation``, ``kind``,
+``rid``, ``batch`` and ``fields`` (name to str, int, float or bool).
+``rid``, ``batch``, ``generation``, ``incarnation`` and ``fields`` are
+optional; a ``batch`` field is used where the key ``batch`` is absent.
 
-Lines of the program's own log (kind ``log``) stand in the same files.
-They have no ``hlc``: their place is by the host's own clock, and their
+The same files contain the program's log messages (kind ``log``). They
+have no ``hlc``: they are ordered by the host's own clock, and their
 other keys become fields.
 """
 
@@ -24,16 +24,17 @@
            "to_line"]
 
 Value = str | int | float | bool
-_LOG = "log"
-_SCALARS = (str, int, float, bool)
+_LOG_KIND = "log"
+_SCALAR_TYPES = (str, int, float, bool)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """What one process saw or did.
+    """Something that one process observed or did.
 
-    ``ts`` is Unix seconds by the host's own clock; ``stamp`` orders
-    events of all hosts; ``fields`` are name and value pairs.
+    ``ts`` is the Unix time in seconds by the host's own clock; ``stamp``
+    orders the events of all hosts; ``fields`` are pairs of name and
+    value.
     """
 
     ts: float
@@ -67,15 +68,15 @@
 
 
 def to_line(event):
-    """Return the JSON form of an event as one line without its end."""
+    """Return the JSON form of an event as one line without a newline."""
     return json.dumps(to_dict(event), separators=(",", ":"))
 
 
 def from_dict(body):
-    """Return the event of a JSON form; raises :class:`BadEvent`."""
+    """Parse a JSON form; raise :class:`InvalidEventError` if it is invalid."""
     if not isinstance(body, dict):
-        raise exceptions.BadEvent("not an object")
-    if body.get("kind") == _LOG and "hlc" not in body:
+        raise exceptions.InvalidEventError("not a JSON object")
+    if body.get("kind") == _LOG_KIND and "hlc" not in body:
         body = _log_body(body)
     try:
         fields = _fields(body.get("fields") or {})
@@ -91,35 +92,36 @@
             fields=fields,
         )
     except KeyError as exc:
-        raise exceptions.BadEvent(f"no key {exc.args[0]!r}") from exc
+        raise exceptions.InvalidEventError(
+            f"missing key {exc.args[0]!r}") from exc
     except (TypeError, ValueError, OverflowError) as exc:
-        raise exceptions.BadEvent(str(exc)) from exc
+        raise exceptions.InvalidEventError(str(exc)) from exc
 
 
 def from_line(line):
-    """Return the event of one line; raises :class:`BadEvent`."""
+    """Parse one line; raise :class:`InvalidEventError` if it is invalid."""
     try:
         body = json.loads(line)
     except (ValueError, RecursionError) as exc:
-        raise exceptions.BadEvent(f"not JSON: {exc}") from exc
+        raise exceptions.InvalidEventError(f"not JSON: {exc}") from exc
     return from_dict(body)
 
 
 def _log_body(body):
     ms = int(_seconds(body) * 1000)
-    kept = ("ts", "host", "kind", "incarnation", "generation")
+    standard_keys = ("ts", "host", "kind", "incarnation", "generation")
     return {
         "hlc": (ms, 0),
         "fields": {name: value for name, value in body.items()
-                   if name not in kept},
-        **{name: body[name] for name in kept if name in body},
+                   if name not in standard_keys},
+        **{name: body[name] for name in standard_keys if name in body},
     }
 
 
 def _seconds(body):
     ts = body.get("ts")
     if not isinstance(ts, (int, float)) or not math.isfinite(ts):
-        raise exceptions.BadEvent("'ts' is not a time")
+        raise exceptions.InvalidEventError("'ts' is not a finite number")
     return ts
 
 
@@ -131,17 +133,18 @@
 def _text(body, key):
     value = body[key]
     if not isinstance(value, str) or not value:
-        raise exceptions.BadEvent(f"{key!r} is not a name")
+        raise exceptions.InvalidEventError(
+            f"{key!r} is not a non-empty string")
     return value
 
 
 def _fields(body):
     if not isinstance(body, dict):
-        raise exceptions.BadEvent("'fields' is not an object")
+        raise exceptions.InvalidEventError("'fields' is not a JSON object")
     return tuple((name, _scalar(value)) for name, value in body.items())
 
 
 def _scalar(value):
-    if isinstance(value, _SCALARS):
+    if isinstance(value, _SCALAR_TYPES):
         return value
     return json.dumps(value)
--- a/crocuskeel/timeline/exceptions.py
+++ b/crocuskeel/timeline/exceptions.py
@@ -1,11 +1,11 @@
-"""Errors of the time line's parsing."""
+"""Exceptions of the timeline's parser."""
 
-__all__ = ["BadEvent", "TimelineError"]
+__all__ = ["InvalidEventError", "TimelineError"]
 
 
 class TimelineError(Exception):
-    """Base of the time line's own errors."""
+    """Base class of the timeline's exceptions."""
 
 
-class BadEvent(TimelineError):
-    """A line or object that is no event; the text says why."""
+class InvalidEventError(TimelineError):
+    """A line or object is not a valid event; the message says why."""
--- a/crocuskeel/timeline/merging.py
+++ b/crocuskeel/timeline/merging.py
@@ -1,4 +1,4 @@
-"""One order over events of all processes, and selections from it."""
+"""Orders the events of all processes, and filters them."""
 
 import dataclasses
 
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Selection:
-    """Which events to keep; an empty or None part keeps all.
+    """A filter for events; an empty or None field matches all.
 
-    ``kinds`` match by prefix, so that ``claim`` takes every kind of the
-    claims. ``since`` and ``until`` are Unix seconds, by the hybrid
-    clock, which all hosts share.
+    ``kinds`` are prefixes, so that ``claim`` matches every kind of event
+    about claims. ``since`` and ``until`` are Unix times in seconds by the
+    hybrid clock, whose order is the same on all hosts.
     """
 
     requests: tuple[str, ...] = ()
@@ -24,36 +24,38 @@
     until: float | None = None
 
     def matches(self, event):
-        """Tell whether an event is to be kept."""
+        """Tell whether an event matches."""
         ts = event.stamp.ms / 1000
         return (
-            _named(event.rid, self.requests)
-            and _named(event.batch, self.batches)
-            and _named(event.host, self.hosts)
+            _matches_any(event.rid, self.requests)
+            and _matches_any(event.batch, self.batches)
+            and _matches_any(event.host, self.hosts)
             and (not self.kinds or event.kind.startswith(self.kinds))
             and (self.since is None or ts >= self.since)
             and (self.until is None or ts <= self.until))
 
 
-def _named(value, wanted):
+def _matches_any(value, wanted):
     return not wanted or value in wanted
 
 
-def _order(event):
-    # Stamps of two hosts may be equal only if neither caused the other.
+def _sort_key(event):
+    # Events of two hosts have equal stamps only if neither caused the
+    # other, so either order is valid.
     return (event.stamp, event.host, event.incarnation)
 
 
 def merge(found: tuple[events.Event, ...]):
-    """Return events in the order of cause, each once.
+    """Return events in causal order without duplicates.
 
-    A host's file and its ring hold the same events; a process never
-    gives a stamp twice, so host, incarnation and stamp name an event.
+    A host's log file and its ring buffer contain the same events; a
+    process never issues a stamp twice, so host, incarnation and stamp
+    identify an event.
     """
-    unique = {(_order(event), event.kind): event for event in found}
-    return tuple(sorted(unique.values(), key=_order))
+    unique = {(_sort_key(event), event.kind): event for event in found}
+    return tuple(sorted(unique.values(), key=_sort_key))
 
 
 def select(found, selection):
-    """Return the events that a selection keeps, in their order."""
+    """Return the events that match a selection, in the same order."""
     return tuple(event for event in found if selection.matches(event))
--- a/crocuskeel/timeline/page.py
+++ b/crocuskeel/timeline/page.py
@@ -1,7 +1,8 @@
-"""The time line as one HTML page that needs nothing else.
+"""Renders the timeline as one self-contained HTML page.
 
-The page holds its events as JSON and draws them itself, so that its
-filters can lay out anew. Its content policy allows no network at all.
+The page contains its events as JSON and renders them by script, so that
+its filters can render them again. Its content security policy forbids all
+network access.
 """
 
 from importlib import resources
@@ -10,36 +11,37 @@
 from crocuskeel.timeline import event as events
 from crocuskeel.timeline import text
 
-__all__ = ["draw_page"]
+__all__ = ["render_page"]
 
 _TEMPLATE = "page.html"
-_DATA = "/*EVENTS*/"
+_EVENTS_PLACEHOLDER = "/*EVENTS*/"
 
 
-def draw_page(found, bad=()):
-    """Return events, already in order, as the text of an HTML page.
+def render_page(found, bad=()):
+    """Return events, already in order, as an HTML page.
 
-    ``bad`` are the lines that could not be read; the page counts them.
+    ``bad`` are the invalid lines; the page shows how many there are.
     """
     body = {
-        "events": [_row(event, news) for event, news
-                   in zip(found, text.new_fields(found))],
+        "events": [_row(event, changed_fields) for event, changed_fields
+                   in zip(found, text.changed_fields(found))],
         "bad": [str(each) for each in bad],
     }
     template = resources.files(__package__).joinpath(_TEMPLATE)
     page = template.read_text(encoding="utf-8")
-    return page.replace(_DATA, _script_json(body))
+    return page.replace(_EVENTS_PLACEHOLDER, _script_json(body))
 
 
-def _row(event, news):
+def _row(event, changed_fields):
     row = events.to_dict(event)
-    row["at"] = text.clock_text(event.stamp.ms)
-    row["text"] = news
+    row["at"] = text.format_time_of_day(event.stamp.ms)
+    row["text"] = changed_fields
     return row
 
 
 def _script_json(body):
-    # A field with "</script>" would end the data and run as markup.
+    # A field with "</script>" would end the data block and be parsed as
+    # markup.
     return (json.dumps(body, separators=(",", ":"))
             .replace("<", "\\u003c").replace(">", "\\u003e")
             .replace("&", "\\u0026"))
--- a/crocuskeel/timeline/reading.py
+++ b/crocuskeel/timeline/reading.py
@@ -1,8 +1,9 @@
-"""Reading events from JSON lines and rings; bad lines are counted.
+"""Reads events from JSON lines and ring buffers; collects invalid lines.
 
-A process that is killed leaves half a line, and a log shipper may cut
-or mix lines. One bad line must not hide the thousands of good ones, so
-each is named by source and line and the rest is read.
+A process that is killed leaves an incomplete line, and a log shipper may
+truncate or interleave lines. One invalid line must not hide thousands of
+valid ones, so it is reported by source and line number and the rest is
+read.
 """
 
 import dataclasses
@@ -10,59 +11,59 @@
 from crocuskeel.timeline import event as events
 from crocuskeel.timeline import exceptions
 
-__all__ = ["BadLine", "Parsed", "join", "parse_lines", "parse_ring"]
+__all__ = ["InvalidLine", "Parsed", "join", "parse_lines", "parse_ring"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BadLine:
-    """A line that is no event; ``line`` counts from 1."""
+class InvalidLine:
+    """A line that is not a valid event; ``line`` starts at 1."""
 
     source: str
     line: int
-    why: str
+    reason: str
 
     def __str__(self):
-        return f"{self.source}:{self.line}: {self.why}"
+        return f"{self.source}:{self.line}: {self.reason}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Parsed:
-    """Events in the order read, and what could not be read."""
+    """Events in the order read, and the invalid lines."""
 
     events: tuple[events.Event, ...]
-    bad: tuple[BadLine, ...] = ()
+    bad: tuple[InvalidLine, ...] = ()
 
 
 def parse_lines(lines, source):
     """Read events from an iterable of text lines.
 
-    ``source`` is the file's name in :class:`BadLine`. Empty lines are
-    skipped.
+    ``source`` is the file name for :class:`InvalidLine`. Empty lines
+    are skipped.
     """
-    kept = ((at, line) for at, line in enumerate(lines, start=1)
-            if line.strip())
-    return _parse(kept, source, events.from_line)
+    non_empty = ((number, line) for number, line in enumerate(lines, start=1)
+                 if line.strip())
+    return _parse(non_empty, source, events.from_line)
 
 
 def parse_ring(ring, source):
-    """Read events from JSON forms, such as a live host's ring."""
+    """Read events from JSON forms, such as a host's ring buffer."""
     return _parse(enumerate(ring, start=1), source, events.from_dict)
 
 
-def join(parsed):
-    """Put what was read from several sources together, in no order."""
-    parsed = tuple(parsed)
+def join(results):
+    """Concatenate the results of several sources, without ordering."""
+    results = tuple(results)
     return Parsed(
-        tuple(event for each in parsed for event in each.events),
-        tuple(bad for each in parsed for bad in each.bad))
+        tuple(event for each in results for event in each.events),
+        tuple(bad for each in results for bad in each.bad))
 
 
-def _parse(numbered, source, read):
-    good = []
+def _parse(numbered, source, parse):
+    valid = []
     bad = []
-    for at, item in numbered:
+    for number, item in numbered:
         try:
-            good.append(read(item))
-        except exceptions.BadEvent as exc:
-            bad.append(BadLine(source, at, str(exc)))
-    return Parsed(tuple(good), tuple(bad))
+            valid.append(parse(item))
+        except exceptions.InvalidEventError as exc:
+            bad.append(InvalidLine(source, number, str(exc)))
+    return Parsed(tuple(valid), tuple(bad))
--- a/crocuskeel/timeline/text.py
+++ b/crocuskeel/timeline/text.py
@@ -1,40 +1,41 @@
-"""The time line as text, a line an event."""
+"""Renders the timeline as text, one line for each event."""
 
 import datetime
 
-__all__ = ["clock_text", "draw_text", "new_fields"]
+__all__ = ["changed_fields", "format_time_of_day", "render_text"]
 
-_GAP_MS = 1000
+_MIN_GAP_MS = 1000
 
 
-def clock_text(ms):
-    """Return milliseconds since the epoch as a time of day in UTC."""
-    moment = datetime.datetime.fromtimestamp(
+def format_time_of_day(ms):
+    """Format milliseconds since the epoch as a time of day in UTC."""
+    time = datetime.datetime.fromtimestamp(
         ms / 1000, tz=datetime.timezone.utc)
-    return moment.strftime("%H:%M:%S.") + f"{int(ms) % 1000:03d}"
+    return time.strftime("%H:%M:%S.") + f"{int(ms) % 1000:03d}"
 
 
-def new_fields(found):
-    """Return for each event a text of the fields that tell something new.
+def changed_fields(events):
+    """Return for each event a text of the fields that have changed.
 
-    Left out are empty ones and those that an earlier event of the same
-    request had with the same value: its class and tier need no
-    repetition on each line.
+    Empty fields are left out, and those that an earlier event of the
+    same request had with the same value, so that its class and tier are
+    not repeated on each line.
     """
-    told = {}
-    return [_news(event, told.setdefault(event.rid, {}) if event.rid
-                  else {}) for event in found]
+    last_values = {}
+    return [_changed_text(event, last_values.setdefault(event.rid, {})
+                          if event.rid else {}) for event in events]
 
 
-def _news(event, told):
-    shown = ("", event.batch)
-    news = [(name, value) for name, value in event.fields
-            if value not in shown and told.get(name) != value]
-    told.update(event.fields)
-    return " ".join(f"{name}={_value(value)}" for name, value in news)
+def _changed_text(event, last_values):
+    omitted = ("", event.batch)
+    changed = [(name, value) for name, value in event.fields
+               if value not in omitted and last_values.get(name) != value]
+    last_values.update(event.fields)
+    return " ".join(f"{name}={_format_value(value)}"
+                    for name, value in changed)
 
 
-def _value(value):
+def _format_value(value):
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, float):
@@ -42,36 +43,37 @@
     return str(value)
 
 
-def _widths(found):
-    return (max((len(event.host) for event in found), default=0),
-            max((len(event.kind) for event in found), default=0),
-            max((len(_subject(event)) for event in found), default=0))
+def _widths(events):
+    return (max((len(event.host) for event in events), default=0),
+            max((len(event.kind) for event in events), default=0),
+            max((len(_subject(event)) for event in events), default=0))
 
 
 def _subject(event):
     return event.rid or (f"batch {event.batch}" if event.batch else "-")
 
 
-def _gap(before, event):
-    if before is None:
+def _gap_line(previous, event):
+    if previous is None:
         return ""
-    span = event.stamp.ms - before.stamp.ms
-    return f"  ... {span / 1000:.1f} s ...\n" if span >= _GAP_MS else ""
+    gap_ms = event.stamp.ms - previous.stamp.ms
+    return (f"  ... {gap_ms / 1000:.1f} s ...\n"
+            if gap_ms >= _MIN_GAP_MS else "")
 
 
-def draw_text(found):
+def render_text(events):
     """Return events, already in order, as text; times are UTC."""
-    if not found:
+    if not events:
         return "no events\n"
-    host, kind, subject = _widths(found)
+    host, kind, subject = _widths(events)
     day = datetime.datetime.fromtimestamp(
-        found[0].stamp.ms / 1000, tz=datetime.timezone.utc)
-    out = [f"{len(found)} events from {day:%Y-%m-%d}, times in UTC\n"]
-    before = None
-    for event, news in zip(found, new_fields(found)):
-        line = (f"{clock_text(event.stamp.ms)} {event.host:<{host}} "
+        events[0].stamp.ms / 1000, tz=datetime.timezone.utc)
+    lines = [f"{len(events)} events from {day:%Y-%m-%d}, times in UTC\n"]
+    previous = None
+    for event, changed in zip(events, changed_fields(events)):
+        line = (f"{format_time_of_day(event.stamp.ms)} {event.host:<{host}} "
                 f"{event.kind:<{kind}} {_subject(event):<{subject}} "
-                f"{news}")
-        out.append(_gap(before, event) + line.rstrip() + "\n")
-        before = event
-    return "".join(out)
+                f"{changed}")
+        lines.append(_gap_line(previous, event) + line.rstrip() + "\n")
+        previous = event
+    return "".join(lines)
--- a/tests/ctl/fleet.py
+++ b/tests/ctl/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in memory: real routes and command, a fake store and clock."""
+"""An in-memory fleet: real routes and command, fake store and clock."""
 
 import io
 import random
@@ -25,8 +25,8 @@
 from twisted.internet import defer
 from twisted.internet import task
 
-POLL_S = 0.25
-MOST_POLLS = 400
+POLL_INTERVAL_S = 0.25
+MAX_POLLS = 400
 OPERATOR, READER, CALLER = "operator", "reader", "w0-token"
 DOCUMENT = samples.document()
 DOCUMENT["workspaces"]["ops"] = {"tokens": [
@@ -37,12 +37,15 @@
 
 
 class Store:
-    """The Object API; ``lose`` answers of the next head writes."""
+    """A fake Object API.
+
+    The responses of the next ``lost_responses`` head writes are lost.
+    """
 
     def __init__(self):
         self.objects = {}
         self.version = 0
-        self.lose = 0
+        self.lost_responses = 0
         self.down = False
 
     def get(self, path):
@@ -54,21 +57,21 @@
         return defer.succeed(objectapi.Found(*self.objects[path]))
 
     def create(self, path, body):
-        """Write an object that must not exist."""
+        """Write an object that must not exist yet."""
         return self._write(path, body, path not in self.objects)
 
     def put(self, path, body, version):
-        """Replace the object of that version."""
-        kept, _body = self.objects.get(path, (None, b""))
-        return self._write(path, body, kept == version)
+        """Replace an object that still has that version."""
+        stored_version, _body = self.objects.get(path, (None, b""))
+        return self._write(path, body, stored_version == version)
 
     def _write(self, path, body, allowed):
         if not allowed:
             return defer.succeed(objectapi.Conflict())
         self.version += 1
         self.objects[path] = (self.version, body)
-        if path == storage.HEAD_KEY and self.lose:
-            self.lose -= 1
+        if path == storage.HEAD_KEY and self.lost_responses:
+            self.lost_responses -= 1
             return defer.succeed(objectapi.WriteUnknown("lost"))
         return defer.succeed(objectapi.Written(self.version))
 
@@ -88,7 +91,7 @@
 
 
 class Fleet:
-    """Hosts h1, h2 ...; those in ``stuck`` adopt no new settings."""
+    """Hosts h1, h2 ...; hosts in ``stuck`` adopt no new settings."""
 
     def __init__(self, count=3):
         self.clock = task.Clock()
@@ -96,16 +99,16 @@
         self.files = {}
         self.stuck = set()
         self.down = set()
-        self.lose_answers_of = set()
-        self.fed = []
-        self.rings = {f"h{at}": [] for at in range(1, count + 1)}
-        self.daemons = {host: _new_daemon(host, at) for at, host
+        self.lost_response_hosts = set()
+        self.fed_events = []
+        self.rings = {f"h{number}": [] for number in range(1, count + 1)}
+        self.daemons = {host: _new_daemon(host, number) for number, host
                         in enumerate(self.rings, start=1)}
-        self._web = {host: self._serve(host) for host in self.daemons}
-        self._introduce()
-        self._store_first()
+        self._web_clients = {host: self._serve(host) for host in self.daemons}
+        self._connect_members()
+        self._store_initial_settings()
 
-    def _introduce(self):
+    def _connect_members(self):
         for daemon in self.daemons.values():
             members = daemon.members
             for host, other in self.daemons.items():
@@ -114,7 +117,7 @@
                         other.members.me)
             member_state.changed(members)
 
-    def _store_first(self):
+    def _store_initial_settings(self):
         batch = batches.new_batch("init", 0.0, 0, [
             batches.Edit((name,), value)
             for name, value in DOCUMENT.items() if name != "workspaces"
@@ -124,10 +127,10 @@
             self.clock, self.store, batch, trees.empty_tree(),
             resent=False))
         assert done.result.generation == 1
-        self.spread()
+        self.adopt_settings()
 
-    def spread(self):
-        """Let every host that is not stuck adopt the newest head."""
+    def adopt_settings(self):
+        """Let every host that is not in ``stuck`` adopt the newest head."""
         head = self.store.head()
         for host in set(self.daemons) - self.stuck:
             state = self.daemons[host].follower
@@ -148,12 +151,12 @@
         ops.register(app, ops.Runtime(
             reactor=self.clock, daemon=self.daemons[host],
             ring=lambda: self.rings[host],
-            feed=lambda event: self.fed.append((host, event)),
+            feed=lambda event: self.fed_events.append((host, event)),
             record=lambda record: None, platform=lambda: self.store))
         return testing.StubTreq(app.resource())
 
     def send(self, method, url, headers, data, timeout):
-        """The command's transport, straight into the routes."""
+        """Pass the command's requests directly to the routes."""
         return defer.ensureDeferred(
             self._send(method, url, headers, data))
 
@@ -162,19 +165,19 @@
         host = f"h{address.rpartition('.')[2]}"
         if host in self.down:
             raise objectapi.NotSent("refused")
-        web = self._web[host]
-        fut = web.request(method, url, headers=headers, data=data)
-        web.flush()
-        answer = await fut
-        body = await answer.content()
+        web_client = self._web_clients[host]
+        deferred = web_client.request(method, url, headers=headers, data=data)
+        web_client.flush()
+        response = await deferred
+        body = await response.content()
         if host not in self.stuck and method == "POST":
-            self.spread()
-        if host in self.lose_answers_of:
+            self.adopt_settings()
+        if host in self.lost_response_hosts:
             raise objectapi.AnswerLost("connection lost")
-        return objectapi.HttpAnswer(answer.code, {}, body)
+        return objectapi.HttpAnswer(response.code, {}, body)
 
     def run(self, *argv, token=OPERATOR, hosts="10.0.0.1:8100"):
-        """Run the command; return its exit code, output and errors."""
+        """Run the command; return its exit code, stdout and stderr."""
         args = ctl.parse(list(argv))
         environ = {"CROCUSKEELCTL_HOSTS": hosts,
                    "CROCUSKEELCTL_TOKEN": token}
@@ -185,22 +188,22 @@
             session = ctl.Session(
                 self.clock, client.unwrap(), lambda: 1.7e9, self.read,
                 self.files.__setitem__)
-            result = self._finish(ctl.run(args, session))
+            result = self._await_result(ctl.run(args, session))
         out, err = io.StringIO(), io.StringIO()
         code = ctl.print_result(result, args.json, out, err)
         return code, out.getvalue(), err.getvalue()
 
-    def _finish(self, coroutine):
-        ended = []
-        fut = defer.ensureDeferred(coroutine)
-        fut.addBoth(ended.append)
-        for _ in range(MOST_POLLS):
-            if ended:
+    def _await_result(self, coroutine):
+        results = []
+        deferred = defer.ensureDeferred(coroutine)
+        deferred.addBoth(results.append)
+        for _ in range(MAX_POLLS):
+            if results:
                 break
-            self.clock.advance(POLL_S)
-            for web in self._web.values():
-                web.flush()
-        return ended[0]
+            self.clock.advance(POLL_INTERVAL_S)
+            for web_client in self._web_clients.values():
+                web_client.flush()
+        return results[0]
 
     def read(self, name):
         """Return a file's text."""
--- a/tests/ctl/test_command.py
+++ b/tests/ctl/test_command.py
@@ -1,4 +1,4 @@
-"""The command against the real routes of a fleet in memory."""
+"""Tests of the command against the real routes of an in-memory fleet."""
 
 import contextlib
 import io
@@ -13,7 +13,7 @@
 
 
 class ExitCodeTest(unittest.TestCase):
-    """Scripts go by the exit codes; each has its row."""
+    """Scripts rely on the exit codes; each code has at least one row."""
 
     def test_codes(self):
         rows = (
@@ -43,21 +43,21 @@
         fleet.files["good"] = ("// crocuskeel settings, generation 1\n"
                                + json.dumps(fleets.DOCUMENT))
         fleet.files["bad"] = '{"classes": {"fast": {"tier": 9}}}'
-        for code, argv, how in rows:
+        for code, argv, options in rows:
             if "--wait" in argv:
                 fleet.down.clear()
-            with self.subTest(argv, **how):
-                got, out, err = fleet.run(*argv, **how)
-                self.assertEqual(code, got, out + err)
+            with self.subTest(argv, **options):
+                exit_code, out, err = fleet.run(*argv, **options)
+                self.assertEqual(code, exit_code, out + err)
                 self.assertEqual(bool(code), not out, out)
             fleet.down.add("h3")
 
-    def test_json_has_the_failure_too(self):
+    def test_json_output_includes_failures(self):
         code, out, err = fleets.Fleet().run(
             "--json", "settings", "get", "nowhere", "fast")
         self.assertEqual(("", code), (err, json.loads(out)["code"]))
 
-    def test_a_wrong_command_line_is_a_usage_error(self):
+    def test_invalid_command_line_is_a_usage_error(self):
         with (self.assertRaises(SystemExit) as raised,
               contextlib.redirect_stderr(io.StringIO())):
             fleets.Fleet().run("no-such-command")
@@ -65,14 +65,14 @@
 
 
 class ChangeTest(unittest.TestCase):
-    """Batches from the command to the head object."""
+    """Batches, from the command to the head object."""
 
     def test_a_conflict_shows_both_values(self):
-        """Two operators race on release day.
+        """Two operators change the same value concurrently.
 
-        The second one's edit was made before the first was accepted.
-        Without both values, author and time in the refusal, nobody
-        could tell which is right.
+        The second edit is based on the generation before the first.
+        Without both values, the author and the time in the error, the
+        operators could not tell which value is right.
         """
         fleet = fleets.Fleet()
         fleet.run("settings", "edit", EDIT)
@@ -90,14 +90,15 @@
             "settings", "edit", "--base", "1", "classes.slow.tier=2")
         self.assertEqual((0, ""), (code, err))
 
-    def test_a_lost_answer_does_not_commit_twice(self):
-        """The asked host commits, then its connection breaks.
+    def test_lost_response_does_not_commit_twice(self):
+        """A host commits a batch, then its connection is closed.
 
-        The command asks the next host with the same batch. A second
-        generation of it could undo what another operator set between.
+        The command sends the same batch to the next host. If it were
+        committed again, it could overwrite what another operator set in
+        between.
         """
         fleet = fleets.Fleet()
-        fleet.lose_answers_of.add("h1")
+        fleet.lost_response_hosts.add("h1")
         code, out, _err = fleet.run(
             "settings", "edit", EDIT, "--base", "1",
             hosts="10.0.0.1:8100,10.0.0.2:8100")
@@ -105,22 +106,23 @@
         self.assertIn("generation 2", out)
         self.assertEqual(2, fleet.store.head().generation)
 
-    def test_an_answer_lost_everywhere_is_called_unknown(self):
-        """No host could say whether the batch was accepted.
+    def test_outcome_is_unknown_if_all_responses_are_lost(self):
+        """No host confirmed whether the batch was accepted.
 
-        Reported as refused it would be sent again under a new id.
+        If it were reported as refused, the operator would send it again
+        under a new ID.
         """
         fleet = fleets.Fleet()
-        fleet.lose_answers_of.add("h1")
+        fleet.lost_response_hosts.add("h1")
         code, _out, err = fleet.run(
             "settings", "edit", EDIT, "--base", "1")
         self.assertEqual(6, code)
         self.assertIn("settings log", err)
 
-    def test_a_head_write_whose_answer_was_lost_is_found_done(self):
-        """The Object API takes the write, but its answer is lost."""
+    def test_head_write_with_lost_response_is_recognized(self):
+        """The Object API applies the write, but its response is lost."""
         fleet = fleets.Fleet()
-        fleet.store.lose = 1
+        fleet.store.lost_responses = 1
         code, out, err = fleet.run("settings", "edit", EDIT)
         self.assertEqual((0, ""), (code, err))
         self.assertEqual(2, fleet.store.head().generation)
@@ -142,8 +144,8 @@
         self.assertIn("generation 3", out)
         self.assertEqual(before, fleet.daemons["h2"].follower.tree.common)
 
-    def test_a_revert_does_not_undo_later_edits(self):
-        """Another operator set the same value after generation 2."""
+    def test_revert_does_not_overwrite_later_edits(self):
+        """Another operator changed the same value after generation 2."""
         fleet = fleets.Fleet()
         fleet.run("settings", "edit", EDIT)
         fleet.run("settings", "edit", f"{TARGET}=400")
@@ -151,29 +153,29 @@
         self.assertEqual(1, code)
         self.assertIn("theirs: 400", err)
 
-    def test_a_whole_file_of_an_older_generation_is_refused(self):
-        """A file got before another operator's batch is applied.
+    def test_complete_file_of_an_older_generation_is_refused(self):
+        """A file is applied that was read before another operator's batch.
 
-        Taken as it is, it would ask to undo that batch; the operator
-        must read that the file is old, and not a list of conflicts.
+        Its difference would revert that batch; the error must say that
+        the file is out of date instead of listing conflicts.
         """
         fleet = fleets.Fleet()
-        _code, whole, _err = fleet.run("settings", "get")
-        fleet.files["mine"] = whole.replace('"tier": 3', '"tier": 2')
+        _code, document, _err = fleet.run("settings", "get")
+        fleet.files["mine"] = document.replace('"tier": 3', '"tier": 2')
         fleet.run("settings", "edit", EDIT)
         code, _out, err = fleet.run("settings", "apply", "--whole", "mine")
         self.assertEqual((1, 2), (code, fleet.store.head().generation))
-        self.assertIn("was made from generation 1", err)
+        self.assertIn("is based on generation 1", err)
 
 
 class WaitTest(unittest.TestCase):
-    """``--wait`` says where a batch is in force."""
+    """``--wait`` waits until a batch is in force on all hosts."""
 
-    def test_it_names_the_host_that_is_behind(self):
-        """A batch is accepted, but one host is cut off from news.
+    def test_hosts_that_are_behind_are_listed(self):
+        """A batch is accepted, but one host does not receive it.
 
-        An operator who is told "done" would open the ramp while that
-        host still judges by the old settings.
+        If the command reported success, the operator would rely on the
+        new settings while that host still uses the old ones.
         """
         fleet = fleets.Fleet()
         fleet.stuck.add("h3")
@@ -183,26 +185,26 @@
         self.assertNotIn("h2:", err)
         self.assertGreaterEqual(fleet.clock.seconds(), 4)
 
-    def test_a_silent_host_is_behind(self):
+    def test_unresponsive_host_counts_as_behind(self):
         fleet = fleets.Fleet()
         fleet.down.add("h2")
         code, _out, err = fleet.run("settings", "edit", EDIT, "--wait")
         self.assertEqual(4, code)
-        self.assertIn("h2: no host answered", err)
+        self.assertIn("h2: no host responded", err)
 
 
 class DrainTest(unittest.TestCase):
-    """``drain`` reaches the named host and no other."""
+    """``drain`` only affects the named host."""
 
     def test_only_the_named_host_drains(self):
         fleet = fleets.Fleet()
         code, _out, _err = fleet.run("drain", "h2")
         fleet.clock.advance(0)
         self.assertEqual(0, code)
-        self.assertEqual([("h2", events.DrainAsked())], fleet.fed)
+        self.assertEqual([("h2", events.DrainAsked())], fleet.fed_events)
 
-    def test_a_reader_cannot_change(self):
-        """A screen's token must not drain hosts or edit settings."""
+    def test_read_role_cannot_change_anything(self):
+        """A read-only token must not drain hosts or change settings."""
         fleet = fleets.Fleet()
         for argv in (("drain", "h2"), ("settings", "edit", EDIT),
                      ("settings", "revert", "1")):
@@ -210,6 +212,6 @@
             self.assertEqual(1, code)
             self.assertIn("needs change", err)
         fleet.clock.advance(0)
-        self.assertEqual([], fleet.fed)
+        self.assertEqual([], fleet.fed_events)
         self.assertEqual(1, fleet.store.head().generation)
         self.assertEqual(0, fleet.run("status", token=fleets.READER)[0])
--- a/tests/ctl/test_entry_logs.py
+++ b/tests/ctl/test_entry_logs.py
@@ -1,4 +1,4 @@
-"""Requests explained out of the logs of entry hosts."""
+"""Tests of the ``explain`` command on logs of entry hosts."""
 
 import json
 import unittest
@@ -11,7 +11,7 @@
                        "event": event, **fields})
 
 
-ONE = "\n".join((
+FIRST_LOG = "\n".join((
     _line(2000.0, "h1", "server_removed", server="s9", revision=7),
     _line(2001.0, "h1", "store_lost", why="timeout"),
     _line(2002.0, "h1", "sent", rid="r1", turn=0, server="s1", ahead=9000),
@@ -20,18 +20,18 @@
     _line(2002.5, "h1", "broken", rid="r1", turn=0, server="s1",
           outcome="broken"),
     _line(2002.6, "h1", "gave_up", rid="r1", why="broken", ran=True)))
-TWO = "\n".join((
+SECOND_LOG = "\n".join((
     _line(2002.4, "h2", "server_removed", server="s1", revision=9),
     _line(2002.4, "h2", "store_lost", why="timeout"),
     _line(2003.0, "h2", "refused", rid="r1", status=404, version=3)))
 
 
 class ExplainTest(unittest.TestCase):
-    """Any number of hosts' files."""
+    """``explain`` with the log files of several hosts."""
 
     def setUp(self):
         self.fleet = fleets.Fleet()
-        self.fleet.files = {"one.log": ONE, "two.log": TWO}
+        self.fleet.files = {"one.log": FIRST_LOG, "two.log": SECOND_LOG}
 
     def _explain(self, rid, *names):
         argv = ["explain", rid]
@@ -39,7 +39,7 @@
             argv += ["--file", name]
         return self.fleet.run(*argv)
 
-    def test_the_story_over_two_hosts(self):
+    def test_events_of_two_hosts_are_merged(self):
         code, out, err = self._explain("r1", "two.log", "one.log")
         self.assertEqual(0, code)
         rows = [line.split()[:3] for line in out.splitlines()[2:]]
@@ -56,10 +56,10 @@
         self.assertNotIn("r2", out)
         self.assertIn("1 lines could not be read", err)
 
-    def test_a_missing_file_is_named(self):
+    def test_missing_file_is_reported(self):
         code, out, err = self._explain("r2", "one.log", "three.log")
         self.assertEqual(0, code)
-        self.assertIn("no end in these logs", out)
+        self.assertIn("no final event in these logs", out)
         self.assertIn("three.log", err)
 
     def test_an_unknown_request(self):
--- a/tests/ctl/test_page.py
+++ b/tests/ctl/test_page.py
@@ -1,4 +1,4 @@
-"""The command's reference page names what the command has."""
+"""Checks that the reference page lists all commands and exit codes."""
 
 import argparse
 import pathlib
@@ -14,14 +14,14 @@
 def _commands(parser, names=()):
     for action in parser._actions:
         if isinstance(action, argparse._SubParsersAction):
-            for name, inner in action.choices.items():
-                yield from _commands(inner, (*names, name))
+            for name, subparser in action.choices.items():
+                yield from _commands(subparser, (*names, name))
             return
     yield " ".join(names)
 
 
 class CommandPageTest(unittest.TestCase):
-    """A script's author reads the page, not the code."""
+    """Authors of scripts rely on the page, not the code."""
 
     def test_every_command_has_its_row(self):
         rows = {row.split("`")[1] for row in PAGE.read_text().splitlines()
--- a/tests/ops/test_overview.py
+++ b/tests/ops/test_overview.py
@@ -1,4 +1,4 @@
-"""What an operator reads in ``crocuskeelctl status``."""
+"""The data of ``crocuskeelctl status``."""
 
 import unittest
 
@@ -19,13 +19,13 @@
 
 
 class StatusTest(unittest.TestCase):
-    """The tables agree with each other."""
+    """The counts of hosts, cells and engines are consistent."""
 
-    def test_engines_show_what_runs_on_them(self):
-        """An operator looks for the busy engine and all show 0 running.
+    def test_engine_counts_match_cell_counts(self):
+        """Engines showed 0 running while their cell had running requests.
 
-        The cell's row says that requests run; the engines' rows read a
-        count by fingerprint under the engine's name, which is 0.
+        The engine rows looked up the engine's name in a count that is
+        keyed by fingerprint, so it was always 0.
         """
         me = states.Identity("d", "h1", "a", "r", "127.0.0.1", 1, 2, 1)
         daemon = factory.new_daemon(
@@ -35,9 +35,9 @@
         ask = [messages.Enqueue(f"h2.1.{n}", 1, "llm/0", "llm", "chat",
                                 "ws", 2, fingerprint=f"f{n}")
                for n in range(3)]
-        heard = [events.Started(), events.HostListSeen(1, (), servers)]
-        heard += [events.Received("h2", 1, each) for each in ask]
-        for event in heard:
+        received = [events.Started(), events.HostListSeen(1, (), servers)]
+        received += [events.Received("h2", 1, each) for each in ask]
+        for event in received:
             reducer.reduce(daemon, event, 100.0)
         status = overview.status(daemon, (), 101.0)
         by_tier = sum(tier.running for cell in status.cells
@@ -45,18 +45,18 @@
         self.assertEqual(3, by_tier)
         self.assertEqual(3, sum(e.in_flight for e in status.engines))
 
-    def test_a_host_that_was_stopped_as_planned_has_left(self):
-        """An operator drains a host and then reads that it is dead.
+    def test_drained_host_is_reported_as_left(self):
+        """A drained host must be reported as left, not as dead.
 
-        After a planned stop the host is silent, as after a crash; only
-        that it had said it leaves tells them apart.
+        A stopped host stops responding like a crashed one; only its
+        earlier announcement that it is leaving tells them apart.
         """
         me = states.Identity("d", "h1", "a", "r", "127.0.0.1", 1, 2, 1)
         daemon = factory.new_daemon(me)
         reducer.reduce(daemon, events.Started(), 0.0)
-        for at, host, states_of in (
+        for at, host, statuses in (
                 (1.0, "h2", ("alive", "leaving")), (1.0, "h3", ("alive",))):
-            for status in (*states_of, "suspect", "dead"):
+            for status in (*statuses, "suspect", "dead"):
                 update = messages.MemberUpdate(
                     host, 1, status, "127.0.0.2", 1, 2, "a", "r")
                 at += 60.0
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line: one order over processes whose clocks differ."""
+"""Causal order of events of processes whose clocks differ."""
 
 import json
 import re
@@ -21,8 +21,8 @@
         tuple(fields.items()))
 
 
-class _Run:
-    """Hosts with skewed clocks that send each other messages."""
+class _Simulation:
+    """Simulated hosts with skewed clocks that exchange messages."""
 
     def __init__(self, skews):
         self.skews = dict(zip(HOSTS, skews))
@@ -32,13 +32,13 @@
         self.causes = []
 
     def message(self, sender, receiver, after_ms):
-        """Send and receive; note which event is the other's cause."""
+        """Send and receive a message; record the causal pairs of events."""
         self.now += after_ms
         sent = self.clocks[sender].tick(self.now + self.skews[sender])
         self._add(sender, sent)
-        got = self.clocks[receiver].merge(
+        received = self.clocks[receiver].merge(
             sent, self.now + self.skews[receiver])
-        self._add(receiver, got)
+        self._add(receiver, received)
         self.causes.append(self.events[-2:])
 
     def _add(self, host, stamp):
@@ -48,41 +48,43 @@
 
 
 class ClockTest(unittest.TestCase):
-    """Cause comes before effect."""
+    """The hybrid clock orders a cause before its effect."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(_skews, _steps, st.randoms(use_true_random=False))
     def test_no_effect_stands_before_its_cause(self, skews, steps, rng):
-        """An operator reads a grant above the request it answers.
+        """A grant must not be listed before the request that caused it.
 
-        The dispatcher's clock is seconds behind the door's. Sorted by
-        the hosts' own clocks the effect would come before its cause.
+        If the dispatcher's clock is seconds behind the clock of the host
+        that received the request, sorting by the hosts' own clocks would
+        put the effect before its cause.
         """
-        run = _Run(skews)
+        simulation = _Simulation(skews)
         for sender, receiver, after_ms in steps:
-            run.message(HOSTS[sender], HOSTS[receiver], after_ms)
-        shuffled = list(run.events)
+            simulation.message(HOSTS[sender], HOSTS[receiver], after_ms)
+        shuffled = list(simulation.events)
         rng.shuffle(shuffled)
         order = list(timeline.merge(tuple(shuffled)))
-        self.assertEqual(len(run.events), len(order))
-        for cause, effect in run.causes:
+        self.assertEqual(len(simulation.events), len(order))
+        for cause, effect in simulation.causes:
             self.assertLess(order.index(cause), order.index(effect))
 
 
 class MergeTest(unittest.TestCase):
-    """Files and rings become one line of events."""
+    """Log files and ring buffers are merged into one timeline."""
 
-    def test_bad_lines_are_named_and_hide_nothing(self):
-        """A killed daemon left half a line; a log shipper mixed two.
+    def test_invalid_lines_are_reported(self):
+        """Invalid lines are reported by file and line; the rest is read.
 
-        The good events of both files must still be shown, and the bad
-        lines be named by file and line.
+        A killed daemon leaves an incomplete line, and a log shipper may
+        interleave two.
         """
         first = _event("a", (10, 0), "arrived", "a.1.1")
         second = _event("b", (9, 3), "granted", "a.1.1")
-        whole = timeline.to_line(first)
-        lines = [whole, "", whole[:30], "[1]", '{"ts": "x", "hlc": [1, 2]}',
-                 whole.replace("[10,0]", "[10]")]
+        complete = timeline.to_line(first)
+        lines = [complete, "", complete[:30], "[1]",
+                 '{"ts": "x", "hlc": [1, 2]}',
+                 complete.replace("[10,0]", "[10]")]
         log = {"ts": 0.011, "host": "a", "kind": "log", "level": "ERROR",
                "message": "unhandled failure"}
         found = timeline.join([
@@ -97,9 +99,9 @@
         self.assertEqual([second, first], list(order[:2]))
         self.assertEqual(["granted", "arrived", "log"],
                          [event.kind for event in order])
-        self.assertIn("arrived", timeline.draw_text(order))
+        self.assertIn("arrived", timeline.render_text(order))
 
-    def test_selections(self):
+    def test_selection_filters_events(self):
         found = tuple(
             _event(host, (1000 * at, 0), kind, f"{host}.1.{at}")
             for at, (host, kind) in enumerate(
@@ -123,25 +125,26 @@
 
 
 class PageTest(unittest.TestCase):
-    """The page needs nothing else and runs nothing foreign."""
+    """The HTML page is self-contained and runs no injected script."""
 
-    def test_a_field_cannot_leave_its_data(self):
-        """A caller's class name holds markup that ends the data.
+    def test_field_markup_is_escaped(self):
+        """A class name sent by a caller may contain ``</script>``.
 
-        Opened by an operator the page would run the caller's script.
+        Unescaped, it would end the data block, and the page would run the
+        caller's script when an operator opens it.
         """
-        evil = "</script><script>alert(1)</script>"
-        page = timeline.draw_page(
-            (_event("a", (1, 0), rid="a.1.1", name=evil),))
-        empty = timeline.draw_page(())
+        markup = "</script><script>alert(1)</script>"
+        page = timeline.render_page(
+            (_event("a", (1, 0), rid="a.1.1", name=markup),))
+        empty = timeline.render_page(())
         for tag in ("<script", "</script"):
             self.assertEqual(empty.count(tag), page.count(tag))
         data = re.search(r'application/json">(.*?)</script>', page)[1]
-        self.assertEqual(evil, json.loads(data)["events"][0]["fields"]
+        self.assertEqual(markup, json.loads(data)["events"][0]["fields"]
                          ["name"])
 
-    def test_the_page_loads_nothing(self):
-        page = timeline.draw_page(())
+    def test_page_loads_no_resources(self):
+        page = timeline.render_page(())
         self.assertIn("default-src 'none'", page)
         self.assertEqual([], re.findall(
             r'(?:src|href)\s*=|url\(|@import', page))
