--- a/crocuskeel/ctl/changes.py
+++ b/crocuskeel/ctl/changes.py
@@ -82,8 +82,8 @@
     reason = body["reason"]
     lines = [f"refused: {reason}" + (
         f", {body['detail']}" if body["detail"] else "")]
-    lines += [_conflict(each) for each in body["conflicts"]]
-    lines += [_fault(each) for each in body["faults"]]
+    lines += [_format_conflict(each) for each in body["conflicts"]]
+    lines += [_format_fault(each) for each in body["faults"]]
     if body["outcome"] == "unknown":
         return Failure(Code.UNKNOWN_OUTCOME, "\n".join(lines),
                        _UNKNOWN_HINT, body)
@@ -91,7 +91,7 @@
     return Failure(code, "\n".join(lines), _HINTS.get(reason, ""), body)
 
 
-def _conflict(conflict):
+def _format_conflict(conflict):
     ours, theirs = conflict["ours"], conflict["theirs"]
     when = tables.format_time(conflict["at"])
     return (f"  {paths.format_path(ours['path'])}\n"
@@ -108,7 +108,7 @@
     return paths.format_value(edit["value"])
 
 
-def _fault(fault):
+def _format_fault(fault):
     hint = f"\n    {fault['hint']}" if fault["hint"] else ""
     return (f"  {paths.format_path(fault['path'])}: {fault['id']} "
             f"{fault['fault']}{hint}")
--- a/crocuskeel/ctl/overview.py
+++ b/crocuskeel/ctl/overview.py
@@ -19,43 +19,45 @@
     result = await fleet.request_all(session.client, "/ops/status")
     if result.is_err():
         return result
-    found = result.unwrap()
-    if not found.responses:
+    fleet_status = result.unwrap()
+    if not fleet_status.responses:
         return Err(Failure(
             Code.UNREACHABLE, "no host responded at the address that "
             "membership lists for it",
             "\n".join(f"{host}: {reason}"
-                      for host, reason in sorted(found.missing.items()))))
-    data = _merged(found)
+                      for host, reason in sorted(
+                          fleet_status.missing.items()))))
+    data = _merged(fleet_status)
     notes = tuple(f"no response from {host}: {reason}"
-                  for host, reason in sorted(found.missing.items()))
+                  for host, reason in sorted(fleet_status.missing.items()))
     return Ok(Report(_text(data), data, notes))
 
 
-def _merged(found):
-    responses = [found.responses[host] for host in sorted(found.responses)]
+def _merged(fleet_status):
+    responses = [fleet_status.responses[host]
+                 for host in sorted(fleet_status.responses)]
     return {
-        "hosts": _hosts(found),
+        "hosts": _hosts(fleet_status),
         "cells": _preferred(responses, "cells", "cell",
                             lambda row: bool(row["tiers"])),
         "engines": _preferred(responses, "engines", "engine",
                               lambda row: row["in_flight"] >= 0),
         "classes": _classes(responses),
-        "missing": found.missing,
+        "missing": fleet_status.missing,
     }
 
 
-def _hosts(found):
+def _hosts(fleet_status):
     """Return one row per host; a host's own data takes precedence."""
     rows = {}
-    for response in found.responses.values():
+    for response in fleet_status.responses.values():
         for row in response["hosts"]:
             known = rows.get(row["host"])
             if known is None or row["generation"] > known["generation"]:
                 rows[row["host"]] = row
     merged = []
     for host, row in sorted(rows.items()):
-        own = found.responses.get(host, {}).get("own", {})
+        own = fleet_status.responses.get(host, {}).get("own", {})
         merged.append({**row, **own, "answered": bool(own)})
     return merged
 
--- a/crocuskeel/ctl/settings.py
+++ b/crocuskeel/ctl/settings.py
@@ -16,8 +16,8 @@
 from result import Err
 from result import Ok
 
-__all__ = ["BASE_COMMENT", "check", "diff", "load_document", "get", "log",
-           "fetch_document", "wait"]
+__all__ = ["BASE_COMMENT", "check", "diff", "fetch_document", "get",
+           "load_document", "log", "wait"]
 
 BASE_COMMENT = "// crocuskeel settings, generation "
 
@@ -39,11 +39,11 @@
     if text.is_err():
         return text
     return conf.parse_document(text.unwrap()).map_err(
-        lambda faults: _faults(name, faults))
+        lambda faults: _validation_failure(name, faults))
 
 
-def _faults(name, faults):
-    lines = [_fault(name, fault) for fault in faults]
+def _validation_failure(name, faults):
+    lines = [_format_fault(name, fault) for fault in faults]
     data = {"file": name, "faults": [
         {"id": each.id, "path": list(each.path), "line": each.line,
          "fault": each.fault, "hint": each.hint} for each in faults]}
@@ -52,7 +52,7 @@
         Code.FAULTS, "\n".join(lines), f"{len(faults)} {word}", data)
 
 
-def _fault(name, fault):
+def _format_fault(name, fault):
     hint = f"\n    {fault.hint}" if fault.hint else ""
     return (f"{name}:{fault.line or 1}: {paths.format_path(fault.path)}: "
             f"{fault.id} {fault.fault}{hint}")
@@ -118,12 +118,12 @@
     heading = f"{args.file} compared with generation {body['generation']}: "
     if not edits:
         return Ok(Report(heading + "no difference\n", data))
-    text = "".join(_change(before, edit) for edit in edits)
+    text = "".join(_format_change(before, edit) for edit in edits)
     word = "edit" if len(edits) == 1 else "edits"
     return Ok(Report(f"{heading}{len(edits)} {word}\n{text}", data))
 
 
-def _change(before, edit):
+def _format_change(before, edit):
     old = _value_at(before, edit.path)
     name = paths.format_path(edit.path)
     if edit.value is batches.REMOVE:
--- a/crocuskeel/ctl/tracing.py
+++ b/crocuskeel/ctl/tracing.py
@@ -35,7 +35,7 @@
     if result.is_err():
         return result
     found = result.unwrap()
-    notes += _invalid_line_notes(found.bad)
+    notes += _invalid_line_notes(found.invalid)
     explanation = explanations.explain(
         timeline.merge(found.events), args.request)
     if explanation is None:
@@ -133,21 +133,21 @@
     found = result.unwrap()
     events = timeline.select(
         timeline.merge(found.events), selection.unwrap())
-    notes += _invalid_line_notes(found.bad)
+    notes += _invalid_line_notes(found.invalid)
     if not events:
         return Err(Failure(
             Code.NOT_FOUND, "no events" + "".join(
                 f"\n{note}" for note in notes),
             "Widen the filters; hosts keep only their most recent events."))
-    return _timeline_report(session, args, events, found.bad, notes)
+    return _timeline_report(session, args, events, found.invalid, notes)
 
 
-def _timeline_report(session, args, events, bad, notes):
+def _timeline_report(session, args, events, invalid, notes):
     data = {"events": [timeline.to_dict(event) for event in events],
-            "bad": [str(each) for each in bad]}
+            "bad": [str(each) for each in invalid]}
     if not args.html:
         return Ok(Report(timeline.render_text(events), data, notes))
-    page = timeline.render_page(events, bad)
+    page = timeline.render_page(events, invalid)
     written = files.write(session, args.html, page)
     return written.map(lambda name: Report(
         f"{len(events)} events written to {name}\n",
@@ -191,13 +191,13 @@
     return query
 
 
-def _invalid_line_notes(bad):
-    if not bad:
+def _invalid_line_notes(invalid):
+    if not invalid:
         return ()
-    listed = tuple(str(each) for each in bad[:_MAX_LISTED_LINES])
-    more = len(bad) - len(listed)
+    listed = tuple(str(each) for each in invalid[:_MAX_LISTED_LINES])
+    more = len(invalid) - len(listed)
     rest = (f"and {more} more",) if more else ()
-    return (f"{len(bad)} lines could not be read:", *listed, *rest)
+    return (f"{len(invalid)} lines could not be read:", *listed, *rest)
 
 
 def _selection(session, args):
--- a/crocuskeel/ctl/waiting.py
+++ b/crocuskeel/ctl/waiting.py
@@ -35,11 +35,11 @@
         result = await fleet.request_all(
             session.client, "/ops/status", {"brief": "1"})
         if result.is_ok():
-            found = result.unwrap()
-            behind = _behind(found, generation)
+            fleet_responses = result.unwrap()
+            behind = _behind(fleet_responses, generation)
         elapsed = session.reactor.seconds() - started_at
         if result.is_ok() and not behind:
-            hosts = tuple(sorted(found.responses))
+            hosts = tuple(sorted(fleet_responses.responses))
             return Ok(InForce(generation, hosts, round(elapsed, 2)))
         if elapsed >= timeout_s:
             return result if result.is_err() else Err(
@@ -47,12 +47,12 @@
         await task.deferLater(session.reactor, POLL_INTERVAL_S)
 
 
-def _behind(found, generation):
+def _behind(fleet_responses, generation):
     behind = {
         host: f"generation {response['own']['generation']}"
-        for host, response in found.responses.items()
+        for host, response in fleet_responses.responses.items()
         if response["own"]["generation"] < generation}
-    return behind | found.missing
+    return behind | fleet_responses.missing
 
 
 def _timeout_failure(generation, behind, timeout_s):
--- a/crocuskeel/timeline/event.py
+++ b/crocuskeel/timeline/event.py
@@ -5,7 +5,7 @@
 (``[ms, count]``), ``host``, ``incarnation``, ``generation``, ``kind``,
 ``rid``, ``batch`` and ``fields`` (name to str, int, float or bool).
 ``rid``, ``batch``, ``generation``, ``incarnation`` and ``fields`` are
-optional; a ``batch`` field is used where the key ``batch`` is absent.
+optional; a field ``batch`` is used if the key is absent or empty.
 
 The same files contain the program's log messages (kind ``log``). They
 have no ``hlc``: they are ordered by the host's own clock, and their
--- a/crocuskeel/timeline/page.py
+++ b/crocuskeel/timeline/page.py
@@ -17,15 +17,15 @@
 _EVENTS_PLACEHOLDER = "/*EVENTS*/"
 
 
-def render_page(found, bad=()):
-    """Return events, already in order, as an HTML page.
+def render_page(ordered, invalid=()):
+    """Render events that are already in order as an HTML page.
 
-    ``bad`` are the invalid lines; the page shows how many there are.
+    ``invalid`` are the invalid lines; the page shows how many there are.
     """
     body = {
         "events": [_row(event, changed_fields) for event, changed_fields
-                   in zip(found, text.changed_fields(found))],
-        "bad": [str(each) for each in bad],
+                   in zip(ordered, text.changed_fields(ordered))],
+        "bad": [str(each) for each in invalid],
     }
     template = resources.files(__package__).joinpath(_TEMPLATE)
     page = template.read_text(encoding="utf-8")
--- a/crocuskeel/timeline/reading.py
+++ b/crocuskeel/timeline/reading.py
@@ -31,7 +31,7 @@
     """Events in the order read, and the invalid lines."""
 
     events: tuple[events.Event, ...]
-    bad: tuple[InvalidLine, ...] = ()
+    invalid: tuple[InvalidLine, ...] = ()
 
 
 def parse_lines(lines, source):
@@ -55,15 +55,15 @@
     results = tuple(results)
     return Parsed(
         tuple(event for each in results for event in each.events),
-        tuple(bad for each in results for bad in each.bad))
+        tuple(invalid for each in results for invalid in each.invalid))
 
 
 def _parse(numbered, source, parse):
     valid = []
-    bad = []
+    invalid = []
     for number, item in numbered:
         try:
             valid.append(parse(item))
         except exceptions.InvalidEventError as exc:
-            bad.append(InvalidLine(source, number, str(exc)))
-    return Parsed(tuple(valid), tuple(bad))
+            invalid.append(InvalidLine(source, number, str(exc)))
+    return Parsed(tuple(valid), tuple(invalid))
--- a/crocuskeel/timeline/text.py
+++ b/crocuskeel/timeline/text.py
@@ -62,7 +62,7 @@
 
 
 def render_text(events):
-    """Return events, already in order, as text; times are UTC."""
+    """Render events that are already in order as text; times are UTC."""
     if not events:
         return "no events\n"
     host, kind, subject = _widths(events)
--- a/tests/ops/test_overview.py
+++ b/tests/ops/test_overview.py
@@ -32,11 +32,11 @@
             me, tree=conf_tree.from_document(DOCUMENT, 1))
         servers = tuple(messages.Backend(f"e{n}", "llm", "http://x")
                         for n in range(2))
-        ask = [messages.Enqueue(f"h2.1.{n}", 1, "llm/0", "llm", "chat",
-                                "ws", 2, fingerprint=f"f{n}")
-               for n in range(3)]
+        enqueues = [messages.Enqueue(f"h2.1.{n}", 1, "llm/0", "llm", "chat",
+                                     "ws", 2, fingerprint=f"f{n}")
+                    for n in range(3)]
         received = [events.Started(), events.HostListSeen(1, (), servers)]
-        received += [events.Received("h2", 1, each) for each in ask]
+        received += [events.Received("h2", 1, each) for each in enqueues]
         for event in received:
             reducer.reduce(daemon, event, 100.0)
         status = overview.status(daemon, (), 101.0)
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -94,7 +94,7 @@
                 [timeline.to_dict(second), timeline.to_dict(first)], "b")])
         self.assertEqual(
             [("a.log", 3), ("a.log", 4), ("a.log", 5), ("a.log", 6)],
-            [(bad.source, bad.line) for bad in found.bad])
+            [(invalid.source, invalid.line) for invalid in found.invalid])
         order = timeline.merge(found.events)
         self.assertEqual([second, first], list(order[:2]))
         self.assertEqual(["granted", "arrived", "log"],
