--- a/tests/claims/test_faults.py
+++ b/tests/claims/test_faults.py
@@ -197,6 +197,23 @@
         self.assertEqual(0, self.world.version)
         self.assertEqual("granted", self.answered("k").status)
 
+    def test_lookup_during_a_read_is_answered(self):
+        """A lookup that arrives during a read must get an answer.
+
+        The slot has nothing to write when the read ends, so no further
+        read starts and the lookup would wait for ever.
+        """
+        self.world = worlds.World(epoch_s=0.5, kept_epochs=1, writes_s=10.0)
+        attempts = [self.world.ask("k0", issued_at=1.0) for _ in range(6)]
+        for _ in range(4):
+            self.world.land(0)
+        attempts += [self.world.ask("k0", issued_at=1.0) for _ in range(7)]
+        self.world.give_up(attempts[-1], 1)
+        self.world.advance(2.0)
+        lookup = self.world.lookup("k0", 1, issued_at=1.0)
+        self.world.calm()
+        self.assertEqual(1, len(lookup.answers), lookup)
+
     def test_look_in_an_outage(self):
         """In a store outage a lookup must not report an absent key.
 
