--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the systems outside: engines, services, platform.
+"""Simplified engines, services and platform for demos, tests and benchmarks.
 
-They are for demos, tests and benchmarks, and are no part of the product.
+They stand in for the external systems and are no part of the product.
 """
--- a/standins/batch.py
+++ b/standins/batch.py
@@ -1,7 +1,7 @@
-"""Continuous batching of one engine as a small cost model.
+"""Cost model of the continuous batching of one engine.
 
-Nothing here knows of HTTP or of a reactor: the caller passes the time in
-and waits for the length of each step by itself.
+It is independent of HTTP and of the reactor: the code that uses it passes
+the current time in and schedules the end of each step.
 """
 import dataclasses
 import typing
@@ -13,18 +13,18 @@
 
 PREFILL_CHUNK = 512
 
-# Above the knee, half of the slots, each step grows; a full batch takes
-# GROWTH more than the time below the knee.
+# Step time is constant up to the knee, at half of the slots, and grows
+# linearly above it: with all slots in use it is 1 + GROWTH times as long.
 KNEE_SHARE = 0.5
 GROWTH = 0.32
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BatchConfig:
-    """Sizes and costs of one engine.
+    """Limits and costs of one engine.
 
-    ``tpot`` is the time between tokens below the knee, in seconds, and
-    ``prefill_per_token`` the time of one prompt token, in seconds.
+    ``tpot`` is the time per output token below the knee, and
+    ``prefill_per_token`` the time per prompt token, both in seconds.
     """
 
     slots: int = 8
@@ -38,29 +38,33 @@
 class Stream:
     """One request in the engine.
 
-    ``reader`` and ``form`` belong to the HTTP side; ``key`` is the
-    idempotency key. ``words`` is the whole answer, ``done`` of it made.
+    ``reader`` and ``template`` are used by the HTTP interface; ``key`` is
+    the idempotency key. ``words`` is the complete answer, one word per
+    token, of which the first ``generated`` have been generated.
     """
 
     rid: str
     tier: int
-    order: int
+    arrival_number: int
     prompt_tokens: int
-    keys: list
+    prefix_keys: list
     words: list
     finish_reason: str
-    done: int = 0
+    generated: int = 0
     prefill_left: int = 0
     started: bool = False
     finished: bool = False
     reader: typing.Any = None
-    form: typing.Any = None
+    template: typing.Any = None
     key: str | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class Batch:
-    """Running and waiting streams; ``kv_tokens`` counts the running."""
+    """Running and waiting streams.
+
+    ``kv_tokens`` is the number of KV tokens that running streams hold.
+    """
 
     cfg: BatchConfig
     cache: prefix_cache.PrefixCache
@@ -76,33 +80,33 @@
 
 
 def is_idle(batch):
-    """Tell whether there is nothing to run."""
+    """Tell whether no stream is running or waiting."""
     return not batch.running and not batch.waiting
 
 
 def is_full(batch):
-    """Tell whether one more stream would overflow the queue."""
+    """Tell whether slots and queue have no room for another stream."""
     backlog = len(batch.running) + len(batch.waiting)
     return backlog >= batch.cfg.slots + batch.cfg.max_queue
 
 
 def enqueue(batch, stream):
-    """Let a stream wait for a slot: lower tier numbers first."""
-    batch.waiting[(stream.tier, stream.order)] = stream
+    """Queue a stream for a slot, in order of tier number and arrival."""
+    batch.waiting[(stream.tier, stream.arrival_number)] = stream
 
 
 def remove(batch, stream):
-    """Take a stream out, wherever it is, and free what it held."""
-    batch.waiting.pop((stream.tier, stream.order), None)
+    """Remove a running or waiting stream and free its slot and KV tokens."""
+    batch.waiting.pop((stream.tier, stream.arrival_number), None)
     if batch.running.pop(stream.rid, None) is not None:
-        batch.kv_tokens -= stream.prompt_tokens + stream.done
+        batch.kv_tokens -= stream.prompt_tokens + stream.generated
 
 
 def begin_step(batch, now):
-    """Fill free slots and plan one step.
+    """Assign free slots and schedule the prefill of one step.
 
-    :returns: the length of the step in seconds and the streams that got
-              their first slot.
+    :returns: the duration of the step in seconds and the streams that
+              were given a slot for the first time.
     """
     started = _admit(batch, now)
     prefilled = _prefill(batch, now)
@@ -110,30 +114,32 @@
 
 
 def end_step(batch):
-    """Give one token to each stream past its prefill; return those."""
+    """Generate a token for each prefilled stream; return these streams."""
     emitted = [s for s in batch.running.values() if s.prefill_left == 0]
     for stream in emitted:
-        stream.done += 1
+        stream.generated += 1
     batch.kv_tokens += len(emitted)
     return emitted
 
 
-def make_room(batch):
+def preempt_over_limit(batch):
     """Preempt streams while the running ones exceed the KV memory.
 
-    The lowest tier goes first and in it the newest; a preempted stream
-    waits with what it has and is prefilled again.
+    The highest tier number is preempted first and within it the latest
+    arrival. A preempted stream keeps its generated words, returns to the
+    queue and is prefilled again.
     """
     while (batch.kv_tokens > batch.cfg.max_kv_tokens
            and len(batch.running) > 1):
-        victim = max(batch.running.values(), key=lambda s: (s.tier, s.order))
+        victim = max(batch.running.values(),
+                     key=lambda s: (s.tier, s.arrival_number))
         remove(batch, victim)
         enqueue(batch, victim)
         batch.preempted += 1
 
 
 def kv_used(batch):
-    """Return the share of the KV memory in use, prefix cache included."""
+    """Return the share of KV memory in use, prefix cache included."""
     cached = len(batch.cache.blocks) * texts.BLOCK_TOKENS
     return min(1.0, (batch.kv_tokens + cached) / batch.cfg.max_kv_tokens)
 
@@ -142,14 +148,15 @@
     started = []
     while batch.waiting and len(batch.running) < batch.cfg.slots:
         stream = batch.waiting.peekitem(0)[1]
-        need = stream.prompt_tokens + stream.done
-        if batch.kv_tokens + need > batch.cfg.max_kv_tokens:
+        needed_tokens = stream.prompt_tokens + stream.generated
+        if batch.kv_tokens + needed_tokens > batch.cfg.max_kv_tokens:
             break
         batch.waiting.popitem(0)
         batch.running[stream.rid] = stream
-        batch.kv_tokens += need
-        hit = prefix_cache.hit_tokens(batch.cache, stream.keys)
-        stream.prefill_left = max(1, need - hit)
+        batch.kv_tokens += needed_tokens
+        cached_tokens = prefix_cache.use_cached_prefix(
+            batch.cache, stream.prefix_keys)
+        stream.prefill_left = max(1, needed_tokens - cached_tokens)
         if not stream.started:
             stream.started = True
             started.append(stream)
@@ -157,24 +164,24 @@
 
 
 def _prefill(batch, now):
-    left = PREFILL_CHUNK
+    budget = PREFILL_CHUNK
     for stream in batch.running.values():
         if not stream.prefill_left:
             continue
-        part = min(left, stream.prefill_left)
-        stream.prefill_left -= part
-        left -= part
+        chunk = min(budget, stream.prefill_left)
+        stream.prefill_left -= chunk
+        budget -= chunk
         if not stream.prefill_left:
-            prefix_cache.store(batch.cache, stream.keys, now)
-        if not left:
+            prefix_cache.store(batch.cache, stream.prefix_keys, now)
+        if not budget:
             break
-    free = batch.cfg.max_kv_tokens - batch.kv_tokens
-    prefix_cache.shrink(batch.cache, free // texts.BLOCK_TOKENS, now)
-    return PREFILL_CHUNK - left
+    free_tokens = batch.cfg.max_kv_tokens - batch.kv_tokens
+    prefix_cache.shrink(batch.cache, free_tokens // texts.BLOCK_TOKENS, now)
+    return PREFILL_CHUNK - budget
 
 
 def _step_seconds(batch, prefilled):
-    knee = max(1.0, batch.cfg.slots * KNEE_SHARE)
-    above = max(0.0, len(batch.running) / knee - 1.0)
-    decode = batch.cfg.tpot * (1.0 + GROWTH * above)
-    return decode + prefilled * batch.cfg.prefill_per_token
+    knee_streams = max(1.0, batch.cfg.slots * KNEE_SHARE)
+    load_above_knee = max(0.0, len(batch.running) / knee_streams - 1.0)
+    decode_s = batch.cfg.tpot * (1.0 + GROWTH * load_above_knee)
+    return decode_s + prefilled * batch.cfg.prefill_per_token
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,13 +1,13 @@
-"""Program: one or several stand-in engines in one process."""
+"""Command that runs one or more stand-in engines in one process."""
 import argparse
 
 from standins import program
 
 
 def new_parser():
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = program.new_parser("stand-in model engines")
-    program.add_count(parser)
+    program.add_count_options(parser)
     parser.add_argument("--slots", type=int, default=8)
     parser.add_argument("--tpot", type=float, default=0.02)
     parser.add_argument("--prefill-per-token", type=float, default=0.0002)
@@ -20,24 +20,25 @@
     parser.add_argument("--grace", type=float, default=5.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--models", default="guide:1",
-                        help="MODEL:VERSION, with commas between")
+                        help="MODEL:VERSION pairs, comma-separated")
     parser.add_argument("--checks-fence", default=True,
                         action=argparse.BooleanOptionalAction)
     return parser
 
 
 def main():
-    """Serve the engines of the command line until a signal."""
+    """Serve the engines that the command line specifies until a signal."""
     parser = new_parser()
     args = parser.parse_args()
-    places = program.places(parser, args)
+    endpoints = program.endpoints(parser, args)
     reactor = program.install_reactor()
-    program.begin_logs()
+    program.configure_logging()
     from standins import engine_app
-    for place in places:
+    for endpoint in endpoints:
         engine_app.serve_engine(
-            reactor, _config(place.name, args), args.address, place.port)
-        program.log_listening("engine", place.name, args.address, place.port)
+            reactor, _config(endpoint.name, args), args.address, endpoint.port)
+        program.log_listening(
+            "engine", endpoint.name, args.address, endpoint.port)
     reactor.run()
 
 
--- a/standins/engine_state.py
+++ b/standins/engine_state.py
@@ -1,4 +1,4 @@
-"""State of one stand-in engine and what doesn't speak HTTP of it."""
+"""State of one stand-in engine and its operations, without HTTP."""
 import collections
 import dataclasses
 import typing
@@ -17,7 +17,7 @@
 class EngineConfig:
     """Settings of an engine; times in seconds.
 
-    ``models`` are pairs of model and version, ready at the start.
+    ``models`` are (model, version) pairs that are ready at the start.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadSample:
-    """One load report as it was at a time."""
+    """The load at one time."""
 
     at: float
     running: int
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Model:
-    """A model of the engine: ``status`` is loading or ready."""
+    """A model of the engine; ``status`` is ``loading`` or ``ready``."""
 
     version: str
     status: str
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """Faults in force; the names are those of the test interface."""
+    """Active faults, named as in the body of ``POST /faults``."""
 
     crash_on: str | None = None
     straggle: float = 1.0
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Runs:
-    """What was run since the process began; crashes don't clear it."""
+    """Counts since the process started; simulated crashes keep them."""
 
     by_request_id: collections.Counter
     by_idempotency_key: collections.Counter
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Boot:
-    """What a crash takes away."""
+    """State that a simulated crash resets."""
 
     boot_id: str
     batch: batching.Batch
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """One engine; ``listener`` is None until it serves."""
+    """One engine; ``listener`` is None until it is served."""
 
     reactor: typing.Any
     cfg: EngineConfig
@@ -103,14 +103,14 @@
 
 
 def new_engine(reactor, cfg):
-    """Return an engine with no streams."""
+    """Return an engine without streams."""
     runs = Runs(collections.Counter(), collections.Counter())
     boot = new_boot(cfg, reactor.seconds())
     return Engine(reactor, cfg, Faults(), runs, boot)
 
 
 def new_boot(cfg, now):
-    """Return the state of a freshly started engine."""
+    """Return the state of a newly started engine."""
     cache = prefix_cache.new_prefix_cache(
         cfg.cache_tokens, cfg.cache_event_loss, cfg.seed)
     return Boot(
@@ -129,14 +129,14 @@
 
 
 def serves(boot, model):
-    """Tell whether requests of a model or adapter can run."""
+    """Tell whether requests for a model or adapter can run."""
     known = boot.models.get(model)
     return model in boot.adapters or (
         known is not None and known.status == "ready")
 
 
 def new_stream(engine, rid, tier, body):
-    """Return the stream of a request body, not yet waiting."""
+    """Return the stream for a request body, not yet queued."""
     prompt = texts.prompt_text(body["messages"])
     prompt_tokens = texts.count_tokens(prompt)
     length = body.get("stop_after") or texts.draw_length(
@@ -147,18 +147,18 @@
     return batching.Stream(
         rid=rid,
         tier=tier,
-        order=engine.arrivals,
+        arrival_number=engine.arrivals,
         prompt_tokens=prompt_tokens,
-        keys=texts.prefix_keys(prompt),
+        prefix_keys=texts.prefix_keys(prompt),
         words=texts.expected_words(prompt, max(0, min(length, limit))),
         finish_reason="length" if length > limit else "stop")
 
 
 def load_report(engine):
-    """Return the body of a load report: the state of a lag ago."""
+    """Return a load report, which shows the load ``load_lag`` earlier."""
     boot = engine.boot
     cutoff = engine.reactor.seconds() - engine.cfg.load_lag
-    _drop_samples(boot.samples, cutoff)
+    _drop_old_samples(boot.samples, cutoff)
     sample = boot.samples[0]
     return {
         "boot_id": boot.boot_id,
@@ -170,21 +170,24 @@
 
 
 def sample_load(engine):
-    """Note the load now, at most eight times a lag unless it is idle."""
+    """Record the current load, at most LOAD_SAMPLES times per lag.
+
+    When the engine becomes idle it is always recorded.
+    """
     boot = engine.boot
     now = engine.reactor.seconds()
     spacing = engine.cfg.load_lag / LOAD_SAMPLES
     idle = batching.is_idle(boot.batch)
     if boot.samples[-1].at + spacing > now and not idle:
         return
-    _drop_samples(boot.samples, now - engine.cfg.load_lag)
+    _drop_old_samples(boot.samples, now - engine.cfg.load_lag)
     boot.samples.append(LoadSample(
         now, len(boot.batch.running), len(boot.batch.waiting),
         batching.kv_used(boot.batch)))
 
 
 def state_report(engine):
-    """Return the body of a state report."""
+    """Return a state report."""
     boot = engine.boot
     models = {name: dataclasses.asdict(model)
               for name, model in boot.models.items()}
@@ -196,11 +199,11 @@
         "highest_fence": boot.highest_fence}
 
 
-def is_stale(engine, fence):
-    """Tell whether an order's fencing number is refused, and note it.
+def is_stale_fence(engine, fence):
+    """Tell whether an order's fencing token is stale; else record it.
 
-    Engines that don't check fencing numbers note none either: their
-    highest number stays 0.
+    Engines that don't check fencing tokens don't record them either:
+    their ``highest_fence`` stays 0.
     """
     if not engine.cfg.checks_fence:
         return False
@@ -210,8 +213,8 @@
     return False
 
 
-def obey(engine, order):
-    """Carry out an order once; repeats of its id change nothing."""
+def execute_order(engine, order):
+    """Execute an order; one whose id has been executed is ignored."""
     boot = engine.boot
     if order["order_id"] in boot.orders:
         return
@@ -235,6 +238,6 @@
         engine.cfg.load_seconds, setattr, model, "status", "ready")
 
 
-def _drop_samples(samples, cutoff):
+def _drop_old_samples(samples, cutoff):
     while len(samples) > 1 and samples[1].at <= cutoff:
         samples.popleft()
--- a/standins/exceptions.py
+++ b/standins/exceptions.py
@@ -1,9 +1,9 @@
-"""Errors of the stand-ins."""
+"""Exceptions of the stand-ins."""
 
 
-class StandinError(Exception):
-    """Base of all errors of the stand-ins."""
+class StandInError(Exception):
+    """Base class of the exceptions of the stand-ins."""
 
 
-class BadBodyError(StandinError):
-    """A request body is no JSON or doesn't fit its schema."""
+class InvalidBodyError(StandInError):
+    """A request's body or query parameter is malformed or fails validation."""
--- a/standins/object_store.py
+++ b/standins/object_store.py
@@ -1,11 +1,11 @@
-"""State of the object API and of the host list, without HTTP."""
+"""Object store and host list of the stand-in platform, without HTTP."""
 import collections
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Object:
-    """One stored value and the version that wrote it."""
+    """One stored value and the version at which it was written."""
 
     body: bytes
     version: int
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Store:
-    """Objects by path; ``version`` grows by one a write to any."""
+    """Objects by path; each write or deletion increments ``version``."""
 
     objects: dict
     version: int = 0
@@ -21,16 +21,17 @@
 
 @dataclasses.dataclass(slots=True)
 class HostList:
-    """Hosts by name; ``pending`` are snapshots still to be shown.
+    """Hosts by name, which readers see after ``lag`` seconds.
 
-    ``lag`` is in seconds.
+    ``visible`` is the snapshot that readers see; ``pending`` are later
+    ones with the time at which each becomes visible.
     """
 
     lag: float
     hosts: dict
-    shown: list
+    visible: list
     pending: collections.deque
-    at: int = 1
+    revision: int = 1
 
 
 def new_store():
@@ -39,34 +40,34 @@
 
 
 def put(store, path, body):
-    """Write an object and return its version."""
+    """Write an object; return its version."""
     store.version += 1
     store.objects[path] = Object(body, store.version)
     return store.version
 
 
 def delete(store, path):
-    """Remove an object and return the version of the removal."""
+    """Delete an object; return the version of the deletion."""
     store.version += 1
     del store.objects[path]
     return store.version
 
 
 def version_of(store, path):
-    """Return the version of an object, 0 if there is none."""
+    """Return the version of an object, 0 if it does not exist."""
     obj = store.objects.get(path)
     return obj.version if obj else 0
 
 
 def new_host_list(hosts, lag):
-    """Return a list that shows its first hosts at once."""
-    by_name = {host["name"]: host for host in hosts}
+    """Return a host list; its initial hosts are visible at once."""
+    hosts_by_name = {host["name"]: host for host in hosts}
     return HostList(
-        lag, by_name, list(by_name.values()), collections.deque())
+        lag, hosts_by_name, list(hosts_by_name.values()), collections.deque())
 
 
 def set_hosts(host_list, hosts, removed, now):
-    """Set and remove entries; they show after the lag."""
+    """Add, replace and remove hosts; readers see it after the lag."""
     for host in hosts:
         host_list.hosts[host["name"]] = host
     for name in removed:
@@ -76,8 +77,8 @@
 
 
 def visible_hosts(host_list, now):
-    """Return the hosts that the list shows now."""
+    """Return the hosts that readers see now."""
     while host_list.pending and host_list.pending[0][0] <= now:
-        _, host_list.shown = host_list.pending.popleft()
-        host_list.at += 1
-    return host_list.shown
+        _, host_list.visible = host_list.pending.popleft()
+        host_list.revision += 1
+    return host_list.visible
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Program: the stand-in platform."""
+"""Command that runs the stand-in platform."""
 import json
 import pathlib
 
@@ -6,7 +6,7 @@
 
 
 def new_parser():
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = program.new_parser("stand-in platform")
     parser.add_argument("--hosts", type=pathlib.Path,
                         help='JSON file: {"hosts": [...]}')
@@ -16,13 +16,13 @@
 
 
 def main():
-    """Serve the platform of the command line until a signal."""
+    """Serve the platform that the command line specifies until a signal."""
     parser = new_parser()
     args = parser.parse_args()
     if args.port is None:
         parser.error("--port is required")
     reactor = program.install_reactor()
-    program.begin_logs()
+    program.configure_logging()
     from standins import object_api
     platform = object_api.new_platform(
         reactor, _read_hosts(args.hosts), args.host_list_lag, args.token)
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of one engine: least recently used, limited in tokens."""
+"""LRU prefix cache of one engine, with a capacity in tokens."""
 import collections
 import dataclasses
 import random
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One change of the cache; ``at`` is when it happened, in seconds."""
+    """One change of the cache; ``at`` is its time in seconds."""
 
     seq: int
     op: str
@@ -20,31 +20,31 @@
 
 @dataclasses.dataclass(slots=True)
 class PrefixCache:
-    """State of the cache: block keys, oldest use first, and its events."""
+    """Cached block keys, least recently used first, and change events."""
 
-    limit_blocks: int
-    loss: float
+    capacity_blocks: int
+    event_loss: float
     rng: random.Random
     blocks: collections.OrderedDict
     events: collections.deque
     seq: int = 0
 
 
-def new_prefix_cache(limit_tokens, loss, seed):
+def new_prefix_cache(capacity_tokens, event_loss, seed):
     """Return an empty cache.
 
-    :param loss: share of the events that callers never see, 0 to 1.
+    :param event_loss: share of the events that are never reported, 0 to 1.
     """
     return PrefixCache(
-        limit_blocks=limit_tokens // texts.BLOCK_TOKENS,
-        loss=loss,
+        capacity_blocks=capacity_tokens // texts.BLOCK_TOKENS,
+        event_loss=event_loss,
         rng=random.Random(seed),
         blocks=collections.OrderedDict(),
         events=collections.deque(maxlen=MAX_EVENTS))
 
 
-def hit_tokens(cache, keys):
-    """Return how many leading tokens are cached, and mark them as used."""
+def use_cached_prefix(cache, keys):
+    """Return the number of leading tokens cached; mark them as used."""
     hits = 0
     for key in keys:
         if key not in cache.blocks:
@@ -55,20 +55,20 @@
 
 
 def store(cache, keys, now):
-    """Keep the blocks of a prompt; the least recently used ones go."""
+    """Cache the blocks of a prompt; evict the least recently used."""
     for key in keys:
         if key not in cache.blocks:
-            _record(cache, "stored", key, now)
+            _add_event(cache, "stored", key, now)
         cache.blocks[key] = None
         cache.blocks.move_to_end(key)
-    shrink(cache, cache.limit_blocks, now)
+    shrink(cache, cache.capacity_blocks, now)
 
 
 def shrink(cache, max_blocks, now):
-    """Remove the least recently used blocks beyond max_blocks."""
+    """Evict the least recently used blocks beyond max_blocks."""
     while len(cache.blocks) > max(0, max_blocks):
         key, _ = cache.blocks.popitem(last=False)
-        _record(cache, "removed", key, now)
+        _add_event(cache, "removed", key, now)
 
 
 def events_after(cache, seq, visible_until):
@@ -77,8 +77,9 @@
             if event.seq > seq and event.at <= visible_until]
 
 
-def _record(cache, op, key, now):
+def _add_event(cache, op, key, now):
     cache.seq += 1
-    # A lost event leaves a gap in the sequence, as real engines do.
-    if cache.rng.random() >= cache.loss:
+    # A lost event leaves a gap in the sequence numbers, as with real
+    # engines.
+    if cache.rng.random() >= cache.event_loss:
         cache.events.append(CacheEvent(cache.seq, op, key, now))
--- a/standins/program.py
+++ b/standins/program.py
@@ -1,4 +1,4 @@
-"""What the three programs share: reactor, logs, ports of several."""
+"""Code shared by the stand-in commands: reactor, logging, ports."""
 import argparse
 import dataclasses
 import sys
@@ -9,8 +9,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
-    """Name and port of one stand-in of a process."""
+class Endpoint:
+    """Name and port of one stand-in of the process."""
 
     name: str
     port: int
@@ -19,16 +19,16 @@
 def install_reactor():
     """Install the asyncio reactor and return it.
 
-    klein installs the default reactor when it is imported, so programs
-    call this before they import their application.
+    Importing klein installs the default reactor, so commands must call
+    this before they import their application.
     """
     asyncioreactor.install()
     from twisted.internet import reactor
     return reactor
 
 
-def begin_logs():
-    """Write JSON lines to standard error, failures of Twisted included."""
+def configure_logging():
+    """Log JSON lines to standard error, including Twisted failures."""
     logger.remove()
     logger.add(sys.stderr, serialize=True, level="INFO")
     globalLogBeginner.beginLoggingTo(
@@ -36,38 +36,38 @@
 
 
 def new_parser(description):
-    """Return a parser with the options of every program."""
+    """Return a parser with the options common to all commands."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--address", default="127.0.0.1")
     parser.add_argument("--port", type=int)
     return parser
 
 
-def add_count(parser):
-    """Add the options of several stand-ins in one process."""
+def add_count_options(parser):
+    """Add the options for running several stand-ins in one process."""
     parser.add_argument("--name", required=True)
     parser.add_argument("--count", type=int)
     parser.add_argument("--first-port", type=int)
 
 
-def places(parser, args):
-    """Return the name and port of each stand-in, or leave with an error.
+def endpoints(parser, args):
+    """Return the endpoint of each stand-in, or exit with a usage error.
 
-    Without ``--count`` it is one of just that name; with it the names
-    are NAME-1 to NAME-K on ports from the first.
+    Without ``--count`` there is one, named NAME; with ``--count K`` they
+    are named NAME-1 to NAME-K, on consecutive ports from the first.
     """
     if args.count is None:
         if args.port is None:
             parser.error("--port is required without --count")
-        return [Place(args.name, args.port)]
+        return [Endpoint(args.name, args.port)]
     if args.first_port is None:
         parser.error("--count needs --first-port")
-    return [Place(f"{args.name}-{i + 1}", args.first_port + i)
+    return [Endpoint(f"{args.name}-{i + 1}", args.first_port + i)
             for i in range(args.count)]
 
 
 def log_listening(kind, name, address, port):
-    """Log that a stand-in serves."""
+    """Log that a stand-in accepts connections."""
     logger.bind(kind=kind, host=name, address=address, port=port).info(
         "listening")
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,30 +1,30 @@
-"""Program: one or several stand-in plain services in one process."""
+"""Command that runs one or more stand-in plain services in one process."""
 from standins import program
 
 
 def new_parser():
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = program.new_parser("stand-in plain services")
-    program.add_count(parser)
+    program.add_count_options(parser)
     parser.add_argument("--slots", type=int, default=16)
     parser.add_argument("--work-seconds", type=float, default=0.02)
     return parser
 
 
 def main():
-    """Serve the services of the command line until a signal."""
+    """Serve the services that the command line specifies until a signal."""
     parser = new_parser()
     args = parser.parse_args()
-    places = program.places(parser, args)
+    endpoints = program.endpoints(parser, args)
     reactor = program.install_reactor()
-    program.begin_logs()
+    program.configure_logging()
     from standins import service_app
-    for place in places:
+    for endpoint in endpoints:
         cfg = service_app.ServiceConfig(
-            place.name, args.slots, args.work_seconds)
-        service_app.serve_service(reactor, cfg, args.address, place.port)
+            endpoint.name, args.slots, args.work_seconds)
+        service_app.serve_service(reactor, cfg, args.address, endpoint.port)
         program.log_listening(
-            "service", place.name, args.address, place.port)
+            "service", endpoint.name, args.address, endpoint.port)
     reactor.run()
 
 
--- a/standins/service_app.py
+++ b/standins/service_app.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service: runs any request and counts its keys."""
+"""Stand-in plain service: runs any request and counts runs by key."""
 import collections
 import dataclasses
 import typing
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceConfig:
-    """Settings of a service; ``work_seconds`` is the time of one call."""
+    """Settings of a service; ``work_seconds`` is the duration of a call."""
 
     name: str
     slots: int = 16
@@ -25,7 +25,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """Faults in force; ``drop_answer`` is a count, or True for all."""
+    """Active faults.
+
+    ``drop_answer`` is the number of responses to drop, or True for all.
+    """
 
     delay_s: float = 0.0
     crash_on: str | None = None
@@ -34,7 +37,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Service:
-    """One service; ``runs`` counts by key and outlasts a crash."""
+    """One service.
+
+    ``runs`` counts runs by idempotency key; simulated crashes keep it.
+    """
 
     reactor: typing.Any
     cfg: ServiceConfig
@@ -47,7 +53,7 @@
 
 
 def serve_service(reactor, cfg, address, port):
-    """Start a service and return it."""
+    """Create a service, start serving it and return it."""
     service = Service(
         reactor, cfg, Faults(), collections.Counter(), uuid.uuid4().hex,
         collections.deque())
@@ -57,7 +63,7 @@
 
 
 def new_service_app(service):
-    """Return the application of a service."""
+    """Return the HTTP application of a service."""
     app = web.new_app()
     _add_reports(app, service)
     _add_faults(app, service)
@@ -72,11 +78,11 @@
 def _add_reports(app, service):
     @app.route("/runs", methods=["GET"])
     def runs(req):
-        return web.answer(req, 200, service.runs)
+        return web.json_response(req, 200, service.runs)
 
     @app.route("/load", methods=["GET"])
     def load(req):
-        return web.answer(req, 200, {
+        return web.json_response(req, 200, {
             "boot_id": service.boot_id,
             "running": service.running,
             "waiting": len(service.waiting),
@@ -90,40 +96,40 @@
     def set_faults(req):
         body = web.read_json(req, FAULTS_SCHEMA)
         if body.pop("silent", False):
-            web.silence_all(service.listener, req)
+            web.silence_connections(service.listener, req)
         if body.pop("crash", False):
             service.reactor.callLater(
-                web.FAULT_ANSWER_SECONDS, _crash, service)
+                web.CRASH_DELAY_SECONDS, _crash, service)
         web.set_fields(service.faults, body)
-        return web.answer_fields(req, service.faults)
+        return web.fields_response(req, service.faults)
 
 
 def _call(service, req):
     crash_on = service.faults.crash_on
     if crash_on and crash_on.encode() in req.content.read():
-        _count(service, req)
+        _count_run(service, req)
         _crash(service)
-        return web.never()
-    done = web.never()
+        return web.no_response()
+    done = web.no_response()
     service.waiting.append((req, done))
-    _fill_slots(service)
+    _start_waiting(service)
     return done
 
 
-def _fill_slots(service):
+def _start_waiting(service):
     while service.waiting and service.running < service.cfg.slots:
         req, done = service.waiting.popleft()
-        # The caller went away before the call began: it isn't run.
+        # The caller disconnected before the call started: don't run it.
         if done.called:
             continue
         service.running += 1
-        _count(service, req)
+        _count_run(service, req)
         service.reactor.callLater(
             service.cfg.work_seconds + service.faults.delay_s,
             _finish, service, service.boot_id, req, done)
 
 
-def _count(service, req):
+def _count_run(service, req):
     key = req.getHeader("Idempotency-Key")
     if key:
         service.runs[key] += 1
@@ -133,14 +139,14 @@
     if boot_id != service.boot_id:
         return
     service.running -= 1
-    _fill_slots(service)
+    _start_waiting(service)
     if done.called:
         return
     if service.faults.drop_answer:
-        _use_up_drop(service.faults)
+        _decrement_drop_answer(service.faults)
         web.abort(req)
         return
-    done.callback(web.answer(req, 200, {
+    done.callback(web.json_response(req, 200, {
         "service": service.cfg.name,
         "method": req.method.decode(),
         "path": req.path.decode(),
@@ -148,7 +154,7 @@
         "request_id": req.getHeader("X-Request-Id")}))
 
 
-def _use_up_drop(faults):
+def _decrement_drop_answer(faults):
     if faults.drop_answer is not True:
         faults.drop_answer -= 1
 
--- a/standins/texts.py
+++ b/standins/texts.py
@@ -1,4 +1,4 @@
-"""Pure functions over prompts: answer text, token counts, cache keys."""
+"""Answer text, token counts and cache keys as functions of a prompt."""
 import hashlib
 import json
 import math
@@ -10,8 +10,8 @@
 BYTES_PER_WORD = 2
 KEY_BYTES = 8
 
-# Median and spread of the drawn output lengths, in tokens. With this
-# spread one answer in a hundred is about eight times the median.
+# Median and sigma of the log-normal output lengths, in tokens. With this
+# sigma one answer in a hundred is longer than about eight times the median.
 LENGTH_MEDIAN = 60
 LENGTH_SIGMA = 0.9
 LENGTH_MAX = 2000
@@ -20,7 +20,7 @@
 def prompt_text(messages):
     """Return one string for a list of chat messages.
 
-    Content that is no string is taken as its sorted JSON.
+    Content that is not a string is encoded as JSON with sorted keys.
     """
     lines = []
     for msg in messages:
@@ -40,7 +40,7 @@
 
 
 def expected_text(prompt, n):
-    """Return the whole answer of n tokens to a prompt.
+    """Return the complete answer of n tokens to a prompt.
 
     :param prompt: the result of :func:`prompt_text`.
     :param n: ``usage.completion_tokens`` of the answer.
@@ -49,15 +49,15 @@
 
 
 def count_tokens(prompt):
-    """Return the tokens of a prompt, at four characters a token."""
+    """Return the number of tokens of a prompt, at four characters each."""
     return max(1, math.ceil(len(prompt) / CHARS_PER_TOKEN))
 
 
 def draw_length(prompt, seed):
     """Return the output length of a prompt, in tokens.
 
-    The length depends on the prompt and the seed alone, so that engines
-    of one seed give the same whole answer to the same prompt.
+    The length depends only on the prompt and the seed, so that engines
+    with the same seed give the same complete answer to a prompt.
     """
     rng = random.Random(f"{seed}:{prompt}")
     drawn = rng.lognormvariate(math.log(LENGTH_MEDIAN), LENGTH_SIGMA)
@@ -65,10 +65,10 @@
 
 
 def prefix_keys(prompt):
-    """Return the cache key of each whole block of 256 characters.
+    """Return the cache key of each complete block of 256 characters.
 
-    Key k covers the prompt from its start to the end of block k: the hex
-    form of the 8-byte blake2b digest of that text in UTF-8.
+    Key k covers the prompt from its start to the end of block k: it is
+    the 8-byte blake2b digest of that text in UTF-8, in hexadecimal.
     """
     digest = hashlib.blake2b(digest_size=KEY_BYTES)
     keys = []
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing of the stand-ins: listening, faults, JSON bodies."""
+"""HTTP utilities of the stand-ins: listening, faults, JSON bodies."""
 import dataclasses
 import json
 import typing
@@ -12,12 +12,12 @@
 from standins import exceptions
 
 JSON_TYPE = "application/json"
-FAULT_ANSWER_SECONDS = 0.02
+CRASH_DELAY_SECONDS = 0.02
 RESTART_SECONDS = 3.0
 
 
-class _Conn(policies.ProtocolWrapper):
-    """One connection; a silent one neither reads, writes nor closes."""
+class _Connection(policies.ProtocolWrapper):
+    """One connection; a silent one ignores reads, writes and closes."""
 
     silent = False
 
@@ -38,39 +38,39 @@
             super().loseConnection()
 
     def connectionLost(self, reason):
-        # Something between the ends has lost a silent connection, so the
-        # stand-in mustn't learn that the client has closed it.
+        # A silent connection simulates one that was dropped by a device on
+        # the path, so the stand-in must not see that the client closed it.
         if self.silent:
             self.factory.unregisterProtocol(self)
             return
         super().connectionLost(reason)
 
 
-class _ConnFactory(policies.WrappingFactory):
-    """Keeps track of the open connections."""
+class _ConnectionFactory(policies.WrappingFactory):
+    """Tracks the open connections."""
 
-    protocol = _Conn
+    protocol = _Connection
     noisy = False
 
 
 @dataclasses.dataclass(slots=True)
 class Listener:
-    """A listening port and its connections."""
+    """A listening port and its connections; ``number`` is the port number."""
 
     reactor: typing.Any
     address: str
     number: int
-    factory: _ConnFactory
+    factory: _ConnectionFactory
     port: typing.Any = None
 
 
 def new_app():
-    """Return an application that answers 400 to a bad body."""
+    """Return an application that answers 400 to an invalid body."""
     app = Klein()
 
-    @app.handle_errors(exceptions.BadBodyError)
-    def bad_body(req, failure):
-        return answer_error(req, 400, "bad_body", failure.getErrorMessage())
+    @app.handle_errors(exceptions.InvalidBodyError)
+    def on_invalid_body(req, failure):
+        return error_response(req, 400, "bad_body", failure.getErrorMessage())
 
     return app
 
@@ -79,31 +79,31 @@
     """Serve an application and return its listener."""
     site = server.Site(app.resource(), reactor=reactor, timeout=None)
     site.noisy = False
-    listener = Listener(reactor, address, number, _ConnFactory(site))
+    listener = Listener(reactor, address, number, _ConnectionFactory(site))
     _open_port(listener)
     return listener
 
 
-def conn_of(req):
-    """Return the connection that carries a request."""
+def connection_of(req):
+    """Return the connection of a request."""
     return req.channel.transport
 
 
 def abort(req):
-    """Break the connection of a request."""
-    conn_of(req).abortConnection()
+    """Abort the connection of a request."""
+    connection_of(req).abortConnection()
 
 
 def silence(conn):
-    """Make one connection silent for good."""
+    """Make a connection silent permanently."""
     conn.silent = True
 
 
-def silence_all(listener, but):
-    """Make the open connections silent, but the one of a request."""
-    spared = conn_of(but)
+def silence_connections(listener, exempt_req):
+    """Make all open connections silent except that of a request."""
+    exempt = connection_of(exempt_req)
     for conn in list(listener.factory.protocols):
-        conn.silent = conn.silent or conn is not spared
+        conn.silent = conn.silent or conn is not exempt
 
 
 def restart(listener):
@@ -117,20 +117,23 @@
     listener.reactor.callLater(RESTART_SECONDS, _open_port, listener)
 
 
-def answer(req, code, body):
-    """Set the status and return a JSON body."""
+def json_response(req, code, body):
+    """Set the response status; return the encoded JSON body."""
     req.setResponseCode(code)
     req.setHeader("Content-Type", JSON_TYPE)
     return json.dumps(body).encode()
 
 
-def answer_error(req, code, name, text):
-    """Set the status and return a JSON error body."""
-    return answer(req, code, {"error": {"code": name, "message": text}})
+def error_response(req, code, name, text):
+    """Set the response status; return an encoded JSON error body."""
+    return json_response(req, code, {"error": {"code": name, "message": text}})
 
 
 def new_schema(properties, required=(), strict=True):
-    """Return a validator for an object; a strict one has no others."""
+    """Return a validator of an object.
+
+    A strict one rejects properties that are not listed.
+    """
     return jsonschema.Draft202012Validator({
         "type": "object",
         "properties": properties,
@@ -139,53 +142,59 @@
 
 
 def read_json(req, validator):
-    """Return the JSON body of a request or raise BadBodyError."""
+    """Return the validated JSON body of a request.
+
+    :raises InvalidBodyError: it is not JSON or does not match the schema.
+    """
     return parse_json(req.content.read(), validator)
 
 
 def parse_json(raw, validator):
-    """Return the valid JSON in some bytes or raise BadBodyError."""
+    """Return the validated JSON value of some bytes.
+
+    :raises InvalidBodyError: it is not JSON or does not match the schema.
+    """
     try:
         body = json.loads(raw)
     except ValueError as exc:
-        raise exceptions.BadBodyError(str(exc)) from exc
+        raise exceptions.InvalidBodyError(str(exc)) from exc
     error = next(validator.iter_errors(body), None)
     if error is not None:
-        raise exceptions.BadBodyError(error.message)
+        raise exceptions.InvalidBodyError(error.message)
     return body
 
 
 def int_arg(req, name, default):
-    """Return a whole number of the query or raise BadBodyError."""
-    return _arg(req, name, default, int)
+    """Return an integer query parameter or raise InvalidBodyError."""
+    return _query_arg(req, name, default, int)
 
 
 def float_arg(req, name, default):
-    """Return a number of the query or raise BadBodyError."""
-    return _arg(req, name, default, float)
+    """Return a numeric query parameter or raise InvalidBodyError."""
+    return _query_arg(req, name, default, float)
 
 
 def set_fields(faults, values):
-    """Set the named fields of a state and keep the others."""
+    """Set the named faults; the others keep their values."""
     for name, value in values.items():
         setattr(faults, name, value)
 
 
-def answer_fields(req, faults):
-    """Return the fields of a state as the JSON body."""
-    return answer(req, 200, dataclasses.asdict(faults))
+def fields_response(req, faults):
+    """Return the active faults as a JSON response."""
+    return json_response(req, 200, dataclasses.asdict(faults))
 
 
-def never():
-    """Return a Deferred for a request that gets no answer."""
+def no_response():
+    """Return a Deferred for a request that is never answered."""
     return defer.Deferred(lambda _: None)
 
 
-def _arg(req, name, default, convert):
+def _query_arg(req, name, default, convert):
     try:
         return convert(req.args.get(name, [default])[0])
     except ValueError as exc:
-        raise exceptions.BadBodyError(f"{name!r} is no number") from exc
+        raise exceptions.InvalidBodyError(f"{name!r} is not a number") from exc
 
 
 def _open_port(listener):
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the stand-ins, in memory and on a test clock."""
+"""Tests of the stand-ins, on in-memory transports and a fake clock."""
--- a/tests/standins/client.py
+++ b/tests/standins/client.py
@@ -1,4 +1,4 @@
-"""An HTTP client in memory, on the factory of a stand-in's listener."""
+"""In-memory HTTP client of a stand-in's listener."""
 import dataclasses
 from http import client as http_client
 import io
@@ -8,41 +8,41 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Answer:
-    """One answer; ``whole`` is False while its body isn't at its end."""
+class Response:
+    """One response; ``complete`` is False if its body is still partial."""
 
     status: int
     headers: dict
     body: bytes
-    whole: bool
+    complete: bool
 
     @property
     def json(self):
-        """Return the body as JSON."""
+        """The body parsed as JSON."""
         return json.loads(self.body)
 
     @property
     def events(self):
-        """Return the server-sent events as pairs of id and data."""
+        """The server-sent events as pairs of id and data."""
         pairs = []
-        for block in self.body.decode().split("\n\n"):
-            if block:
-                first, second = block.split("\n")
-                pairs.append((first.removeprefix("id: "),
-                              second.removeprefix("data: ")))
+        for event_text in self.body.decode().split("\n\n"):
+            if event_text:
+                id_line, data_line = event_text.split("\n")
+                pairs.append((id_line.removeprefix("id: "),
+                              data_line.removeprefix("data: ")))
         return pairs
 
     @property
     def text(self):
-        """Return the joined content of the events."""
+        """The joined content of the events."""
         chunks = [json.loads(data) for _, data in self.events
                   if data != "[DONE]"]
         return "".join(chunk["choices"][0]["delta"].get("content", "")
                        for chunk in chunks)
 
 
-class Conn:
-    """One connection; each request clears what was received."""
+class Connection:
+    """One connection; each request discards the data received before."""
 
     def __init__(self, listener):
         self.transport = testing.StringTransportWithDisconnection()
@@ -55,7 +55,7 @@
         return self.transport.connected
 
     def send(self, method, path, body=None, **headers):
-        """Send one request; header names have _ for -."""
+        """Send one request; header names have underscores for dashes."""
         self.transport.clear()
         raw = body if isinstance(body, bytes) else b""
         if body is not None and raw is not body:
@@ -69,25 +69,25 @@
         return self
 
     def close(self):
-        """Close from the client's side."""
+        """Close the connection from the client's side."""
         self.transport.loseConnection()
 
-    def answer(self):
-        """Return what came since the last request, None if nothing."""
+    def response(self):
+        """Return the response to the last request, None if no data came."""
         if not self.transport.value():
             return None
-        resp = http_client.HTTPResponse(_Socket(self.transport.value()))
+        resp = http_client.HTTPResponse(_FakeSocket(self.transport.value()))
         resp.begin()
-        whole = True
+        complete = True
         try:
             body = resp.read()
         except http_client.IncompleteRead as exc:
             body = exc.partial
-            whole = False
-        return Answer(resp.status, dict(resp.headers), body, whole)
+            complete = False
+        return Response(resp.status, dict(resp.headers), body, complete)
 
 
-class _Socket:
+class _FakeSocket:
     def __init__(self, data):
         self.data = data
 
@@ -95,6 +95,6 @@
         return io.BytesIO(self.data)
 
 
-def call(listener, method, path, body=None, **headers):
-    """Send a request on a connection of its own; return its answer."""
-    return Conn(listener).send(method, path, body, **headers).answer()
+def request(listener, method, path, body=None, **headers):
+    """Send a request on a new connection; return the response."""
+    return Connection(listener).send(method, path, body, **headers).response()
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -12,23 +12,23 @@
 
 CHAT = "/v1/chat/completions"
 
-# A power of two, so that sums of the test clock are exact.
+# A power of two, so that sums of fake clock steps are exact.
 STEP = 1 / 64
 
 
 def chat(content, stop_after=20, **fields):
-    """Return a request body for a stream."""
+    """Return the body of a streaming chat request."""
     return {"model": "guide", "stream": True, "stop_after": stop_after,
             "messages": [{"role": "user", "content": content}], **fields}
 
 
-def answer_of(content, n):
-    """Return the whole answer that a checker expects."""
+def expected_answer(content, n):
+    """Return the complete answer that is expected for a prompt."""
     prompt = texts.prompt_text([{"role": "user", "content": content}])
     return texts.expected_text(prompt, n)
 
 
-class EngineCase(unittest.TestCase):
+class EngineTestCase(unittest.TestCase):
     def setUp(self):
         self.clock = testing.MemoryReactorClock()
 
@@ -48,43 +48,43 @@
         self.steps(round(n / STEP))
 
     def start(self, engine, rid, content, tier=1, **fields):
-        conn = client.Conn(engine.listener)
+        conn = client.Connection(engine.listener)
         return conn.send("POST", CHAT, chat(content, **fields),
                          X_Request_Id=rid, X_Priority=tier)
 
     def get(self, engine, path, **headers):
-        return client.call(engine.listener, "GET", path, **headers)
+        return client.request(engine.listener, "GET", path, **headers)
 
     def post(self, engine, path, body):
-        return client.call(engine.listener, "POST", path, body)
+        return client.request(engine.listener, "POST", path, body)
 
 
-class StreamTest(EngineCase):
-    def test_resume_gives_the_rest_whole(self):
-        """A caller's stream stops half way, then goes on.
+class StreamTest(EngineTestCase):
+    def test_resume_returns_the_remaining_events(self):
+        """A stream that is cut and resumed is complete and runs once.
 
-        The connection to the engine breaks after 7 events, the engine
-        generates on, and the client comes back on a new connection.
+        The connection breaks after 7 events, the engine continues to
+        generate, and the client resumes on a new connection.
         """
         engine = self.engine()
         self.post(engine, "/faults", {"break_after": 7})
         conn = self.start(engine, "r1", "tide?")
         self.steps(12)
-        first = conn.answer()
+        first = conn.response()
         self.assertFalse(conn.is_open)
         self.assertEqual(7, len(first.events))
-        again = client.Conn(engine.listener).send(
+        again = client.Connection(engine.listener).send(
             "GET", "/v1/streams/r1", Last_Event_ID=first.events[-1][0])
         self.steps(12)
-        rest = again.answer()
-        self.assertTrue(rest.whole)
-        self.assertEqual(answer_of("tide?", 20), first.text + rest.text)
+        rest = again.response()
+        self.assertTrue(rest.complete)
+        self.assertEqual(expected_answer("tide?", 20), first.text + rest.text)
         self.assertEqual([f"r1:{n}" for n in range(1, 23)],
                          [i for i, _ in first.events + rest.events])
         runs = self.get(engine, "/runs").json
         self.assertEqual({"r1": 1}, runs["by_request_id"])
 
-    def test_resume_after_the_end_and_of_bad_events(self):
+    def test_resume_after_the_end_and_with_invalid_event_ids(self):
         engine = self.engine()
         self.start(engine, "r1", "wind?", stop_after=3)
         self.steps(4)
@@ -100,21 +100,21 @@
         self.seconds(11)
         self.assertEqual(404, self.get(engine, "/v1/streams/r1").status)
 
-    def test_broken_stream_is_cancelled_after_the_grace(self):
-        """A caller goes away and never comes back.
+    def test_disconnected_stream_is_cancelled_after_the_grace_period(self):
+        """A stream whose caller disconnected must not keep its slot.
 
-        Its connection closes; when the grace period is over the engine
-        cancels the stream, so that the next request gets the slot.
+        The caller never reconnects: after the grace period the engine
+        cancels the stream and the next request gets the slot.
         """
         engine = self.engine(grace=10 * STEP)
-        gone = self.start(engine, "r1", "gone", stop_after=500)
-        kept = self.start(engine, "r2", "kept", stop_after=2)
+        disconnected = self.start(engine, "r1", "gone", stop_after=500)
+        waiting = self.start(engine, "r2", "kept", stop_after=2)
         self.steps(3)
-        gone.close()
+        disconnected.close()
         self.steps(8)
-        self.assertEqual([], kept.answer().events)
+        self.assertEqual([], waiting.response().events)
         self.steps(6)
-        self.assertEqual(answer_of("kept", 2), kept.answer().text)
+        self.assertEqual(expected_answer("kept", 2), waiting.response().text)
         self.assertEqual(404, self.get(engine, "/v1/streams/r1").status)
 
     def test_cancel_frees_the_slot(self):
@@ -123,82 +123,82 @@
         second = self.start(engine, "r2", "short", stop_after=2)
         self.steps(5)
         path = "/v1/streams/r1"
-        got = client.call(engine.listener, "DELETE", path)
+        got = client.request(engine.listener, "DELETE", path)
         self.assertEqual(204, got.status)
         self.assertFalse(first.is_open)
         self.steps(4)
-        self.assertEqual(answer_of("short", 2), second.answer().text)
+        self.assertEqual(expected_answer("short", 2), second.response().text)
         runs = self.get(engine, "/runs").json
         self.assertEqual(5, runs["tokens_cancelled"])
-        got = client.call(engine.listener, "DELETE", path)
+        got = client.request(engine.listener, "DELETE", path)
         self.assertEqual(404, got.status)
 
-    def test_whole_answer_and_hidden_length(self):
+    def test_non_streaming_response_has_the_drawn_length(self):
         engine = self.engine()
         body = chat("free", stream=False)
         del body["stop_after"]
-        conn = client.Conn(engine.listener).send(
+        conn = client.Connection(engine.listener).send(
             "POST", CHAT, body, X_Request_Id="r1")
         self.seconds(21)
-        got = conn.answer().json
+        got = conn.response().json
         count = got["usage"]["completion_tokens"]
         self.assertEqual(
             texts.draw_length("user: free", 1), count)
-        self.assertEqual(answer_of("free", count),
+        self.assertEqual(expected_answer("free", count),
                          got["choices"][0]["message"]["content"])
 
 
-class QueueTest(EngineCase):
+class QueueTest(EngineTestCase):
     def test_waiting_requests_run_by_tier(self):
         engine = self.engine()
         self.start(engine, "r1", "a", tier=3, stop_after=2)
-        low = self.start(engine, "r2", "b", tier=3, stop_after=2)
-        high = self.start(engine, "r3", "c", tier=1, stop_after=2)
+        low_tier = self.start(engine, "r2", "b", tier=3, stop_after=2)
+        high_tier = self.start(engine, "r3", "c", tier=1, stop_after=2)
         self.steps(4)
-        self.assertTrue(high.answer().whole)
-        self.assertEqual([], low.answer().events)
+        self.assertTrue(high_tier.response().complete)
+        self.assertEqual([], low_tier.response().events)
 
-    def test_refused_requests_were_not_run(self):
-        """A caller is told that its request was not run.
+    def test_refused_requests_are_not_run(self):
+        """A refused request must not be run or counted as run.
 
-        One finds the queue full and one a model that isn't loaded; no
-        count of runs may name them later.
+        One is refused because the queue is full, the other because its
+        model isn't loaded.
         """
         engine = self.engine(queue=1)
         self.start(engine, "r1", "a")
         self.start(engine, "r2", "b")
-        full = self.start(engine, "r3", "c").answer()
+        full = self.start(engine, "r3", "c").response()
         self.assertEqual((429, "1"),
                          (full.status, full.headers["Retry-After"]))
-        other = self.start(engine, "r4", "d", model="none").answer()
+        other = self.start(engine, "r4", "d", model="none").response()
         self.assertEqual(503, other.status)
         self.seconds(1)
         runs = self.get(engine, "/runs").json
         self.assertEqual({"r1": 1, "r2": 1}, runs["by_request_id"])
 
-    def test_full_memory_preempts_the_lowest_tier(self):
-        """Answers grow beyond the engine's KV memory.
+    def test_full_kv_memory_preempts_the_lowest_tier(self):
+        """A preempted stream must still get its complete answer.
 
-        The engine takes the slot of the lowest tier and runs it again
-        later; every caller still gets the whole answer.
+        The answers outgrow the engine's KV memory, so the engine preempts
+        the stream of the lowest tier and runs it again later.
         """
         engine = self.engine(slots=4, kv=60)
-        low = self.start(engine, "r1", "low", tier=3, stop_after=40)
-        high = self.start(engine, "r2", "high", tier=1, stop_after=40)
+        low_tier = self.start(engine, "r1", "low", tier=3, stop_after=40)
+        high_tier = self.start(engine, "r2", "high", tier=1, stop_after=40)
         self.steps(41)
-        self.assertTrue(high.answer().whole)
-        self.assertFalse(low.answer().whole)
+        self.assertTrue(high_tier.response().complete)
+        self.assertFalse(low_tier.response().complete)
         self.steps(40)
-        self.assertEqual(answer_of("low", 40), low.answer().text)
+        self.assertEqual(expected_answer("low", 40), low_tier.response().text)
         self.assertEqual(1, engine.boot.batch.preempted)
 
-    def test_step_grows_above_the_knee(self):
+    def test_step_time_grows_above_the_knee(self):
         for running, expected in ((1, 20), (2, 20), (4, 14)):
             engine = self.engine(slots=4)
             conns = [self.start(engine, f"r{i}", f"p{i}", stop_after=500)
                      for i in range(running)]
             self.clock.pump([STEP / 16] * 320)
-            self.assertEqual(expected, len(conns[0].answer().events))
+            self.assertEqual(expected, len(conns[0].response().events))
 
     def test_cached_prefix_shortens_the_prefill(self):
         engine = self.engine(prefill=0.001, load_lag=1.0,
@@ -206,12 +206,12 @@
         prompt = "x" * 1100
         first = self.start(engine, "r1", prompt, stop_after=1)
         self.steps(10)
-        self.assertEqual([], first.answer().events)
+        self.assertEqual([], first.response().events)
         self.steps(30)
-        self.assertTrue(first.answer().whole)
+        self.assertTrue(first.response().complete)
         second = self.start(engine, "r2", prompt, stop_after=1)
         self.steps(4)
-        self.assertTrue(second.answer().whole)
+        self.assertTrue(second.response().complete)
         path = "/cache/events?after=0"
         self.assertEqual([], self.get(engine, path).json["events"])
         self.seconds(1)
@@ -221,8 +221,8 @@
         self.assertLessEqual({e["prefix"] for e in got}, set(keys))
 
 
-class ReportTest(EngineCase):
-    def test_load_is_reported_with_a_lag(self):
+class ReportTest(EngineTestCase):
+    def test_load_report_has_a_lag(self):
         engine = self.engine(load_lag=1.0)
         self.seconds(2)
         self.start(engine, "r1", "a", stop_after=500)
@@ -231,11 +231,12 @@
         self.seconds(0.4)
         self.assertEqual(1, self.get(engine, "/load").json["running"])
 
-    def test_fencing_numbers(self):
-        """Two holders of the control lease give orders to one engine.
+    def test_fencing_tokens(self):
+        """An order with a lower fence is refused if the engine checks fences.
 
-        The old one was paused and its order comes late, with a lower
-        number: some engines refuse it and others carry it out.
+        The former holder of the control lease was paused, so its order
+        arrives after one of the new holder. Engines that don't check
+        fences execute it.
         """
         for checks, status, role, highest in (
                 (True, 409, "decode", 7), (False, 200, "prefill", 0)):
@@ -252,28 +253,28 @@
                 self.assertEqual((role, highest),
                                  (state["role"], state["highest_fence"]))
 
-    def test_repeated_order_changes_nothing(self):
+    def test_repeated_order_is_ignored(self):
         engine = self.engine(load_seconds=1.0)
         order = {"order_id": "o1", "kind": "load_model", "fence": 1,
                  "model": "new", "version": "2"}
         self.post(engine, "/orders", order)
         self.assertEqual(503, self.start(
-            engine, "r1", "a", model="new").answer().status)
+            engine, "r1", "a", model="new").response().status)
         self.seconds(1.1)
         got = self.post(engine, "/orders", order).json
         self.assertEqual({"version": "2", "status": "ready"},
                          got["state"]["models"]["new"])
         self.assertEqual(200, self.start(
-            engine, "r1", "a", model="new").answer().status)
+            engine, "r1", "a", model="new").response().status)
 
 
-class FaultTest(EngineCase):
-    def test_crash_drops_this_engine_only(self):
-        """One request crashes the engine that runs it.
+class FaultTest(EngineTestCase):
+    def test_crash_affects_only_one_engine(self):
+        """A crash must not affect other engines of the process.
 
-        All streams of that engine break and it refuses connections,
-        while another in the same process goes on; it comes back with a
-        new boot id and without the streams.
+        A request crashes the engine that runs it: its streams break and
+        it refuses connections until it restarts, with a new boot id and
+        no streams.
         """
         engine, other = self.engine(slots=2), self.engine()
         self.post(engine, "/faults", {"crash_on": "poison"})
@@ -282,7 +283,7 @@
                    self.start(other, "r2", "b")]
         self.steps(5)
         poison = self.start(engine, "r3", "a poison pill")
-        self.assertIsNone(poison.answer())
+        self.assertIsNone(poison.response())
         self.assertEqual([False, True], [c.is_open for c in streams])
         self.assertIsNone(engine.listener.port)
         ports = len(self.clock.tcpServers)
@@ -293,13 +294,13 @@
         self.assertEqual(404, self.get(engine, "/v1/streams/r1").status)
         runs = self.get(engine, "/runs").json["by_request_id"]
         self.assertEqual({"r1": 1, "r3": 1}, runs)
-        self.assertEqual(answer_of("b", 20), streams[1].answer().text)
+        self.assertEqual(expected_answer("b", 20), streams[1].response().text)
 
     def test_silent_connection(self):
-        """An open connection goes silent for good.
+        """A stream on a silent connection can be resumed on another.
 
-        Nothing comes on it, requests and a close on it are unheard, and
-        the engine generates on; a new connection resumes the stream.
+        The silent connection transfers no data in either direction, not
+        even its close; the engine continues to generate.
         """
         for fault in ({"silent_after": 5}, {"silent": True}):
             with self.subTest(fault=fault):
@@ -312,18 +313,19 @@
                 else:
                     engine.faults.silent_after = 6
                 self.steps(3)
-                seen = conn.answer()
+                seen = conn.response()
                 conn.close()
                 self.steps(30)
-                self.assertEqual(seen, conn.answer())
-                self.assertFalse(seen.whole)
+                self.assertEqual(seen, conn.response())
+                self.assertFalse(seen.complete)
                 rest = self.get(engine, "/v1/streams/r1",
                                 Last_Event_ID=seen.events[-1][0])
-                self.assertEqual(answer_of("a", 20), seen.text + rest.text)
+                self.assertEqual(expected_answer("a", 20),
+                                 seen.text + rest.text)
 
-    def test_straggler_is_slower_by_its_factor(self):
+    def test_straggle_factor_slows_the_engine(self):
         engine = self.engine()
         self.post(engine, "/faults", {"straggle": 4})
         conn = self.start(engine, "r1", "a")
         self.steps(40)
-        self.assertEqual(10, len(conn.answer().events))
+        self.assertEqual(10, len(conn.response().events))
