--- a/tools/faults/__init__.py
+++ b/tools/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Fault drive: a fleet of real processes, a load, and faults under it."""
+"""Fault drive: injects faults into a fleet of processes under load."""
--- a/tools/faults/__main__.py
+++ b/tools/faults/__main__.py
@@ -1,7 +1,8 @@
 """Run the fault drive: ``python -m tools.faults``.
 
-Prints one line a promise with its cases and violations. Exit code 1 on
-a violation, or where a promise had no case to judge.
+Prints one line per guarantee with the number of cases and violations. The
+exit code is 1 on a violation, if a guarantee had no case to check or if a
+step failed.
 """
 
 import argparse
@@ -15,24 +16,24 @@
 
 __all__ = ["main"]
 
-MOST_S = 118.0
+RUN_TIMEOUT_S = 118.0
 
 
 def new_parser():
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(
         prog="python -m tools.faults", description=__doc__)
     parser.add_argument("--rate", type=float, default=20.0,
-                        help="requests a second, before bursts")
+                        help="requests per second, bursts not included")
     parser.add_argument("--only", metavar="STEP,STEP",
-                        help="run just these steps of the script")
+                        help="run only these steps")
     parser.add_argument("--keep", metavar="FOLDER",
-                        help="keep the processes' files here")
+                        help="keep the process files in this new folder")
     return parser
 
 
 def main(argv=None):
-    """Run the drive; return its exit code."""
+    """Run the fault drive; return its exit code."""
     args = new_parser().parse_args(argv)
     asyncioreactor.install()
     from twisted.internet import defer
@@ -40,21 +41,21 @@
     reactor.seconds = time.monotonic
     if args.keep:
         pathlib.Path(args.keep).mkdir(parents=True)
-        return _run(reactor, defer, args, args.keep)
+        return _run_drive(reactor, defer, args, args.keep)
     with tempfile.TemporaryDirectory() as folder:
-        return _run(reactor, defer, args, folder)
+        return _run_drive(reactor, defer, args, folder)
 
 
-def _run(reactor, defer, args, folder):
-    from tools.faults import drive
+def _run_drive(reactor, defer, args, folder):
     from tools.faults import fleet as fleets
+    from tools.faults import runner
 
     fleet = fleets.new_fleet(folder)
     codes = []
     try:
-        run = defer.Deferred.fromCoroutine(drive.run(reactor, args, fleet))
-        # A stop, as a cancelled step could go on.
-        reactor.callLater(MOST_S, _too_long, reactor)
+        run = defer.Deferred.fromCoroutine(runner.run(reactor, args, fleet))
+        # Stops the reactor, since a cancelled step could continue.
+        reactor.callLater(RUN_TIMEOUT_S, _on_timeout, reactor)
         run.addCallbacks(codes.append, _print_failure)
         run.addBoth(lambda _: reactor.callLater(0, _stop, reactor))
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -62,7 +63,7 @@
                 _stop, reactor))
         reactor.run(installSignalHandlers=False)
     finally:
-        fleets.end_all(fleet)
+        fleets.stop_all(fleet)
     return codes[0] if codes else 1
 
 
@@ -71,13 +72,13 @@
         reactor.stop()
 
 
-def _too_long(reactor):
-    print(f"FAILED not over after {MOST_S} s", flush=True)
+def _on_timeout(reactor):
+    print(f"FAILED timed out after {RUN_TIMEOUT_S} s", flush=True)
     _stop(reactor)
 
 
-def _print_failure(fail):
-    fail.printTraceback(sys.stderr)
+def _print_failure(failure):
+    failure.printTraceback(sys.stderr)
 
 
 if __name__ == "__main__":
--- a/tools/faults/checks.py
+++ b/tools/faults/checks.py
@@ -1,209 +1,223 @@
-"""The verdicts: one line a promise, with cases and violations."""
+"""Checks of the guarantees; prints one line for each."""
 
 import collections
 import dataclasses
 
 from tools.faults import load as loads
 from tools.faults import script
-from tools.faults import tiers
+from tools.faults import tier_checks
 
-__all__ = ["Evidence", "Finding", "show"]
+__all__ = ["Check", "Results", "print_report"]
 
-IN_FORCE_S = 4.0
-MOST_CRASHES = 2
-SHOWN = 5
+SETTINGS_DEADLINE_S = 4.0
+MAX_POISON_CRASHES = 2
+MAX_SHOWN_VIOLATIONS = 5
 DRAIN_SLACK_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Evidence:
-    """All that was seen; ``runs`` are (role, name, counts)."""
+class Results:
+    """All that was recorded; ``runs`` are (role, name, counts)."""
 
-    asks: list
+    requests: list
     runs: list
     samples: list
-    facts: script.Facts
-    rows: list
-    control_rows: list
+    observations: script.Observations
+    entry_events: list
+    control_events: list
 
 
 @dataclasses.dataclass(slots=True)
-class Finding:
-    """A promise's cases and violations, each with its story."""
+class Check:
+    """Number of cases and descriptions of violations of one guarantee."""
 
-    promise: str
+    guarantee: str
     cases: int = 0
     violations: list = dataclasses.field(default_factory=list)
 
-    def judge(self, right, story):
-        """Count a case; ``story`` is kept if it was a violation."""
+    def record(self, passed, detail):
+        """Count a case; ``detail`` is kept if it is a violation."""
         self.cases += 1
-        if not right:
-            self.violations.append(story)
-
-
-def _whole(seen):
-    out = Finding("each caller gets the whole answer to its own request")
-    for ask in seen.asks:
-        stuck = any(each.end == "stuck" for each in ask.tries)
-        if stuck or ask.verdict != "refused":
-            out.judge(ask.verdict == "right" and not stuck, ask.brief())
-    return out
-
-
-def _runs_by_key(seen):
-    ran = collections.Counter()
-    for role, _name, counts in seen.runs:
-        ran.update(counts["by_idempotency_key"] if role == "engine"
-                   else counts)
-    return ran
-
-
-def _not_run(seen):
-    out = Finding("refused as not run: it was not run")
-    ran = _runs_by_key(seen)
-    for ask in seen.asks:
-        if ask.verdict != "refused" or ask.last.outcome != "not_run":
+        if not passed:
+            self.violations.append(detail)
+
+
+def _check_answers(results):
+    check = Check("each caller gets the complete answer to its own request")
+    for request in results.requests:
+        stuck = any(each.result == "stuck" for each in request.attempts)
+        if stuck or request.verdict != "refused":
+            check.record(request.verdict == "right" and not stuck,
+                         request.summary())
+    return check
+
+
+def _runs_by_key(results):
+    runs = collections.Counter()
+    for role, _name, counts in results.runs:
+        runs.update(counts["by_idempotency_key"] if role == "engine"
+                    else counts)
+    return runs
+
+
+def _check_not_run(results):
+    check = Check("a request that is refused as not run was not run")
+    runs = _runs_by_key(results)
+    for request in results.requests:
+        if (request.verdict != "refused"
+                or request.last_attempt.outcome != "not_run"):
             continue
-        # A repeatable request may have run for an earlier try, which
-        # said so or was cut.
-        earlier = any(each.end in ("cut", "stuck", "failed")
+        # A repeatable request may have run for an earlier attempt, if that
+        # reported so or broke off.
+        earlier = any(each.result in ("cut", "stuck", "failed")
                       or each.outcome in ("ran", "unknown")
-                      for each in ask.tries[:-1])
-        if ask.booking or not earlier:
-            out.judge(ran[ask.key] == 0, f"{ran[ask.key]} runs: {ask.brief()}")
-    return out
-
-
-def _once(seen):
-    out = Finding("a non-repeatable request runs at most once")
-    ran = _runs_by_key(seen)
-    for ask in seen.asks:
-        if not ask.booking or not ask.tries:
+                      for each in request.attempts[:-1])
+        if request.non_repeatable or not earlier:
+            check.record(runs[request.key] == 0,
+                         f"{runs[request.key]} runs: {request.summary()}")
+    return check
+
+
+def _check_at_most_one_run(results):
+    check = Check("a non-repeatable request runs at most once")
+    runs = _runs_by_key(results)
+    for request in results.requests:
+        if not request.non_repeatable or not request.attempts:
             continue
-        count = ran[ask.key]
-        right = count == 1 if ask.verdict == "right" else count <= 1
-        out.judge(right, f"{count} runs: {ask.brief()}")
-    return out
-
-
-def _leaving(seen):
-    out = Finding("a leaving server gets no new work after 3 s")
-    for each in seen.facts.leaving:
-        if each.elsewhere:
-            out.judge(each.after == each.before, str(each))
-    return out
-
-
-def _drain(seen):
-    out = Finding("a planned stop cuts off no request in progress")
-    facts = seen.facts
-    for ask in seen.asks:
-        for each in ask.tries:
-            if _was_held(each, facts):
-                out.judge(each.end not in ("cut", "failed", "stuck"),
-                          f"{each} of {ask.key} {ask.class_name}")
-    if out.cases and facts.drain_code != 0:
-        out.violations.append(f"{facts.drained}: {facts.drain_code}")
-    return out
-
-
-def _was_held(attempt, facts):
-    return (attempt.host == facts.drained and attempt.end != "unreached"
-            and attempt.began < facts.drain_at - DRAIN_SLACK_S
-            and attempt.ended > facts.drain_at)
-
-
-def _settings(seen):
-    out = Finding("accepted settings: in force within 4 s, never back")
+        count = runs[request.key]
+        passed = count == 1 if request.verdict == "right" else count <= 1
+        check.record(passed, f"{count} runs: {request.summary()}")
+    return check
+
+
+def _check_draining(results):
+    check = Check("a leaving server gets no new work after 3 s")
+    for each in results.observations.draining_servers:
+        if each.other_runs:
+            check.record(each.runs_after == each.runs_before, str(each))
+    return check
+
+
+def _check_planned_stop(results):
+    check = Check("a planned stop interrupts no request in progress")
+    obs = results.observations
+    for request in results.requests:
+        for each in request.attempts:
+            if _was_in_progress(each, obs):
+                check.record(each.result not in ("cut", "failed", "stuck"),
+                             f"{each} of {request.key} {request.class_name}")
+    if check.cases and obs.drain_exit_code != 0:
+        check.violations.append(f"{obs.drained_host}: {obs.drain_exit_code}")
+    return check
+
+
+def _was_in_progress(attempt, obs):
+    return (attempt.host == obs.drained_host and attempt.result != "unreached"
+            and attempt.started_at < obs.drain_started_at - DRAIN_SLACK_S
+            and attempt.ended_at > obs.drain_started_at)
+
+
+def _check_settings(results):
+    check = Check(
+        "accepted settings are in force within 4 s and never reverted")
     newest = collections.defaultdict(int)
-    for sample in seen.samples:
-        right = sample.generation >= newest[sample.host]
-        out.judge(right, f"back from {newest[sample.host]}: {sample}")
+    for sample in results.samples:
+        passed = sample.generation >= newest[sample.host]
+        check.record(passed, f"reverted from {newest[sample.host]}: {sample}")
         newest[sample.host] = max(newest[sample.host], sample.generation)
-    accepted = seen.facts.accepted
-    if not accepted or len(accepted) < seen.facts.races:
-        out.violations.append(f"accepted {accepted}")
-    if seen.facts.rejected != seen.facts.races:
-        out.violations.append(
-            f"{seen.facts.rejected} of {seen.facts.races} racing batches "
-            "were refused")
+    accepted = results.observations.accepted
+    if not accepted or len(accepted) < results.observations.races:
+        check.violations.append(f"accepted {accepted}")
+    if results.observations.rejected != results.observations.races:
+        check.violations.append(
+            f"{results.observations.rejected} of "
+            f"{results.observations.races} conflicting batches were refused")
     for generation, at in accepted:
-        _in_force(seen, out, generation, at)
-    return out
+        _check_in_force(results, check, generation, at)
+    return check
 
 
-def _in_force(seen, out, generation, at):
-    for host in sorted({sample.host for sample in seen.samples}):
-        after = [sample for sample in seen.samples
-                 if sample.host == host and sample.sent_at > at + IN_FORCE_S]
-        if after and not _is_down(seen.facts, host, at, after[0].at):
-            out.judge(after[0].generation >= generation,
-                      f"{generation} accepted at {at}: {after[0]}")
+def _check_in_force(results, check, generation, at):
+    for host in sorted({sample.host for sample in results.samples}):
+        after = [sample for sample in results.samples
+                 if sample.host == host
+                 and sample.sent_at > at + SETTINGS_DEADLINE_S]
+        if after and not _is_down(results.observations, host, at,
+                                  after[0].received_at):
+            check.record(after[0].generation >= generation,
+                         f"{generation} accepted at {at}: {after[0]}")
 
 
-def _is_down(facts, host, begin, end):
+def _is_down(obs, host, begin, end):
     return any(name == host and since < end and begin < until
-               for name, since, until in facts.down)
+               for name, since, until in obs.downtimes)
 
 
-def _poison(seen):
-    out = Finding("one poison request crashes at most 2 engines")
-    for prompt in script.POISONS:
-        crashes = [name for role, name, counts in seen.runs
+def _check_poison(results):
+    check = Check("one poison request crashes at most 2 engines")
+    for prompt in script.POISON_PROMPTS:
+        crashes = [name for role, name, counts in results.runs
                    if role == "engine"
                    for key, count in counts["by_idempotency_key"].items()
                    if key.startswith(prompt + "#") for _ in range(count)]
         if crashes:
-            out.judge(len(crashes) <= MOST_CRASHES,
-                      f"{prompt} crashed {crashes}")
-    return out
+            check.record(len(crashes) <= MAX_POISON_CRASHES,
+                         f"{prompt} crashed {crashes}")
+    return check
 
 
-def _orders(seen):
-    out = Finding("a woken holder of the control lease gives no order")
-    facts = seen.facts
-    if not facts.paused_control or not facts.woken_ts:
-        return out
+def _check_fencing(results):
+    check = Check(
+        "a resumed former holder of the control lease sends no order")
+    obs = results.observations
+    if not obs.paused_control or not obs.resumed_ts:
+        return check
     fence = 0
-    for row in seen.control_rows:
-        if row.kind == "lease_acquired":
-            fence = max(fence, row.fields["fence"])
-        if row.kind == "order_sent":
-            out.judge(row.fields["fence"] >= fence, str(row))
-    taken = [row for row in seen.control_rows
-             if row.kind == "lease_acquired"
-             and row.host != facts.paused_control
-             and row.ts < facts.woken_ts]
-    if not taken:
-        out.violations.append("nobody took the lease over")
-    return out
-
-
-def show(seen):
-    """Print a line a promise; return the exit code."""
-    findings = [tiers.protected(seen, Finding), tiers.no_starving(
-        seen, Finding), _whole(seen), _not_run(seen), _once(seen),
-        _leaving(seen), _drain(seen), _settings(seen), _poison(seen),
-        _orders(seen)]
-    _print_load(seen)
-    broken = [step for step in seen.facts.steps if step[-1] != "done"]
-    for each in findings:
-        good = each.cases and not each.violations
-        print(f"{'ok    ' if good else 'FAILED'} {each.promise}: "
+    for event in results.control_events:
+        if event.kind == "lease_acquired":
+            fence = max(fence, event.fields["fence"])
+        if event.kind == "order_sent":
+            check.record(event.fields["fence"] >= fence, str(event))
+    takeovers = [event for event in results.control_events
+                 if event.kind == "lease_acquired"
+                 and event.host != obs.paused_control
+                 and event.ts < obs.resumed_ts]
+    if not takeovers:
+        check.violations.append("no other control program acquired the lease")
+    return check
+
+
+def print_report(results):
+    """Print a line per guarantee; return the exit code."""
+    checks = [
+        tier_checks.check_shedding_order(results, Check),
+        tier_checks.check_starvation(results, Check),
+        _check_answers(results), _check_not_run(results),
+        _check_at_most_one_run(results), _check_draining(results),
+        _check_planned_stop(results), _check_settings(results),
+        _check_poison(results), _check_fencing(results)]
+    _print_traffic(results)
+    failed_steps = [step for step in results.observations.steps
+                    if step[-1] != "done"]
+    for each in checks:
+        passed = each.cases and not each.violations
+        print(f"{'ok    ' if passed else 'FAILED'} {each.guarantee}: "
               f"{each.cases} cases, {len(each.violations)} violations")
-        for story in each.violations[:SHOWN]:
-            print(f"         {story}")
-    return int(bool(broken) or any(
-        each.violations or not each.cases for each in findings))
-
-
-def _print_load(seen):
-    for mix in loads.CLASSES:
-        asks = [a for a in seen.asks if a.class_name == mix.class_name]
-        words = collections.Counter(a.verdict or "missing" for a in asks)
+        for detail in each.violations[:MAX_SHOWN_VIOLATIONS]:
+            print(f"         {detail}")
+    return int(bool(failed_steps) or any(
+        each.violations or not each.cases for each in checks))
+
+
+def _print_traffic(results):
+    for traffic in loads.TRAFFIC_CLASSES:
+        requests = [request for request in results.requests
+                    if request.class_name == traffic.class_name]
+        verdicts = collections.Counter(
+            request.verdict or "missing" for request in requests)
         codes = collections.Counter(
-            a.last.code for a in asks if a.verdict == "refused")
-        tries = sum(len(a.tries) for a in asks)
-        print(f"  {mix.class_name:20} {len(asks)} asks, {tries} tries, "
-              f"{dict(words)} {dict(codes)}")
+            request.last_attempt.code for request in requests
+            if request.verdict == "refused")
+        attempts = sum(len(request.attempts) for request in requests)
+        print(f"  {traffic.class_name:20} {len(requests)} requests, "
+              f"{attempts} attempts, {dict(verdicts)} {dict(codes)}")
--- a/tools/faults/load.py
+++ b/tools/faults/load.py
@@ -1,4 +1,4 @@
-"""The mixed load: who asks what, how often."""
+"""Generates a mixed load of several request classes and workspaces."""
 
 import dataclasses
 import random
@@ -10,16 +10,20 @@
 from tools import demo_report
 from tools.faults import callers
 
-__all__ = ["CLASSES", "Load", "Mix", "finish", "new_load", "poison",
-           "run", "send"]
+__all__ = ["LoadGenerator", "TRAFFIC_CLASSES", "TrafficClass",
+           "new_generator", "run", "send", "send_poison",
+           "wait_for_verdicts"]
 
-DESKS = 12
-PLAIN = "hire-desk"
+CALLER_COUNT = 12
+PLAIN_SERVICE = "hire-desk"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mix:
-    """A class and its share; ``service`` if it is a booking's."""
+class TrafficClass:
+    """A request class and its share of the load.
+
+    ``service`` is set for requests to a plain service.
+    """
 
     class_name: str
     tier: int
@@ -28,76 +32,79 @@
     max_tokens: int = 150
 
 
-CLASSES = (
-    Mix("ramp-briefing", 1, 0.15),
-    Mix("safety-question", 1, 0.15),
-    Mix("launch-confirmation", 1, 0.25, PLAIN),
-    Mix("boat-return", 2, 0.15, PLAIN),
-    Mix("trip-planning", 2, 0.15),
-    Mix("waiver-summary", 3, 0.15),
+TRAFFIC_CLASSES = (
+    TrafficClass("ramp-briefing", 1, 0.15),
+    TrafficClass("safety-question", 1, 0.15),
+    TrafficClass("launch-confirmation", 1, 0.25, PLAIN_SERVICE),
+    TrafficClass("boat-return", 2, 0.15, PLAIN_SERVICE),
+    TrafficClass("trip-planning", 2, 0.15),
+    TrafficClass("waiver-summary", 3, 0.15),
 )
 
 
 @dataclasses.dataclass(slots=True)
-class Load:
-    """State of the generator; ``asks`` has all requests ever sent."""
+class LoadGenerator:
+    """State of the generator; ``requests`` are all that were sent."""
 
     reactor: object
     rng: random.Random
-    desks: list
+    callers: list
     tree: object
     rate: float
-    on: bool = True
-    asks: list = dataclasses.field(default_factory=list)
+    running: bool = True
+    requests: list = dataclasses.field(default_factory=list)
 
 
-def new_load(reactor, http, doors, tree, rate, seed=1):
-    """Return a load of some desks, spread over the workspaces."""
+def new_generator(reactor, http, entry_urls, tree, rate, seed=1):
+    """Return a generator with callers drawn by workspace weight."""
     rng = random.Random(seed)
-    weighted = demo_report.weights(tree)
-    names, weights = zip(*sorted(weighted.items()))
-    desks = [callers.new_desk(reactor, http, doors, name, f"{seed}/{i}")
-             for i, name in enumerate(rng.choices(names, weights, k=DESKS))]
-    return Load(reactor, rng, desks, tree, rate)
-
-
-async def run(load):
-    """Send at random gaps until ``load.on`` is False."""
-    shares = [mix.share for mix in CLASSES]
-    while load.on:
-        mix = load.rng.choices(CLASSES, shares)[0]
-        send(load, mix)
+    weight_by_workspace = demo_report.workspace_weights(tree)
+    names, weights = zip(*sorted(weight_by_workspace.items()))
+    load_callers = [
+        callers.new_caller(reactor, http, entry_urls, name, f"{seed}/{i}")
+        for i, name in enumerate(
+            rng.choices(names, weights, k=CALLER_COUNT))]
+    return LoadGenerator(reactor, rng, load_callers, tree, rate)
+
+
+async def run(generator):
+    """Send at random intervals until ``generator.running`` is False."""
+    shares = [traffic.share for traffic in TRAFFIC_CLASSES]
+    while generator.running:
+        traffic = generator.rng.choices(TRAFFIC_CLASSES, shares)[0]
+        send(generator, traffic)
         await task.deferLater(
-            load.reactor, load.rng.expovariate(load.rate))
+            generator.reactor, generator.rng.expovariate(generator.rate))
 
 
-def send(load, mix, prompt="", key="", desk=None):
-    """Send one request; return its :class:`callers.Ask`."""
-    number = len(load.asks)
+def send(generator, traffic, prompt="", key="", caller=None):
+    """Start sending one request; return its :class:`callers.Request`."""
+    number = len(generator.requests)
     key = key or f"k{number}"
-    desk = desk or load.rng.choice(load.desks)
-    policy = conf.resolve(load.tree, desk.workspace, mix.class_name)
-    ask = callers.Ask(
-        key, mix.class_name, desk.workspace, mix.service,
-        prompt or f"{key} {mix.class_name} " + "tide and wind " * 20,
-        mix.max_tokens, policy.deadline_s,
-        patient=load.rng.random() < 0.7)
-    load.asks.append(ask)
-    defer.Deferred.fromCoroutine(callers.perform(desk, ask))
-    return ask
-
-
-def poison(load, prompt, number):
-    """Send a poison request from the next desk; a key of its own."""
-    desk = load.desks[number % len(load.desks)]
-    return send(load, CLASSES[1], prompt, f"{prompt}#{number}", desk)
-
-
-async def finish(load, span_s):
-    """Wait for all answers, at most so long."""
-    load.on = False
-    ends = load.reactor.seconds() + span_s
-    while load.reactor.seconds() < ends:
-        if all(ask.verdict for ask in load.asks):
+    caller = caller or generator.rng.choice(generator.callers)
+    policy = conf.resolve(generator.tree, caller.workspace, traffic.class_name)
+    request = callers.Request(
+        key, traffic.class_name, caller.workspace, traffic.service,
+        prompt or f"{key} {traffic.class_name} " + "tide and wind " * 20,
+        traffic.max_tokens, policy.deadline_s,
+        retries_refusals=generator.rng.random() < 0.7)
+    generator.requests.append(request)
+    defer.Deferred.fromCoroutine(callers.perform(caller, request))
+    return request
+
+
+def send_poison(generator, prompt, number):
+    """Send a poison request from the next caller, with a new key."""
+    caller = generator.callers[number % len(generator.callers)]
+    return send(generator, TRAFFIC_CLASSES[1], prompt, f"{prompt}#{number}",
+                caller)
+
+
+async def wait_for_verdicts(generator, timeout_s):
+    """Stop sending; wait until all requests have a verdict, or time out."""
+    generator.running = False
+    deadline = generator.reactor.seconds() + timeout_s
+    while generator.reactor.seconds() < deadline:
+        if all(request.verdict for request in generator.requests):
             return
-        await task.deferLater(load.reactor, 0.1)
+        await task.deferLater(generator.reactor, 0.1)
--- a/tools/faults/streams.py
+++ b/tools/faults/streams.py
@@ -1,4 +1,4 @@
-"""A streamed answer over any number of connections, and its verdict."""
+"""Assembles and checks an answer streamed over several connections."""
 
 import dataclasses
 import json
@@ -7,7 +7,7 @@
 
 __all__ = ["Stream", "messages", "new_stream"]
 
-_END = b"\n\n"
+_EVENT_SEPARATOR = b"\n\n"
 
 
 def messages(prompt):
@@ -16,68 +16,74 @@
 
 
 def new_stream(prompt):
-    """Return a stream of which nothing came."""
+    """Return a stream without events."""
     return Stream(prompt)
 
 
 @dataclasses.dataclass(slots=True)
 class Stream:
-    """The events of one answer; a half event of a cut is dropped."""
+    """The events of one answer.
+
+    An event that is incomplete when its connection breaks is dropped.
+    """
 
     prompt: str
     last_id: str = ""
     words: list[str] = dataclasses.field(default_factory=list)
-    numbers: list[int] = dataclasses.field(default_factory=list)
+    event_numbers: list[int] = dataclasses.field(default_factory=list)
     usage: dict | None = None
     error: dict | None = None
-    ended: bool = False
-    rest: bytes = b""
+    complete: bool = False
+    buffer: bytes = b""
 
-    def begin(self, resumed):
-        """Take a new connection: the rest of the stream, or all anew."""
-        self.rest = b""
+    def start_connection(self, resumed):
+        """Start a new connection; a resumed one keeps the events so far."""
+        self.buffer = b""
         self.error = None
         if not resumed:
-            self.forget()
-            self.ended = False
+            self.reset()
+            self.complete = False
 
-    def forget(self):
-        """Give up what came: it can't be completed."""
+    def reset(self):
+        """Discard all events, as the stream can't be completed."""
         self.last_id = ""
-        self.words, self.numbers = [], []
+        self.words, self.event_numbers = [], []
         self.usage, self.error = None, None
-        self.rest = b""
+        self.buffer = b""
 
-    def take(self, data):
-        """Take bytes of a connection."""
-        *whole, self.rest = (self.rest + data).split(_END)
-        for event in whole:
-            self._event(event.decode())
+    def feed(self, data):
+        """Parse bytes that were received on the connection."""
+        *complete_events, self.buffer = (
+            self.buffer + data).split(_EVENT_SEPARATOR)
+        for event in complete_events:
+            self._handle_event(event.decode())
 
-    def _event(self, text):
+    def _handle_event(self, text):
         fields = dict(line.split(": ", 1) for line in text.split("\n"))
         if fields.get("event") == "error":
             self.error = json.loads(fields["data"])
             return
         self.last_id = fields["id"]
-        self.numbers.append(int(self.last_id.rpartition(":")[2]))
+        self.event_numbers.append(int(self.last_id.rpartition(":")[2]))
         if fields["data"] == "[DONE]":
-            self.ended = True
+            self.complete = True
             return
         chunk = json.loads(fields["data"])
         delta = chunk["choices"][0]["delta"]
         self.words.append(delta.get("content", ""))
         self.usage = chunk.get("usage", self.usage)
 
-    def judge(self):
-        """Return verdict and detail of an answer that ended."""
-        count = len(self.numbers)
-        if self.numbers != list(range(1, count + 1)) or not self.ended:
-            return "wrong", f"events {self.numbers} ended {self.ended}"
+    def check(self):
+        """Return verdict and detail of a complete answer."""
+        count = len(self.event_numbers)
+        if (self.event_numbers != list(range(1, count + 1))
+                or not self.complete):
+            return "wrong", (f"events {self.event_numbers} "
+                             f"complete {self.complete}")
         if self.usage is None:
             return "wrong", "no usage"
         tokens = self.usage["completion_tokens"]
         prompt = texts.prompt_text(messages(self.prompt))
         if "".join(self.words) != texts.expected_text(prompt, tokens):
-            return "wrong", "another text"
+            return "wrong", "unexpected text"
         return "right", ""
