--- a/tools/demo_fleet.py
+++ b/tools/demo_fleet.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a demo fleet on loopback."""
+"""Starts and stops the processes of a demo fleet on loopback."""
 
 import dataclasses
 import json
@@ -15,7 +15,7 @@
 
 ADDRESS = "127.0.0.1"
 PLATFORM_TOKEN = "platform-token"
-STOP_S = 15.0
+STOP_TIMEOUT_S = 15.0
 _FIRST_PORT = 20000
 _LAST_PORT = 32000
 
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What a fleet is made of."""
+    """Composition of a fleet, with the ports of its processes."""
 
     deployment: str
     region: str
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Fleet:
-    """A plan and its running processes, by name."""
+    """A plan and its processes, by name."""
 
     plan: Plan
     folder: pathlib.Path
@@ -72,21 +72,24 @@
         return f"http://{ADDRESS}:{self.plan.platform_port}"
 
 
-def free_ports(count, taken):
-    """Return the first of ``count`` free consecutive ports."""
+def free_ports(count, used_ports):
+    """Return the first of ``count`` consecutive free ports.
+
+    They are added to ``used_ports``, whose ports are not considered.
+    """
     first = _FIRST_PORT + secrets.randbelow(4000)
     while first + count < _LAST_PORT:
         block = range(first, first + count)
-        if not taken.intersection(block) and all(map(_is_free, block)):
-            taken.update(block)
+        if not used_ports.intersection(block) and all(map(_is_free, block)):
+            used_ports.update(block)
             return first
         first += count
     raise RuntimeError("no free ports")
 
 
 def _is_free(port):
-    for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with socket.socket(socket.AF_INET, kind) as probe:
+    for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+        with socket.socket(socket.AF_INET, socket_type) as probe:
             try:
                 probe.bind((ADDRESS, port))
             except OSError:
@@ -95,51 +98,51 @@
 
 
 def new_plan(deployment, region, domains, pools, entries):
-    """Return a plan on free ports.
+    """Return a plan with free ports.
 
-    ``pools`` are (service, role, count); ``entries`` is the number of
-    entry hosts, spread over the failure domains.
+    ``pools`` are (service, role, count) tuples; ``entries`` is the number
+    of entry hosts, which are spread over the failure domains.
     """
-    taken = set()
-    made = tuple(
+    used_ports = set()
+    entry_hosts = tuple(
         Entry(f"entry-{i + 1}", domains[i % len(domains)],
-              free_ports(1, taken), free_ports(1, taken))
+              free_ports(1, used_ports), free_ports(1, used_ports))
         for i in range(entries))
-    groups = tuple(
-        Pool(service, role, count, free_ports(count, taken))
+    server_pools = tuple(
+        Pool(service, role, count, free_ports(count, used_ports))
         for service, role, count in pools)
-    return Plan(deployment, region, tuple(domains), made, groups,
-                free_ports(1, taken))
+    return Plan(deployment, region, tuple(domains), entry_hosts, server_pools,
+                free_ports(1, used_ports))
 
 
 def new_fleet(plan, folder, engine_args=()):
-    """Write the files of a fleet; starts nothing."""
+    """Write the files of a fleet without starting it; return the fleet."""
     fleet = Fleet(plan, pathlib.Path(folder), tuple(engine_args))
     (fleet.folder / "key").write_text(secrets.token_hex(32))
     (fleet.folder / "token").write_text(PLATFORM_TOKEN)
-    hosts = _entry_rows(plan) + _server_rows(plan)
+    hosts = _entry_hosts(plan) + _backend_hosts(plan)
     (fleet.folder / "hosts.json").write_text(json.dumps({"hosts": hosts}))
     for entry in plan.entries:
         _write_settings(fleet, entry)
     return fleet
 
 
-def _entry_rows(plan):
-    return [_row(plan, entry.name, entry.peer_port, entry.domain,
-                 "entry", None) for entry in plan.entries]
+def _entry_hosts(plan):
+    return [_host_entry(plan, entry.name, entry.peer_port, entry.domain,
+                        "entry", None) for entry in plan.entries]
 
 
-def _server_rows(plan):
-    rows = []
+def _backend_hosts(plan):
+    hosts = []
     for pool in plan.pools:
         for i, name in enumerate(pool.names()):
             domain = plan.domains[i % len(plan.domains)]
-            rows.append(_row(plan, name, pool.first_port + i, domain,
-                             pool.role, pool.service))
-    return rows
+            hosts.append(_host_entry(plan, name, pool.first_port + i, domain,
+                                     pool.role, pool.service))
+    return hosts
 
 
-def _row(plan, name, port, domain, role, service):
+def _host_entry(plan, name, port, domain, role, service):
     return {"name": name, "address": ADDRESS, "port": port,
             "domain": domain, "region": plan.region, "role": role,
             "service": service, "state": "live"}
@@ -150,7 +153,7 @@
     seeds = [{"host": other.name, "address": ADDRESS,
               "port": other.peer_port}
              for other in plan.entries if other.name != entry.name]
-    body = {
+    settings = {
         "deployment": plan.deployment, "host": entry.name,
         "domain": entry.domain, "region": plan.region,
         "address": ADDRESS, "door_port": entry.door_port,
@@ -159,7 +162,7 @@
         "log_file": str(fleet.folder / f"{entry.name}.jsonl"),
     }
     path = fleet.folder / f"{entry.name}.json"
-    path.write_text(json.dumps(body, indent=2))
+    path.write_text(json.dumps(settings, indent=2))
 
 
 def start(fleet):
@@ -180,13 +183,13 @@
 
 
 def start_pool(fleet, pool):
-    """Start the stand-ins of one service, all in one process."""
+    """Start the stand-ins of one service in one process."""
     is_engine = pool.role == "engine"
     module = "standins.engine" if is_engine else "standins.service"
-    extra = fleet.engine_args if is_engine else ()
+    extra_args = fleet.engine_args if is_engine else ()
     _start(fleet, pool.service, module, "--name", pool.service,
            "--count", str(pool.count),
-           "--first-port", str(pool.first_port), *extra)
+           "--first-port", str(pool.first_port), *extra_args)
 
 
 def start_entry(fleet, entry):
@@ -203,7 +206,7 @@
 
 
 def stop(fleet):
-    """End all processes that were started; entry hosts drain first."""
+    """Stop all started processes; entry hosts first, so that they drain."""
     entries = [entry.name for entry in fleet.plan.entries]
     others = [name for name in fleet.processes if name not in entries]
     for group in (entries, others):
@@ -217,7 +220,7 @@
 
 def _wait(process):
     try:
-        process.wait(STOP_S)
+        process.wait(STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
--- a/tools/demo_report.py
+++ b/tools/demo_report.py
@@ -1,50 +1,51 @@
-"""The demo's table and verdict."""
+"""The demo's result table and verdict."""
 
 import collections
 
 from crocuskeel import conf
 from tools import demo_load
 
-__all__ = ["MIXES", "show", "weights"]
+__all__ = ["TRAFFIC_CLASSES", "print_report", "workspace_weights"]
 
-MIXES = (
-    demo_load.Mix("ramp-briefing", 0.25),
-    demo_load.Mix("safety-question", 0.2),
-    demo_load.Mix("launch-confirmation", 0.2, "hire-desk"),
-    demo_load.Mix("boat-return", 0.1, "hire-desk"),
-    demo_load.Mix("trip-planning", 0.15),
-    demo_load.Mix("waiver-summary", 0.1),
+TRAFFIC_CLASSES = (
+    demo_load.TrafficClass("ramp-briefing", 0.25),
+    demo_load.TrafficClass("safety-question", 0.2),
+    demo_load.TrafficClass("launch-confirmation", 0.2, "hire-desk"),
+    demo_load.TrafficClass("boat-return", 0.1, "hire-desk"),
+    demo_load.TrafficClass("trip-planning", 0.15),
+    demo_load.TrafficClass("waiver-summary", 0.1),
 )
-_HEAD = ("class", "tier", "sent", "answered", "attained", "goodput/s",
-         "wasted", "refused", "wrong", "lost")
+_HEADER = ("class", "tier", "sent", "answered", "attained", "goodput/s",
+           "wasted", "refused", "wrong", "lost")
 
 
-def weights(tree):
-    """Return the workspaces' weights, which shape the load too."""
+def workspace_weights(tree):
+    """Return the weights of the workspaces, also used for the load."""
     return {name: float(body.get("weight", 1.0))
             for name, body in conf.workspaces(tree)}
 
 
-def show(tree, answers, runs, span_s):
-    """Print a table a class; return the exit code."""
+def print_report(tree, answers, runs, duration_s):
+    """Print a table with a row per class; return the exit code."""
     by_class = collections.defaultdict(list)
     for answer in answers:
         by_class[answer.class_name].append(answer)
-    wasted = _wasted_shares(answers, runs)
-    rows = [_row(tree, mix, by_class[mix.class_name], wasted, span_s)
-            for mix in MIXES]
+    wasted = _wasted_work_shares(answers, runs)
+    rows = [_row(tree, traffic, by_class[traffic.class_name], wasted,
+                 duration_s) for traffic in TRAFFIC_CLASSES]
     _print_table(rows)
-    return _verdict(answers, runs)
-
-
-def _row(tree, mix, answers, wasted, span_s):
-    count = collections.Counter(a.verdict for a in answers)
-    good = [a for a in answers if _attained(tree, a)]
-    policy = conf.resolve(tree, next(iter(weights(tree))), mix.class_name)
-    return (mix.class_name, policy.tier, len(answers), count["right"],
-            f"{len(good) / max(1, len(answers)):.3f}",
-            f"{sum(a.tokens for a in good) / span_s:.1f}",
-            f"{wasted['service' if mix.service else 'engine']:.4f}",
+    return _print_verdict(answers, runs)
+
+
+def _row(tree, traffic, answers, wasted, duration_s):
+    count = collections.Counter(answer.verdict for answer in answers)
+    attained = [answer for answer in answers if _attained(tree, answer)]
+    policy = conf.resolve(tree, next(iter(workspace_weights(tree))),
+                          traffic.class_name)
+    return (traffic.class_name, policy.tier, len(answers), count["right"],
+            f"{len(attained) / max(1, len(answers)):.3f}",
+            f"{sum(answer.tokens for answer in attained) / duration_s:.1f}",
+            f"{wasted['service' if traffic.service else 'engine']:.4f}",
             count["refused"], count["wrong"], count["lost"])
 
 
@@ -55,24 +56,26 @@
             and answer.itl_s <= policy.target_itl_s)
 
 
-def _wasted_shares(answers, runs):
-    """Return the share of each role's work that reached no caller."""
-    plain = {mix.class_name for mix in MIXES if mix.service}
-    useful = collections.Counter()
+def _wasted_work_shares(answers, runs):
+    """Return the share of each role's work that was not delivered."""
+    plain_classes = {traffic.class_name for traffic in TRAFFIC_CLASSES
+                     if traffic.service}
+    useful_work = collections.Counter()
     for answer in answers:
         if answer.verdict == "right":
-            role = "service" if answer.class_name in plain else "engine"
-            useful[role] += answer.tokens
-    done = collections.Counter()
+            role = ("service" if answer.class_name in plain_classes
+                    else "engine")
+            useful_work[role] += answer.tokens
+    total_work = collections.Counter()
     for role, _name, counts in runs:
-        done[role] += (counts["tokens_generated"] if role == "engine"
-                       else sum(counts.values()))
-    return {role: max(0.0, 1.0 - useful[role] / done[role])
-            if done[role] else 0.0 for role in ("engine", "service")}
+        total_work[role] += (counts["tokens_generated"] if role == "engine"
+                             else sum(counts.values()))
+    return {role: max(0.0, 1.0 - useful_work[role] / total_work[role])
+            if total_work[role] else 0.0 for role in ("engine", "service")}
 
 
 def _print_table(rows):
-    table = [_HEAD, *[tuple(map(str, row)) for row in rows]]
+    table = [_HEADER, *[tuple(map(str, row)) for row in rows]]
     widths = [max(map(len, column)) for column in zip(*table)]
     for row in table:
         cells = [text.ljust(width) if i == 0 else text.rjust(width)
@@ -80,29 +83,32 @@
         print("  ".join(cells))
 
 
-def _verdict(answers, runs):
-    twice = _run_twice(runs)
-    bad = [a for a in answers if a.verdict in ("wrong", "lost")]
-    for answer in bad[:10]:
+def _print_verdict(answers, runs):
+    run_twice = _run_twice(runs)
+    wrong_or_lost = [answer for answer in answers
+                     if answer.verdict in ("wrong", "lost")]
+    for answer in wrong_or_lost[:10]:
         print(answer)
     refused = collections.Counter(
-        a.code for a in answers if a.verdict == "refused")
-    ran = sum(a.verdict == "refused" and a.outcome == "not_run"
-              and a.key in _keys_run(runs) for a in answers)
-    print(f"wrong or lost: {len(bad)}; bookings run twice: {twice}; "
-          f"refused as not run but run: {ran}; "
+        answer.code for answer in answers if answer.verdict == "refused")
+    refused_but_run = sum(
+        answer.verdict == "refused" and answer.outcome == "not_run"
+        and answer.key in _keys_that_ran(runs) for answer in answers)
+    print(f"wrong or lost: {len(wrong_or_lost)}; "
+          f"bookings run twice: {run_twice}; "
+          f"refused as not run but run: {refused_but_run}; "
           f"refusals: {dict(refused)}")
-    return 1 if bad or twice or ran else 0
+    return 1 if wrong_or_lost or run_twice or refused_but_run else 0
 
 
-def _keys_run(runs):
+def _keys_that_ran(runs):
     return {key for role, _name, counts in runs if role == "service"
             for key in counts}
 
 
 def _run_twice(runs):
-    total = collections.Counter()
+    run_counts = collections.Counter()
     for role, _name, counts in runs:
         if role == "service":
-            total.update(counts)
-    return sum(count > 1 for count in total.values())
+            run_counts.update(counts)
+    return sum(count > 1 for count in run_counts.values())
--- a/tools/demo_settings.py
+++ b/tools/demo_settings.py
@@ -1,4 +1,4 @@
-"""Commits a settings file to the stand-in Object API."""
+"""Commits a settings file to the object API of the stand-in platform."""
 
 import functools
 import pathlib
@@ -16,20 +16,20 @@
 
 
 def read_tree(path):
-    """Return the tree of a settings file; raises SystemExit."""
+    """Return the settings tree of a file; raise SystemExit if invalid."""
     return parse_tree(pathlib.Path(path).read_text())
 
 
 def parse_tree(text):
-    """Return the tree of a settings text; raises SystemExit."""
-    parsed = conf.parse(text)
-    if parsed.is_err():
-        raise SystemExit("\n".join(map(str, parsed.unwrap_err())))
-    return parsed.unwrap()
+    """Return the settings tree of a text; raise SystemExit if invalid."""
+    result = conf.parse(text)
+    if result.is_err():
+        raise SystemExit("\n".join(map(str, result.unwrap_err())))
+    return result.unwrap()
 
 
 async def load(reactor, url, token, tree):
-    """Commit the whole of ``tree`` as the first batch."""
+    """Commit all of ``tree`` as the first batch; return the generation."""
     client = objectapi.new_client(
         reactor, objectapi.ClientConfig(url, token),
         transport.new_treq_send(reactor), random.Random(1))
@@ -39,17 +39,17 @@
     state, step = conf.new_commit(
         batch, conf.empty_tree(), resent=False)
     while not isinstance(step, (conf.Done, conf.Refused)):
-        answer = await _carry_out(client, step)
+        answer = await _execute_step(client, step)
         state, step = conf.commit_step(state, answer)
     if isinstance(step, conf.Refused):
         raise SystemExit(f"settings refused: {step}")
     return step.generation
 
 
-async def _carry_out(client, step):
+async def _execute_step(client, step):
     match step:
         case commit.ReadHead():
-            return _head(await client.get(storage.HEAD_KEY))
+            return _head_event(await client.get(storage.HEAD_KEY))
         case commit.WriteParts(parts=parts):
             for part in parts:
                 await client.create(
@@ -61,11 +61,11 @@
             if version is not None:
                 write = functools.partial(
                     client.put, storage.HEAD_KEY, version=version)
-            return _written(await write(body=body))
+            return _write_event(await write(body=body))
     raise AssertionError(step)
 
 
-def _head(result):
+def _head_event(result):
     if isinstance(result, objectapi.Found):
         return commit.HeadRead(
             storage.decode_head(result.body), result.version)
@@ -74,7 +74,7 @@
     return commit.StoreFailed()
 
 
-def _written(result):
+def _write_event(result):
     if isinstance(result, objectapi.Written):
         return commit.HeadWritten()
     if isinstance(result, objectapi.Conflict):
