--- a/standins/engine_app.py
+++ b/standins/engine_app.py
@@ -67,7 +67,7 @@
         after = _last_event_number(req, stream)
         if after is None:
             return web.error_response(
-                req, 400, "bad_event_id", "not an event id of this stream")
+                req, 400, "bad_event_id", "no event of this stream")
         return engine_loop.attach(engine, stream, req, True, after)
 
     @app.route("/v1/streams/<path:rid>", methods=["DELETE"])
@@ -117,7 +117,7 @@
         if engine_state.is_stale_fence(engine, order["fence"]):
             return web.error_response(
                 req, 409, "stale_fence",
-                f"highest fence seen is {engine.boot.highest_fence}")
+                f"highest is {engine.boot.highest_fence}")
         engine_state.execute_order(engine, order)
         report = engine_state.state_report(engine)
         return web.json_response(req, 200, {"state": report})
@@ -151,7 +151,7 @@
     stream = engine_state.new_stream(engine, rid, _tier(req), body)
     if not stream.words:
         return web.error_response(
-            req, 400, "context_length", "the prompt leaves no room for output")
+            req, 400, "context_length", "the prompt doesn't fit")
     stream.key = key
     stream.template = answer_encoding.new_template(rid, body["model"])
     engine_loop.submit(engine, stream)
--- a/standins/object_api.py
+++ b/standins/object_api.py
@@ -228,7 +228,7 @@
     if match is None and none_match is None:
         return web.error_response(
             req, 428, "precondition_required",
-            "If-Match or If-None-Match is required")
+            "give a condition")
     holds = not current if match is None else match == f'"{current}"'
     if holds and (match is None or current):
         return None
--- a/standins/web.py
+++ b/standins/web.py
@@ -194,7 +194,7 @@
     try:
         return convert(req.args.get(name, [default])[0])
     except ValueError as exc:
-        raise exceptions.InvalidBodyError(f"{name!r} is not a number") from exc
+        raise exceptions.InvalidBodyError(f"{name!r} is no number") from exc
 
 
 def _open_port(listener):
