--- a/bench/idle.py
+++ b/bench/idle.py
@@ -19,9 +19,9 @@
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import fleet
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import telling
-from crocuskeel.gateway import gossip
+from crocuskeel.gateway import gossip as gossip_codec
 
 # Hosts, with ten servers each.
 FLEETS = (6, 30, 100, 300)
@@ -66,17 +66,17 @@
         began = time.process_time()
         for effect in entry.reduce(self.host, event, self.now):
             if type(effect) is effects.Tell:
-                self.bytes += len(gossip.encode(effect.event))
+                self.bytes += len(gossip_codec.encode(effect.event))
         self.spent_s += time.process_time() - began
 
     def _hear(self, name):
-        data = gossip.encode(events.Heard(
+        data = gossip_codec.encode(events.Heard(
             _peer(name), True, False, 1, self.host.servers_revision,
             reads_store=name == "h0", informed_s=0.1,
             carriers=self.carriers if name in self.carriers else ()))
         self.bytes += len(data)
         began = time.process_time()
-        event = gossip.decode(data)
+        event = gossip_codec.decode(data)
         self.spent_s += time.process_time() - began
         self.feed(event)
 
@@ -98,10 +98,10 @@
     def _speakers(self):
         others = [name for name in self.carriers if name != "me"]
         if len(others) == len(self.carriers):
-            return others[:telling.CONTACTS]
-        told = min(len(others), telling.MESH_MOST)
+            return others[:gossip.CONTACTS]
+        told = min(len(others), gossip.MESH_MOST)
         small = max(0, len(self.names) - len(others))
-        contacts = 0.5 * telling.CONTACTS * small / len(self.carriers)
+        contacts = 0.5 * gossip.CONTACTS * small / len(self.carriers)
         drawn = min(round(contacts), len(self.names))
         return (self.rng.sample(others, told)
                 + self.rng.sample(self.names, drawn))
--- a/crocuskeel/core/duties/reporting.py
+++ b/crocuskeel/core/duties/reporting.py
@@ -6,8 +6,8 @@
 often.
 """
 
-from crocuskeel.core.duties import book as books
 from crocuskeel.core.duties import counting
+from crocuskeel.core.duties import handover as handovers
 from crocuskeel.core.duties import model
 
 __all__ = ["answered", "decide", "due"]
@@ -75,9 +75,9 @@
     if record is not duties.committed_record:
         duties.committed_record = record
         try:
-            duties.committed, _ = books.read(record)
+            duties.committed, _ = handovers.read(record)
         except ValueError:
-            duties.committed = books.HandoverState()
+            duties.committed = handovers.HandoverState()
     return duties.committed.decided
 
 
--- a/crocuskeel/core/duties/state.py
+++ b/crocuskeel/core/duties/state.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
-from crocuskeel.core.duties import book as books
 from crocuskeel.core.duties import demand
+from crocuskeel.core.duties import handover as handovers
 from crocuskeel.core import leadership
 
 __all__ = ["Duties", "Leader", "Open", "new_duties"]
@@ -62,12 +62,12 @@
     counted_at: dict = dataclasses.field(default_factory=dict)
     reported_to: tuple = ()
     reported_to_since: float = 0.0
-    book: books.HandoverState = dataclasses.field(
-        default_factory=books.HandoverState)
+    book: handovers.HandoverState = dataclasses.field(
+        default_factory=handovers.HandoverState)
     # The record known to be stored in the lease object, raw and parsed.
     committed_record: dict | None = None
-    committed: books.HandoverState = dataclasses.field(
-        default_factory=books.HandoverState)
+    committed: handovers.HandoverState = dataclasses.field(
+        default_factory=handovers.HandoverState)
     calls: dict = dataclasses.field(default_factory=dict)
     # By service.
     demands: dict[str, demand.Demand] = dataclasses.field(
--- a/crocuskeel/core/entry/admission.py
+++ b/crocuskeel/core/entry/admission.py
@@ -13,11 +13,11 @@
 (Goodput is the served share of the value of all requests.)
 """
 
-from crocuskeel.core.entry import choosing
+from crocuskeel.core.entry import class_minimums
 from crocuskeel.core.entry import cost
-from crocuskeel.core.entry import floors
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import prefix_cache
+from crocuskeel.core.entry import server_choice
+from crocuskeel.core.entry import server_load
 
 __all__ = ["HOLD_SHARE", "admits", "came_back", "hold_until", "look_at",
            "may_spill", "rank", "retry_s"]
@@ -77,19 +77,19 @@
     if pending.request.prompt is None:
         return True
     rank = pending.rank
-    limit = serverload.usable_slots(target, now) * SLOT_SHARES[rank]
-    if serverload.running(target, now) >= limit:
+    limit = server_load.usable_slots(target, now) * SLOT_SHARES[rank]
+    if server_load.running(target, now) >= limit:
         return False
     if target.busy > BUSY_SHARES[rank] and not came_back(pending):
         return False
     limit, share = _bounds(pending, rank)
-    if serverload.reading(target, now) >= limit:
+    if server_load.reading(target, now) >= limit:
         return False
     if not _has_memory(host, pending, target, now):
         return False
     if not _keeps_streams_on_time(host, pending, target, now):
         return False
-    return serverload.ahead_s(target, now) <= share * pending.route.goal_s
+    return server_load.ahead_s(target, now) <= share * pending.route.goal_s
 
 
 def _has_memory(host, pending, target, now):
@@ -99,8 +99,8 @@
     prefills them again later. An idle engine accepts any prompt. On a day
     of high load 32 requests were preempted both with and without this limit.
     """
-    engine = parts.engine_of(host, pending.service)
-    used = serverload.reserved_memory(target, now)
+    engine = prefix_cache.engine_of(host, pending.service)
+    used = server_load.reserved_memory(target, now)
     if engine is None or not used:
         return True
     prompt = pending.request.prompt
@@ -121,7 +121,7 @@
         return False
     return not any(
         cost.late_streams(host, state, pending, now) <= LATE_MOST
-        for state in choosing.healthy(host, pending, now))
+        for state in server_choice.healthy(host, pending, now))
 
 
 def _bounds(pending, rank):
@@ -138,7 +138,7 @@
     Parts that it can fetch from another engine need no prefill.
     """
     return (target.busy <= SPILL_BUSY
-            or parts.fetchable(host, pending, parts.held(
+            or prefix_cache.fetchable(host, pending, prefix_cache.held(
                 target, pending.request.prompt)) > 0)
 
 
@@ -151,7 +151,7 @@
     """
     if pending.request.prompt is None:
         return 0
-    if floors.is_below_minimum(host, pending, now):
+    if class_minimums.is_below_minimum(host, pending, now):
         return 0
     return min(max(0, pending.route.priority), len(WAIT_SHARES) - 1)
 
--- a/crocuskeel/core/entry/attempts.py
+++ b/crocuskeel/core/entry/attempts.py
@@ -1,16 +1,16 @@
 """Handles the results of attempts: responses, stream events, failures."""
 
-from crocuskeel.core.entry import budget
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import ending
 from crocuskeel.core.entry import health
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import pace
-from crocuskeel.core.entry import parts
+from crocuskeel.core.entry import pause_estimate
+from crocuskeel.core.entry import prefix_cache
 from crocuskeel.core.entry import quarantine
-from crocuskeel.core.entry import repeating
+from crocuskeel.core.entry import retry_budget
+from crocuskeel.core.entry import retrying
 from crocuskeel.core.entry import sending
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import usage
 
 __all__ = ["answered", "broken", "ended", "opened", "progressed"]
@@ -36,7 +36,7 @@
         _record_first_event(target, attempt, now)
         target.mine[pending.key, attempt.turn] = 0
         ending.mark_load_changed(host, pending, target)
-        serverload.note_load(target, event.load, now)
+        server_load.note_load(target, event.load, now)
     pending.may_have_run = True
     usage.count_begun(host, pending, now)
     attempt.opened = True
@@ -44,7 +44,7 @@
     pending.progress_at = now
     out = ending.cancel_others(host, pending, attempt)
     out.append(effects.PassOn(pending.key, attempt.turn))
-    out.append(effects.Timer(pending.key, repeating.next_check(pending, now)))
+    out.append(effects.Timer(pending.key, retrying.next_check(pending, now)))
     out.append(ending.note("opened", pending.request, turn=attempt.turn,
                            server=attempt.sid, load=event.load,
                            after_s=round(now - attempt.at, 3)))
@@ -53,7 +53,7 @@
 
 def _record_first_event(target, attempt, now):
     tokens = attempt.fresh_tokens + sum(target.mine.values())
-    expected = 0.05 + tokens / parts.READ_TOKENS_S
+    expected = 0.05 + tokens / prefix_cache.READ_TOKENS_S
     health.timed(target, now - attempt.at, expected)
     health.heard(target, now)
 
@@ -74,9 +74,9 @@
 
 
 def _record_gap(host, pending, target, gap_s, now):
-    observed = pace.of_service(host, pending.service)
-    pace.note_gap(observed, pending.ahead_s, gap_s)
-    pending.ahead_s = serverload.ahead_s(target, now)
+    observed = pause_estimate.of_service(host, pending.service)
+    pause_estimate.note_gap(observed, pending.ahead_s, gap_s)
+    pending.ahead_s = server_load.ahead_s(target, now)
 
 
 def ended(host, event, now):
@@ -116,7 +116,7 @@
     pending.fallback = attempt.turn
     if ending.live(pending):
         return []
-    if pending.passing is None and repeating.may_go_on(host, pending, now):
+    if pending.passing is None and retrying.may_go_on(host, pending, now):
         return [ending.note("failed", pending.request, turn=attempt.turn,
                             server=attempt.sid, status=event.status)
                 ] + sending.send(host, pending, now)
@@ -127,7 +127,7 @@
     if pending.passing is not None:
         return ending.give_up(host, pending, "resume was refused", now)
     if target is not None:
-        serverload.note_load(target, event.load, now)
+        server_load.note_load(target, event.load, now)
     _record_success(host, target, attempt, now)
     out = ending.cancel_others(host, pending, attempt)
     out.append(effects.PassOn(pending.key, attempt.turn))
@@ -161,8 +161,8 @@
         return pending.connect_attempts < MAX_CONNECT_ATTEMPTS
     if outcome is model.Outcome.NOT_RUN and not pending.may_have_run:
         return (pending.sent < pending.route.tries
-                and budget.may_repeat(host, pending.service, now))
-    return repeating.may_go_on(host, pending, now)
+                and retry_budget.may_repeat(host, pending.service, now))
+    return retrying.may_go_on(host, pending, now)
 
 
 def _record_failure(host, pending, attempt, event, now):
--- a/crocuskeel/core/entry/cost.py
+++ b/crocuskeel/core/entry/cost.py
@@ -10,11 +10,11 @@
 
 from crocuskeel.core.entry import health
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import pace
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import pause_estimate
+from crocuskeel.core.entry import prefill_pauses
+from crocuskeel.core.entry import prefix_cache
 from crocuskeel.core.entry import routing
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
 
 __all__ = ["cheapest", "late_streams"]
 
@@ -61,11 +61,11 @@
 
 def late_streams(host, state, pending, now):
     """Return how many streams, as urgent or more, a prompt makes late."""
-    tokens = parts.to_read(host, state, pending)
-    estimate = pace.of_service(host, pending.service)
-    return pauses.late_streams(
-        state, estimate, serverload.ahead_s(state, now),
-        serverload.read_s(state, tokens), pending.route.priority)
+    tokens = prefix_cache.to_read(host, state, pending)
+    estimate = pause_estimate.of_service(host, pending.service)
+    return prefill_pauses.late_streams(
+        state, estimate, server_load.ahead_s(state, now),
+        server_load.read_s(state, tokens), pending.route.priority)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
     """
 
     pending: object
-    estimate: pace.PauseEstimate
+    estimate: pause_estimate.PauseEstimate
     own: int
     shared: int
     preferred: object
@@ -94,8 +94,8 @@
     """
     if pending.request.prompt is None:
         return {}
-    estimate = pace.of_service(host, pending.service)
-    if not pauses.is_at_risk(states, estimate, pending.route, now):
+    estimate = pause_estimate.of_service(host, pending.service)
+    if not prefill_pauses.is_at_risk(states, estimate, pending.route, now):
         return {}
     ranked = sorted(states, key=lambda state: routing.name_hash(
         state.server.sid, "calm"))
@@ -108,7 +108,7 @@
     if prompt is None:
         return None
     shared = sum(tokens for _, tokens in prompt.parts[:-1])
-    return _Prompt(pending, pace.of_service(host, pending.service),
+    return _Prompt(pending, pause_estimate.of_service(host, pending.service),
                    prompt.tokens - shared, shared,
                    _preferred(states, pending.request), ordered)
 
@@ -150,7 +150,7 @@
 
 def _call_cost_s(state, now):
     slots = max(1, state.server.slots)
-    running = serverload.running(state, now)
+    running = server_load.running(state, now)
     cost_s = CALL_S * running / slots
     if running >= slots:
         cost_s += CALL_S * (1 + running - slots)
@@ -158,21 +158,21 @@
 
 
 def _engine_cost_s(host, state, prompt, now):
-    ahead = serverload.ahead_tokens(state, now)
-    cached = parts.held(state, prompt.pending.request.prompt)
-    fetched = parts.fetchable(host, prompt.pending, cached)
+    ahead = server_load.ahead_tokens(state, now)
+    cached = prefix_cache.held(state, prompt.pending.request.prompt)
+    fetched = prefix_cache.fetchable(host, prompt.pending, cached)
     missing = prompt.shared - cached - fetched
     tokens = ahead + prompt.own + FETCH_SHARE * fetched
     if state is not prompt.preferred:
         tokens += REREAD * missing
-    running = serverload.running(state, now)
-    cost_s = tokens / parts.READ_TOKENS_S
+    running = server_load.running(state, now)
+    cost_s = tokens / prefix_cache.READ_TOKENS_S
     if not prompt.ordered:
         cost_s += RUNNING_S * running
-    ahead_s = serverload.read_s(state, ahead)
+    ahead_s = server_load.read_s(state, ahead)
     cost_s += LATE_S * _expected_late(
         state, prompt, ahead_s, prompt.own + missing, now)
-    if running >= serverload.usable_slots(state, now):
+    if running >= server_load.usable_slots(state, now):
         cost_s += FULL_S
     return cost_s
 
@@ -182,7 +182,8 @@
 
     Its own stream counts with the probability that it is late.
     """
-    prefill_s = serverload.read_s(state, tokens)
-    others = pauses.late_streams(state, prompt.estimate, ahead_s, prefill_s)
-    return others + pauses.late_probability(
+    prefill_s = server_load.read_s(state, tokens)
+    others = prefill_pauses.late_streams(
+        state, prompt.estimate, ahead_s, prefill_s)
+    return others + prefill_pauses.late_probability(
         state, prompt.estimate, prompt.pending.route, now)
--- a/crocuskeel/core/entry/duties.py
+++ b/crocuskeel/core/entry/duties.py
@@ -1,14 +1,14 @@
 """The duties of an entry host: usage reports and orders for engines."""
 
+from crocuskeel.core.duties import clock
 from crocuskeel.core.duties import model
 from crocuskeel.core.duties import ordering
 from crocuskeel.core.duties import reporting
 from crocuskeel.core.duties import state as states
-from crocuskeel.core.duties import truetime
+from crocuskeel.core.entry import draining
+from crocuskeel.core.entry import duty_lease
 from crocuskeel.core.entry import effects
-from crocuskeel.core.entry import holding
-from crocuskeel.core.entry import leaving
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import usage
 
 __all__ = ["REPORT", "SCALE", "answered", "begin", "heard", "step"]
@@ -25,7 +25,7 @@
     """Initialize the state of the duties, if there are any."""
     if host.cfg.duties:
         host.duties = states.new_duties(
-            holding.config(host.me.name, host.cfg.lease_s), host.rng, now)
+            duty_lease.config(host.me.name, host.cfg.lease_s), host.rng, now)
 
 
 def heard(host, event, now):
@@ -34,8 +34,8 @@
     if duties is None:
         return
     if event.wall is not None:
-        truetime.add_reading(duties.offsets, event.peer.name, event.wall, now)
-    holding.leader_received(duties, event.leader, now)
+        clock.add_reading(duties.offsets, event.peer.name, event.wall, now)
+    duty_lease.leader_received(duties, event.leader, now)
 
 
 def step(host, wall, now):
@@ -43,12 +43,12 @@
     duties = host.duties
     if duties is None:
         return []
-    truetime.add_reading(duties.offsets, host.me.name, wall, now)
+    clock.add_reading(duties.offsets, host.me.name, wall, now)
     out = usage.send_counts(host, now)
-    if holding.is_holder(duties):
+    if duty_lease.is_holder(duties):
         out += _update_record(host, now)
-    out += holding.step(host, now)
-    if holding.may_act(duties, now):
+    out += duty_lease.step(host, now)
+    if duty_lease.may_act(duties, now):
         out += _start_due_calls(host, now)
     return out
 
@@ -56,7 +56,7 @@
 def _update_record(host, now):
     """Decide the ended windows and put the record into the next renewal."""
     duties = host.duties
-    wall = truetime.wall_time(duties.offsets, now)
+    wall = clock.wall_time(duties.offsets, now)
     lease = duties.candidate.lease
     lines = []
     if REPORT in host.cfg.duties:
@@ -69,7 +69,7 @@
                     window in table for table in duties.tables.values()),
                 "fence": lease.fence}))
     if now >= lease.due_at:
-        lease.record = holding.lease_record(duties)
+        lease.record = duty_lease.lease_record(duties)
     return lines
 
 
@@ -78,7 +78,7 @@
     duties = host.duties
     calls = []
     if REPORT in host.cfg.duties:
-        wall = truetime.wall_time(duties.offsets, now)
+        wall = clock.wall_time(duties.offsets, now)
         report = reporting.due(
             duties, host.cfg.report_s, host.cfg.report_due_s, wall,
             _failed_window(duties))
@@ -110,7 +110,7 @@
         if service.scaling is None:
             continue
         engines = [state for state in host.by_service.get(service.name, ())
-                   if not leaving.is_leaving(host, state.server)]
+                   if not draining.is_leaving(host, state.server)]
         if not engines:
             # The list of engines may not be known yet.
             continue
@@ -123,7 +123,7 @@
 
 def _utilization(state, now):
     """Return the fraction of its time that an engine is in use."""
-    running = serverload.running(state, now) / max(1, state.server.slots)
+    running = server_load.running(state, now) / max(1, state.server.slots)
     return min(1.0, max(state.busy, running))
 
 
@@ -146,7 +146,7 @@
     duties.calls[call.subject] = states.Open(
         call, in_progress=True, failures=failures)
     lease = duties.candidate.lease
-    until = holding.acts_until(duties)
+    until = duty_lease.acts_until(duties)
     line = effects.Note("duty_sent", {
         "duty": call.subject[0], "fence": lease.fence, **_log_fields(call)})
     return [line, effects.SendDuty(call, lease.fence, until)]
--- a/crocuskeel/core/entry/holding.py
+++ b/crocuskeel/core/entry/duty_lease.py
@@ -8,12 +8,12 @@
 that in normal operation only the holder calls the store.
 """
 
-from crocuskeel.core.duties import book as books
 from crocuskeel.core.duties import counting
+from crocuskeel.core.duties import handover as handovers
 from crocuskeel.core.duties import state as states
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import fleet
-from crocuskeel.core.entry import telling
+from crocuskeel.core.entry import gossip
 from crocuskeel.core import leadership
 from crocuskeel.core.leadership import effects as lease_effects
 from crocuskeel.core.leadership import events as lease_events
@@ -70,7 +70,7 @@
 
 def lease_record(duties):
     """Return the record that this holder hands over to the next one."""
-    return books.write(duties.book, duties.tables)
+    return handovers.write(duties.book, duties.tables)
 
 
 def step(host, now):
@@ -120,7 +120,7 @@
     """Handle the response to a write of the lease object."""
     duties = host.duties
     if duties is not None and duties.releasing:
-        return _released(duties, event) + telling.tell_lease(host, now)
+        return _released(duties, event) + gossip.tell_lease(host, now)
     return _handle_result(host, leases.on_written, event, now)
 
 
@@ -137,7 +137,7 @@
     known_version = duties.leader.version
     _update_leader(duties, now)
     if duties.leader.version != known_version:
-        out += telling.tell_lease(host, now)
+        out += gossip.tell_lease(host, now)
     return _log_records(out)
 
 
@@ -145,11 +145,11 @@
     """Take over the last holder's record, or drop this holder's state."""
     lease = duties.candidate.lease
     duties.calls = {}
-    duties.book = books.HandoverState()
+    duties.book = handovers.HandoverState()
     if not lease.holding:
         return []
     try:
-        duties.book, tables = books.read(lease.record)
+        duties.book, tables = handovers.read(lease.record)
     except ValueError as exc:
         return [effects.Note("bad_record", {"why": str(exc)})]
     for name, boot, rows in tables:
--- a/crocuskeel/core/entry/ending.py
+++ b/crocuskeel/core/entry/ending.py
@@ -2,7 +2,7 @@
 
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
 
 __all__ = ["BUSY_RETRY_S", "UNAVAILABLE", "cancel_all", "cancel_others",
            "close_attempt", "find", "finish", "give_up", "live",
@@ -94,7 +94,7 @@
     if target.mine.pop((pending.key, attempt.turn), None) is not None:
         target.memory -= attempt.memory
         if pending.route.kind is model.Kind.STREAM:
-            pauses.note_over(target, pending.route)
+            prefill_pauses.note_over(target, pending.route)
     mark_load_changed(host, pending, target)
 
 
--- a/crocuskeel/core/entry/events.py
+++ b/crocuskeel/core/entry/events.py
@@ -9,8 +9,8 @@
 
 from crocuskeel.core.duties import model as duties_model
 from crocuskeel.core.duties import state
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import model
+from crocuskeel.core.entry import serving
 
 __all__ = [
     "Answered", "Arrived", "Broken", "CallerLeft", "CatalogSeen",
@@ -230,7 +230,7 @@
     informed_s: float = math.inf
     wall: float | None = None
     leader: state.Leader = state.Leader()
-    wanted: carrying.Wanted = carrying.Wanted(0, 0.0)
+    wanted: serving.Wanted = serving.Wanted(0, 0.0)
     rate_limits: tuple = ()
     servers_leaving: tuple = ()
 
--- a/crocuskeel/core/entry/fleet.py
+++ b/crocuskeel/core/entry/fleet.py
@@ -7,8 +7,8 @@
 that reached it, directly or through other hosts.
 """
 
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import routing
+from crocuskeel.core.entry import serving
 
 __all__ = ["HOP_DELAY_S", "PEER_TIMEOUT_S", "addresses", "carriers",
            "changed", "is_large", "is_peer_ready", "is_ready",
@@ -72,7 +72,7 @@
     if not live:
         return []
     min_capacity = live[0].capacity * MIN_CAPACITY_SHARE
-    limit = carrying.serving_host_limit(host, now)
+    limit = serving.serving_host_limit(host, now)
     return [peer for rank, peer in enumerate(live[:limit])
             if rank < MIN_SERVING_HOSTS or peer.capacity >= min_capacity]
 
--- a/crocuskeel/core/entry/telling.py
+++ b/crocuskeel/core/entry/gossip.py
@@ -8,16 +8,16 @@
 
 import math
 
-from crocuskeel.core.duties import truetime
-from crocuskeel.core.entry import carrying
+from crocuskeel.core.duties import clock
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import fleet
-from crocuskeel.core.entry import leaving
 from crocuskeel.core.entry import quarantine
 from crocuskeel.core.entry import ratelimits
 from crocuskeel.core.entry import routing
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
+from crocuskeel.core.entry import serving
 
 __all__ = ["broadcast_change", "broadcast_hints", "loads_due",
            "note_changes", "reply", "tell", "tell_lease"]
@@ -56,14 +56,14 @@
 def tell(host, now):
     """Send this host's state to its contacts, each at its interval."""
     contacts = _contacts(host, now)
-    serving = fleet.is_serving_host(host, now)
-    if serving:
-        carrying.note_own_demand(
+    is_serving = fleet.is_serving_host(host, now)
+    if is_serving:
+        serving.note_own_demand(
             host, len(fleet.carriers(host, now)), now)
     contacts += _silent_contacts(host, now, contacts)
-    state = _state(host, now, serving)
+    state = _state(host, now, is_serving)
     out = []
-    interval = 0.0 if serving else CONTACT_INTERVAL_S
+    interval = 0.0 if is_serving else CONTACT_INTERVAL_S
     for peer in contacts:
         known = host.peers[peer.name]
         if now >= known.told_at + interval - 0.01:
@@ -95,7 +95,7 @@
     """Send the hints in servers' answers to all contacts at once."""
     update = events.HintsHeard(
         host.me.name, _sample_rows(host, ratelimits.rows(host, now)),
-        _sample_rows(host, leaving.rows(host)))
+        _sample_rows(host, draining.rows(host)))
     return [effects.Tell(peer, update) for peer in _contacts(host, now)]
 
 
@@ -204,9 +204,9 @@
         reads_store=reads and host.servers_known,
         carriers=_ready_serving_hosts(host, now),
         informed_s=fleet.store_data_age_s(host, now),
-        wanted=carrying.advertised(host, now),
+        wanted=serving.advertised(host, now),
         rate_limits=_sample_rows(host, ratelimits.rows(host, now)),
-        servers_leaving=_sample_rows(host, leaving.rows(host)),
+        servers_leaving=_sample_rows(host, draining.rows(host)),
         **_duty_fields(host, now))
 
 
@@ -214,7 +214,7 @@
     duties = host.duties
     if duties is None:
         return {}
-    return {"wall": truetime.own(duties.offsets, host.me.name, now),
+    return {"wall": clock.own(duties.offsets, host.me.name, now),
             "leader": duties.leader}
 
 
@@ -242,7 +242,7 @@
     with 3,000 servers just listed the state was 66 kB, more than a datagram
     holds, and reached no host; it is 9 kB with the limit.
     """
-    since = now - serverload.HEARD_S
+    since = now - server_load.HEARD_S
     if len(fleet.carriers(host, now)) > MESH_MOST + 1:
         since = math.inf
     reported = [state for state in map(host.servers.get, host.working)
@@ -256,7 +256,7 @@
     tokens = state.mine.values()
     return (state.server.sid, len(state.mine), sum(tokens),
             sum(count > 0 for count in tokens),
-            int(min(serverload.HEARD_S, now - state.heard_at) * 1000),
+            int(min(server_load.HEARD_S, now - state.heard_at) * 1000),
             tuple((*kind, streams)
                   for kind, streams in state.gaps.items()),
             state.memory)
--- a/crocuskeel/core/entry/lifecycle.py
+++ b/crocuskeel/core/entry/lifecycle.py
@@ -1,9 +1,9 @@
 """Graceful shutdown of a host, which lets requests in progress finish."""
 
+from crocuskeel.core.entry import duty_lease
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import fleet
-from crocuskeel.core.entry import holding
-from crocuskeel.core.entry import telling
+from crocuskeel.core.entry import gossip
 
 __all__ = ["step", "stop_asked"]
 
@@ -21,7 +21,7 @@
     host.stop_at = now
     fleet.changed(host)
     return ([effects.Note("stopping", {"pending": len(host.pending)})]
-            + telling.tell(host, now) + holding.stop(host, now))
+            + gossip.tell(host, now) + duty_lease.stop(host, now))
 
 
 def step(host, now):
--- a/crocuskeel/core/entry/loads.py
+++ b/crocuskeel/core/entry/loads.py
@@ -3,7 +3,7 @@
 import collections
 import math
 
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
 
 __all__ = ["REPORT_TTL_S", "Loads"]
 
@@ -73,4 +73,4 @@
         self.reading += sign * row[2]
         self.memory += sign * row[5]
         for priority, gap_ms, streams in row[4]:
-            pauses.count(self.gaps, (priority, gap_ms), sign * streams)
+            prefill_pauses.count(self.gaps, (priority, gap_ms), sign * streams)
--- a/crocuskeel/core/entry/peers.py
+++ b/crocuskeel/core/entry/peers.py
@@ -1,18 +1,18 @@
 """Handlers of what other hosts send: their state, load and data versions."""
 
-from crocuskeel.core.entry import carrying
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import duties
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import fleet
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import health
-from crocuskeel.core.entry import leaving
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
+from crocuskeel.core.entry import prefix_cache
 from crocuskeel.core.entry import quarantine
 from crocuskeel.core.entry import ratelimits
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
+from crocuskeel.core.entry import serving
 from crocuskeel.core.entry import state as states
-from crocuskeel.core.entry import telling
 
 __all__ = ["heard", "load_heard", "seen"]
 
@@ -30,7 +30,7 @@
     for peer in event.peers:
         if peer.name != host.me.name:
             host.peers.setdefault(peer.name, states.PeerState(peer, now))
-    return telling.tell(host, now)
+    return gossip.tell(host, now)
 
 
 def heard(host, event, now):
@@ -55,15 +55,15 @@
     known.reads_store = event.reads_store
     host.told_at = max(
         host.told_at, now - event.informed_s - fleet.HOP_DELAY_S)
-    carrying.merge(host, event.wanted, now)
+    serving.merge(host, event.wanted, now)
     duties.heard(host, event, now)
     for digest, incarnation in event.crashed:
         quarantine.learn(host, digest, incarnation, now)
     _apply_loads(host, event, now)
     _apply_serving_hosts(host, event, now)
     out += ratelimits.merge(host, event.rate_limits, now)
-    out += leaving.merge(host, event.servers_leaving, now)
-    out += telling.reply(host, known, now)
+    out += draining.merge(host, event.servers_leaving, now)
+    out += gossip.reply(host, known, now)
     return out + _fetch_if_behind(host, known, now)
 
 
@@ -87,9 +87,9 @@
         state = host.servers.get(sid)
         if state is not None:
             # The sender's load rows include the tokens yet to be read.
-            parts.remember(state, part, tokens,
-                           _engine_memory(host, state.server.service),
-                           now + serverload.ahead_s(state, now))
+            prefix_cache.remember(state, part, tokens,
+                                  _engine_memory(host, state.server.service),
+                                  now + server_load.ahead_s(state, now))
 
 
 def _apply_load_rows(host, name, rows, now):
@@ -97,14 +97,14 @@
         state = host.servers.get(sid)
         if state is None:
             continue
-        serverload.note_work(host, state)
+        server_load.note_work(host, state)
         state.others.put(name, count, tokens, reading, now, gaps, memory)
-        pauses.heard(state, serverload.ahead_s(state, now), now)
+        prefill_pauses.heard(state, server_load.ahead_s(state, now), now)
         state.heard_at = max(state.heard_at, now - silent_ms / 1000)
 
 
 def _engine_memory(host, service):
-    engine = parts.engine_of(host, service)
+    engine = prefix_cache.engine_of(host, service)
     return engine.memory if engine is not None else 0
 
 
--- a/crocuskeel/core/entry/pauses.py
+++ b/crocuskeel/core/entry/prefill_pauses.py
@@ -12,7 +12,7 @@
 
 import math
 
-from crocuskeel.core.entry import pace
+from crocuskeel.core.entry import pause_estimate
 
 __all__ = ["count", "heard", "is_at_risk", "late_probability",
            "late_streams", "loud_s", "note_over", "note_sent"]
@@ -79,7 +79,8 @@
     for gaps in (state.gaps, state.others.gaps):
         for (priority, gap_ms), streams in gaps.items():
             gap_s = gap_ms / 1000
-            if priority > least_urgent or not pace.may_exceed(estimate, gap_s):
+            if priority > least_urgent or not pause_estimate.may_exceed(
+                    estimate, gap_s):
                 continue
             total += streams * (_lateness((ahead_s + prefill_s) / gap_s)
                                 - _lateness(ahead_s / gap_s))
@@ -88,14 +89,14 @@
 
 def late_probability(state, estimate, route, now):
     """Return the probability that pauses make a route's stream late."""
-    if not pace.may_exceed(estimate, route.gap_s):
+    if not pause_estimate.may_exceed(estimate, route.gap_s):
         return 0.0
     return _lateness(loud_s(state, now) / route.gap_s)
 
 
 def is_at_risk(states, estimate, route, now):
     """Say whether the prefill of long prompts can make such streams late."""
-    if not pace.may_exceed(estimate, route.gap_s):
+    if not pause_estimate.may_exceed(estimate, route.gap_s):
         return False
     longest_s = max((loud_s(state, now) for state in states), default=0.0)
     return _lateness(longest_s / route.gap_s) > 0.0
--- a/crocuskeel/core/entry/reducer.py
+++ b/crocuskeel/core/entry/reducer.py
@@ -3,18 +3,18 @@
 from crocuskeel.core.duties import model as duties_model
 from crocuskeel.core.entry import attempts
 from crocuskeel.core.entry import backoff
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import duties
+from crocuskeel.core.entry import duty_lease
 from crocuskeel.core.entry import events
-from crocuskeel.core.entry import hints
-from crocuskeel.core.entry import holding
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import lifecycle
 from crocuskeel.core.entry import peers
 from crocuskeel.core.entry import ratelimits
 from crocuskeel.core.entry import registry
 from crocuskeel.core.entry import requests
-from crocuskeel.core.entry import serverload
-from crocuskeel.core.entry import telling
+from crocuskeel.core.entry import response_hints
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import usage
 from crocuskeel.core import exceptions
 from crocuskeel.core.leadership import events as lease_events
@@ -34,11 +34,11 @@
 
 
 def _ticked(host, event, now):
-    serverload.sample(host, now)
+    server_load.sample(host, now)
     ratelimits.refill(host, now)
-    leaving.forget(host, now)
+    draining.forget(host, now)
     backoff.forget(host, now)
-    return (registry.expire(host, now) + telling.tell(host, now)
+    return (registry.expire(host, now) + gossip.tell(host, now)
             + duties.step(host, event.wall, now)
             + lifecycle.step(host, now))
 
@@ -50,8 +50,8 @@
     events.Arrived: requests.arrived,
     events.CallerLeft: requests.caller_left,
     events.TimerFired: requests.timer_fired,
-    events.HintsSeen: hints.seen,
-    events.HintsHeard: hints.heard,
+    events.HintsSeen: response_hints.seen,
+    events.HintsHeard: response_hints.heard,
     events.Opened: attempts.opened,
     events.Progressed: attempts.progressed,
     events.Ended: attempts.ended,
@@ -66,12 +66,12 @@
     events.StoreLeft: registry.store_left,
     events.PeersSeen: peers.seen,
     events.Heard: peers.heard,
-    events.LoadsDue: telling.loads_due,
+    events.LoadsDue: gossip.loads_due,
     events.LoadHeard: peers.load_heard,
     events.DutyAnswered: duties.answered,
     duties_model.Usage: usage.received,
-    lease_events.LeaseRead: holding.lease_read,
-    lease_events.LeaseWritten: holding.lease_written,
+    lease_events.LeaseRead: duty_lease.lease_read,
+    lease_events.LeaseWritten: duty_lease.lease_written,
 }
 
 
@@ -86,5 +86,5 @@
         raise exceptions.UnknownEvent(type(event).__name__)
     out = handler(host, event, now)
     if host.changed or host.refusing:
-        out += telling.note_changes(host, now)
+        out += gossip.note_changes(host, now)
     return out
--- a/crocuskeel/core/entry/registry.py
+++ b/crocuskeel/core/entry/registry.py
@@ -8,12 +8,12 @@
 
 import math
 
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import effects
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import quarantine
 from crocuskeel.core.entry import restarting
 from crocuskeel.core.entry import state as states
-from crocuskeel.core.entry import telling
 
 __all__ = ["catalog_seen", "expire", "lapsing", "servers_changed",
            "servers_listed", "store_back", "store_left", "store_lost"]
@@ -38,7 +38,7 @@
     note = effects.Note("catalog", {
         "version": catalog.version, "revision": catalog.revision,
         "routes": sum(map(len, catalog.routes.values()))})
-    return [note, *telling.broadcast_change(host, now)]
+    return [note, *gossip.broadcast_change(host, now)]
 
 
 def servers_listed(host, event, now):
@@ -87,13 +87,13 @@
             out.append(effects.Note("server_unreadable", {"server": sid}))
     _rebuild_index(host)
     out += restarting.end_orphaned_attempts(host, restarted, now)
-    return out + telling.broadcast_change(host, now)
+    return out + gossip.broadcast_change(host, now)
 
 
 def _remove(host, sid, grace_ends, revision, now):
     if sid not in host.servers:
         return []
-    if not leaving.is_leaving(host, host.servers[sid].server):
+    if not draining.is_leaving(host, host.servers[sid].server):
         quarantine.note_gone(host, sid, now)
     if sid not in grace_ends:
         _delete(host, sid)
@@ -166,7 +166,7 @@
 def _expired_ids(host, removed, now):
     removed_states = [
         host.servers[sid] for sid in removed if sid in host.servers
-        and not leaving.is_leaving(host, host.servers[sid].server)]
+        and not draining.is_leaving(host, host.servers[sid].server)]
     if host.store_lost_at is not None or (
             _store_returned_recently(host, now)):
         return {state.server.sid for state in removed_states}
--- a/crocuskeel/core/entry/requests.py
+++ b/crocuskeel/core/entry/requests.py
@@ -1,16 +1,16 @@
 """Handles the arrival, timers and cancellation of a caller's request."""
 
-from crocuskeel.core.entry import budget
+from crocuskeel.core.entry import class_minimums
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import ending
-from crocuskeel.core.entry import floors
 from crocuskeel.core.entry import health
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import quarantine
-from crocuskeel.core.entry import repeating
+from crocuskeel.core.entry import retry_budget
+from crocuskeel.core.entry import retrying
 from crocuskeel.core.entry import routing
 from crocuskeel.core.entry import sending
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import state as states
 
 __all__ = ["arrived", "caller_left", "timer_fired"]
@@ -66,8 +66,8 @@
         priority=destination.priority, at=now,
         ends_at=now + left - TIMEOUT_ANSWER_LEAD_S)
     host.pending[event.key] = pending
-    budget.note_request(host, destination.service, now)
-    floors.note_arrived(host, pending, now)
+    retry_budget.note_request(host, destination.service, now)
+    class_minimums.note_arrived(host, pending, now)
     return pending
 
 
@@ -93,7 +93,7 @@
 
 def _hedge(host, pending, now):
     timeout = [effects.Timer(pending.key, pending.ends_at)]
-    if not repeating.may_go_on(host, pending, now):
+    if not retrying.may_go_on(host, pending, now):
         return timeout
     return sending.send(host, pending, now)
 
@@ -109,12 +109,12 @@
     attempt = ending.live(pending)[-1]
     target = host.servers.get(attempt.sid)
     if attempt.opened:
-        limit_s = repeating.stall_s(pending) - 0.001
+        limit_s = retrying.stall_s(pending) - 0.001
         silent = now - pending.progress_at >= limit_s
     else:
-        silent = target is None or serverload.is_silent(target, now)
-    if not silent or not repeating.may_go_on(host, pending, now):
-        return [effects.Timer(pending.key, repeating.next_check(pending, now))]
+        silent = target is None or server_load.is_silent(target, now)
+    if not silent or not retrying.may_go_on(host, pending, now):
+        return [effects.Timer(pending.key, retrying.next_check(pending, now))]
     out = ending.cancel_all(host, pending)
     out.append(ending.note("moved", pending.request, turn=attempt.turn,
                            server=attempt.sid,
--- a/crocuskeel/core/entry/hints.py
+++ b/crocuskeel/core/entry/response_hints.py
@@ -1,10 +1,10 @@
 """Hints in response headers: rate limit, draining, and time to back off."""
 
 from crocuskeel.core.entry import backoff
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import ending
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import ratelimits
-from crocuskeel.core.entry import telling
 
 __all__ = ["heard", "seen"]
 
@@ -17,9 +17,9 @@
     received = event.hints
     out = ratelimits.note_response(host, attempt, received.rate_limit, now)
     if received.leaving:
-        out += leaving.note_response(host, attempt, now)
+        out += draining.note_response(host, attempt, now)
     if out:
-        out += telling.broadcast_hints(host, now)
+        out += gossip.broadcast_hints(host, now)
     if received.rest_s is not None:
         out += backoff.asked(host, attempt, received.rest_s, now)
     return out
@@ -28,4 +28,4 @@
 def heard(host, event, now):
     """Handle hints that another host received from servers."""
     return (ratelimits.merge(host, event.rate_limits, now)
-            + leaving.merge(host, event.servers_leaving, now))
+            + draining.merge(host, event.servers_leaving, now))
--- a/crocuskeel/core/entry/repeating.py
+++ b/crocuskeel/core/entry/retrying.py
@@ -1,10 +1,10 @@
 """When a request is checked again, and may be sent to another server."""
 
-from crocuskeel.core.entry import budget
-from crocuskeel.core.entry import choosing
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import quarantine
+from crocuskeel.core.entry import retry_budget
+from crocuskeel.core.entry import server_choice
 
 __all__ = ["MIN_SEND_S", "may_go_on", "next_check", "stall_s"]
 
@@ -57,7 +57,7 @@
     tried = {attempt.sid for attempt in pending.tries}
     if not _has_untried_server(host, pending.service, tried, now):
         return False
-    return budget.may_repeat(host, pending.service, now)
+    return retry_budget.may_repeat(host, pending.service, now)
 
 
 def _servers_used(host, pending):
@@ -81,6 +81,6 @@
 
 def _has_untried_server(host, service, tried, now):
     return any(state.server.sid not in tried
-               and not leaving.is_leaving(host, state.server)
-               and choosing.is_free(host, state, now)
+               and not draining.is_leaving(host, state.server)
+               and server_choice.is_free(host, state, now)
                for state in host.by_service.get(service, ()))
--- a/crocuskeel/core/entry/sending.py
+++ b/crocuskeel/core/entry/sending.py
@@ -3,18 +3,18 @@
 import math
 
 from crocuskeel.core.entry import admission
-from crocuskeel.core.entry import budget
 from crocuskeel.core.entry import candidates
-from crocuskeel.core.entry import choosing
+from crocuskeel.core.entry import class_minimums
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import ending
-from crocuskeel.core.entry import floors
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
+from crocuskeel.core.entry import prefix_cache
 from crocuskeel.core.entry import ratelimits
-from crocuskeel.core.entry import repeating
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import retry_budget
+from crocuskeel.core.entry import retrying
+from crocuskeel.core.entry import server_choice
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import state as states
 
 __all__ = ["send"]
@@ -23,13 +23,13 @@
 def send(host, pending, now):
     """Send a request to the best server among those not ruled out."""
     left = pending.ends_at - now
-    if left < repeating.MIN_SEND_S:
+    if left < retrying.MIN_SEND_S:
         return ending.give_up(host, pending, "time is up", now)
     pending.candidates = candidates.pick(host, pending)
     pending.rank = admission.rank(host, pending, now)
-    parts.look(pending, choosing.holders(host, pending, now), now)
+    prefix_cache.look(pending, server_choice.holders(host, pending, now), now)
     tried = {attempt.sid for attempt in pending.tries}
-    target = choosing.choose(host, pending, tried, now)
+    target = server_choice.choose(host, pending, tried, now)
     if target is None:
         return _wait_for_server(host, pending, tried, now)
     if not admission.admits(host, pending, target, now):
@@ -45,7 +45,7 @@
         resume=pending.passing is not None,
         fetch_from=source.server.address if source else None)
     return [order, _sent_line(host, pending, target, attempt, source, now),
-            effects.Timer(pending.key, repeating.next_check(pending, now))]
+            effects.Timer(pending.key, retrying.next_check(pending, now))]
 
 
 def _sent_line(host, pending, target, attempt, source, now):
@@ -54,14 +54,14 @@
     return ending.note(
         "sent", pending.request, turn=attempt.turn,
         server=target.server.sid, service=pending.service,
-        mine=len(target.mine), running=serverload.running(target, now),
-        ahead=serverload.ahead_tokens(target, now), said=target.load,
+        mine=len(target.mine), running=server_load.running(target, now),
+        ahead=server_load.ahead_tokens(target, now), said=target.load,
         said_age_s=round(report_age_s, 1), fresh=attempt.fresh_tokens,
         spill=attempt.reread_tokens, fetch=attempt.fetched_tokens,
         source=source.server.sid if source else "",
         route=pending.route.name, rank=pending.rank,
         priority=pending.priority,
-        loud_s=round(pauses.loud_s(target, now), 3),
+        loud_s=round(prefill_pauses.loud_s(target, now), 3),
         left_s=round(pending.ends_at - now, 2),
         version=host.catalog.version)
 
@@ -77,8 +77,8 @@
     """Hold a request that no server can take now, or refuse it."""
     if ending.live(pending):
         return [effects.Timer(
-            pending.key, repeating.next_check(pending, now))]
-    free_s = choosing.free_in(host, pending, tried, now)
+            pending.key, retrying.next_check(pending, now))]
+    free_s = server_choice.free_in(host, pending, tried, now)
     if free_s is None or pending.fallback is not None:
         return ending.give_up(host, pending, "no server", now,
                               _retry_after_s(host, pending, now))
@@ -90,7 +90,7 @@
 
 def _retry_after_s(host, pending, now):
     """Return the retry delay for servers that take no requests now, s."""
-    free_s = choosing.free_in(host, pending, (), now)
+    free_s = server_choice.free_in(host, pending, (), now)
     if not free_s:
         return ending.BUSY_RETRY_S
     retry_s = admission.retry_s(host, pending, now)
@@ -106,7 +106,7 @@
     with 0.37 of the total value, against 0.32 when all waited first.
     """
     if (now < admission.hold_until(pending)
-            and not parts.follow(host, pending)):
+            and not prefix_cache.follow(host, pending)):
         return None
     return _server_with_room(host, pending, now)
 
@@ -120,7 +120,7 @@
         return (admission.may_spill(host, pending, state)
                 and admission.admits(host, pending, state, now))
 
-    return choosing.choose_with_room(host, pending, has_room, now)
+    return server_choice.choose_with_room(host, pending, has_room, now)
 
 
 def _shed(host, pending, target, now):
@@ -129,9 +129,9 @@
                        route=pending.route.name, rank=pending.rank,
                        priority=pending.priority,
                        busy=round(target.busy, 2),
-                       running=serverload.running(target, now),
-                       ahead=serverload.ahead_tokens(target, now),
-                       reading=serverload.reading(target, now),
+                       running=server_load.running(target, now),
+                       ahead=server_load.ahead_tokens(target, now),
+                       reading=server_load.reading(target, now),
                        back=admission.came_back(pending))
     ending.finish(host, pending)
     retry_s = admission.retry_s(host, pending, now)
@@ -147,20 +147,20 @@
         source = _record_prompt(host, pending, target, attempt, now)
     host.held.discard(pending.key)
     ratelimits.sent(host, target.server, now)
-    floors.note_sent(host, pending, now)
+    class_minimums.note_sent(host, pending, now)
     pending.tries.append(attempt)
     pending.sent += 1
     pending.connect_attempts += 1
     if not target.mine:
         target.asked_at = now
-    serverload.note_work(host, target)
+    server_load.note_work(host, target)
     target.mine[pending.key, attempt.turn] = attempt.fresh_tokens
     if pending.route.kind is model.Kind.STREAM:
-        pauses.note_sent(target, pending.route)
-        pauses.heard(target, serverload.ahead_s(target, now), now)
+        prefill_pauses.note_sent(target, pending.route)
+        prefill_pauses.heard(target, server_load.ahead_s(target, now), now)
     ending.mark_load_changed(host, pending, target)
     if pending.sent > 1:
-        budget.repeated(host, pending.service, now)
+        retry_budget.repeated(host, pending.service, now)
     return attempt, source
 
 
@@ -170,18 +170,18 @@
     Returns the server that it is to fetch from, or None.
     """
     prompt = pending.request.prompt
-    source = parts.source(host, target, pending, choosing.holders(
+    source = prefix_cache.source(host, target, pending, server_choice.holders(
         host, pending, now), now)
-    held = parts.held(target, prompt)
-    attempt.fresh_tokens = parts.to_read(host, target, pending)
-    attempt.fetched_tokens = parts.fetchable(host, pending, held)
+    held = prefix_cache.held(target, prompt)
+    attempt.fresh_tokens = prefix_cache.to_read(host, target, pending)
+    attempt.fetched_tokens = prefix_cache.fetchable(host, pending, held)
     attempt.reread_tokens = max(
         0, pending.elsewhere - held - attempt.fetched_tokens)
     attempt.memory = prompt.tokens + prompt.output
     target.memory += attempt.memory
-    engine = parts.engine_of(host, pending.service)
+    engine = prefix_cache.engine_of(host, pending.service)
     if engine is not None:
-        read_at = now + serverload.ahead_s(target, now) + serverload.read_s(
+        read_at = now + server_load.ahead_s(target, now) + server_load.read_s(
             target, attempt.fresh_tokens)
-        parts.place(host, target, prompt, engine.memory, now, read_at)
+        prefix_cache.place(host, target, prompt, engine.memory, now, read_at)
     return source
--- a/crocuskeel/core/entry/choosing.py
+++ b/crocuskeel/core/entry/server_choice.py
@@ -11,9 +11,9 @@
 
 from crocuskeel.core.entry import backoff
 from crocuskeel.core.entry import cost
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import ratelimits
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
 
 __all__ = ["choose", "choose_with_room", "free_in", "healthy", "holders",
            "is_free"]
@@ -111,9 +111,9 @@
 def _usable(host, pending, now):
     limit = _connections(host, pending.service)
     return [state for state in pending.candidates
-            if not (leaving.is_leaving(host, state.server)
+            if not (draining.is_leaving(host, state.server)
                     or state.misdirects)
-            and serverload.running(state, now) < limit]
+            and server_load.running(state, now) < limit]
 
 
 def _connections(host, service):
@@ -129,4 +129,4 @@
         return strict == 0 and len(exclude) == 0
     if strict < 2:
         return True
-    return state.suspect_until <= now and not serverload.is_silent(state, now)
+    return state.suspect_until <= now and not server_load.is_silent(state, now)
--- a/crocuskeel/core/entry/serverload.py
+++ b/crocuskeel/core/entry/server_load.py
@@ -4,7 +4,7 @@
 return the sums over all hosts, and what was observed of the server.
 """
 
-from crocuskeel.core.entry import parts
+from crocuskeel.core.entry import prefix_cache
 
 __all__ = ["HEARD_S", "ahead_s", "ahead_tokens", "is_silent",
            "note_load", "note_work", "read_s", "reading", "reserved_memory",
@@ -33,7 +33,7 @@
     if not state.mine:
         return False
     limit = SILENT_S + PREFILL_SLOWDOWN * (
-        ahead_tokens(state, now) / parts.READ_TOKENS_S)
+        ahead_tokens(state, now) / prefix_cache.READ_TOKENS_S)
     return now - max(state.heard_at, state.asked_at) > limit
 
 
@@ -50,7 +50,7 @@
 
 def read_s(state, tokens):
     """Return how long an engine takes to prefill so many tokens."""
-    return tokens / parts.READ_TOKENS_S * state.slowness
+    return tokens / prefix_cache.READ_TOKENS_S * state.slowness
 
 
 def reading(state, now):
--- a/crocuskeel/core/entry/carrying.py
+++ b/crocuskeel/core/entry/serving.py
@@ -14,7 +14,7 @@
 import dataclasses
 import math
 
-from crocuskeel.core.entry import budget
+from crocuskeel.core.entry import retry_budget
 
 __all__ = ["CARRIERS_FEW", "NOBODY", "Wanted", "advertised", "merge",
            "note_own_demand", "serving_host_limit"]
@@ -67,7 +67,7 @@
 
     ``serving`` is the current number of serving hosts, including this one.
     """
-    total = budget.rate(host, RATE_WINDOW_S, now) * serving
+    total = retry_budget.rate(host, RATE_WINDOW_S, now) * serving
     _replace_if_larger(
         host, Wanted(math.ceil(total / TARGET_RATE), now), now)
 
--- a/crocuskeel/core/entry/state.py
+++ b/crocuskeel/core/entry/state.py
@@ -7,10 +7,10 @@
 
 from crocuskeel.core.duties import capacity
 from crocuskeel.core.duties import state
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import loads
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import routing
+from crocuskeel.core.entry import serving
 
 __all__ = ["Host", "Pending", "PeerState", "ServerState", "Settings", "Try",
            "new_host", "new_server"]
@@ -201,7 +201,7 @@
     carriers: list = dataclasses.field(default_factory=list)
     carriers_until: float = 0.0
     # How many carriers are needed, as reported by the carriers.
-    wanted: carrying.Wanted = carrying.NOBODY
+    wanted: serving.Wanted = serving.NOBODY
     # Time as of which the newest information from a store reader is valid.
     told_at: float = -math.inf
     # When the list of hosts was read.
--- a/crocuskeel/core/entry/usage.py
+++ b/crocuskeel/core/entry/usage.py
@@ -1,8 +1,8 @@
 """Counts the requests that engines began and sends them to the holder."""
 
+from crocuskeel.core.duties import clock
 from crocuskeel.core.duties import counting
 from crocuskeel.core.duties import model
-from crocuskeel.core.duties import truetime
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import fleet
 
@@ -18,7 +18,7 @@
     duties = host.duties
     if duties is None or pending.usage_counted or not pending.workspace:
         return
-    wall = truetime.wall_time(duties.offsets, at)
+    wall = clock.wall_time(duties.offsets, at)
     if wall is None:
         return
     pending.usage_counted = True
--- a/crocuskeel/gateway/gossip.py
+++ b/crocuskeel/gateway/gossip.py
@@ -7,9 +7,9 @@
 """
 
 from crocuskeel.core import duties
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import model
+from crocuskeel.core.entry import serving
 import msgpack
 from twisted.internet import protocol
 
@@ -106,7 +106,7 @@
     # A state of the version without rate limits ends here.
     limits, leaving = (*rest[STATE_FIELDS:], (), ())[:2]
     return events.Heard(sender, *previous, wall, duties.Leader(*leader),
-                        carrying.Wanted(*wanted), _rate_limits(limits),
+                        serving.Wanted(*wanted), _rate_limits(limits),
                         _servers_leaving(leaving))
 
 
--- a/emulator/mechanisms.py
+++ b/emulator/mechanisms.py
@@ -10,11 +10,11 @@
 
 from crocuskeel.core.entry import admission
 from crocuskeel.core.entry import candidates
-from crocuskeel.core.entry import carrying
+from crocuskeel.core.entry import class_minimums
 from crocuskeel.core.entry import cost
-from crocuskeel.core.entry import floors
-from crocuskeel.core.entry import repeating
-from crocuskeel.core.entry import telling
+from crocuskeel.core.entry import gossip
+from crocuskeel.core.entry import retrying
+from crocuskeel.core.entry import serving
 
 __all__ = ["MECHANISMS", "without"]
 
@@ -35,13 +35,13 @@
     "order of engines for streams": ((cost, "ORDER_S", 0.0),),
     "cost of fetching": ((cost, "FETCH_SHARE", 0.0),),
     "cost of a full engine": ((cost, "FULL_S", 0.0),),
-    "second server for slow calls": ((repeating, "HEDGE_SHARE", 9.0),),
+    "second server for slow calls": ((retrying, "HEDGE_SHARE", 9.0),),
     "moving silent streams": (
-        (repeating, "MOVE_SHARE", 9.0), (repeating, "STALL_GAPS", 99.0)),
-    "loads told at once": ((telling, "LOADS_GAP_S", 0.3),),
-    "floors of classes": ((floors, "FLOOR_SHARE", 0.0),),
+        (retrying, "MOVE_SHARE", 9.0), (retrying, "STALL_GAPS", 99.0)),
+    "loads told at once": ((gossip, "LOADS_GAP_S", 0.3),),
+    "floors of classes": ((class_minimums, "FLOOR_SHARE", 0.0),),
     "few candidates": ((candidates, "LOOKED_AT_MOST", 10 ** 6),),
-    "few carriers": ((carrying, "CARRIERS_FEW", 10 ** 6),),
+    "few carriers": ((serving, "CARRIERS_FEW", 10 ** 6),),
 }
 
 
--- a/tests/duties/test_counting.py
+++ b/tests/duties/test_counting.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from crocuskeel.core.duties import book as books
+from crocuskeel.core.duties import clock
 from crocuskeel.core.duties import counting
-from crocuskeel.core.duties import truetime
+from crocuskeel.core.duties import handover as handovers
 from tests.duties import world as worlds
 
 WORKSPACES = ("hire", "tours", "chain")
@@ -124,10 +124,10 @@
     """The record that one holder hands over to the next."""
 
     def test_it_is_read_as_written(self):
-        state = books.HandoverState(4, {5: {"hire": 2}}, {
+        state = handovers.HandoverState(4, {5: {"hire": 2}}, {
             ("scale", "llm", "perth-a", True): 7})
         tables = {("h0", 3): {5: {"hire": 2}, 6: {"hire": 1}}}
-        found, rows = books.read(books.write(state, tables))
+        found, rows = handovers.read(handovers.write(state, tables))
         self.assertEqual(state, found)
         self.assertEqual([("h0", 3, [(6, (("hire", 1),))])], rows)
 
@@ -144,7 +144,7 @@
                         "tables": []}):
             with self.subTest(record=record):
                 with self.assertRaises(ValueError):
-                    books.read(record)
+                    handovers.read(record)
 
 
 class TimeTest(unittest.TestCase):
@@ -153,9 +153,9 @@
     def test_the_median_of_the_hosts_clocks(self):
         offsets = {}
         for name, wall in (("a", 5000.0), ("b", 5000.1), ("c", 4000.0)):
-            truetime.add_reading(offsets, name, wall, 100.0)
-        self.assertAlmostEqual(5001.0, truetime.wall_time(offsets, 101.0))
-        self.assertIsNone(truetime.wall_time(offsets, 200.0))
+            clock.add_reading(offsets, name, wall, 100.0)
+        self.assertAlmostEqual(5001.0, clock.wall_time(offsets, 101.0))
+        self.assertIsNone(clock.wall_time(offsets, 200.0))
 
 
 if __name__ == "__main__":
--- a/tests/entry/test_floors.py
+++ b/tests/entry/test_class_minimums.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from crocuskeel.core.entry import floors
+from crocuskeel.core.entry import class_minimums
 from emulator import deployment as deployments
 from emulator import mechanisms
 from emulator import run
@@ -29,20 +29,21 @@
         for number in range(count):
             pending = support.pending(route, prompt=support.prompt(
                 shared=tokens - 500, own=500))
-            floors.note_arrived(self.host, pending, support.NOW)
+            class_minimums.note_arrived(self.host, pending, support.NOW)
             if number < sent:
-                floors.note_sent(self.host, pending, support.NOW)
+                class_minimums.note_sent(self.host, pending, support.NOW)
         return pending
 
-    def _is_below_minimum(self, top, low, after_s=floors.UNDERSERVED_S):
+    def _is_below_minimum(self, top, low,
+                          after_s=class_minimums.UNDERSERVED_S):
         """Say whether the lower class is below its minimum later."""
         self.setUp()
         self._arrive(TOP, *top)
         pending = self._arrive(LOW, *low)
-        floors.is_below_minimum(self.host, pending, support.NOW)
+        class_minimums.is_below_minimum(self.host, pending, support.NOW)
         for stats in self.host.served["engines"].values():
             stats.at += after_s
-        return floors.is_below_minimum(
+        return class_minimums.is_below_minimum(
             self.host, pending, support.NOW + after_s)
 
     def test_shares_of_two_classes(self):
@@ -66,20 +67,21 @@
 
     def test_no_guarantee_during_a_short_burst(self):
         self.assertFalse(self._is_below_minimum(
-            (40, 40, 9_000), (10, 0, 4_000), floors.UNDERSERVED_S - 1.0))
+            (40, 40, 9_000), (10, 0, 4_000),
+            class_minimums.UNDERSERVED_S - 1.0))
 
     def test_no_guarantee_for_the_highest_class(self):
         pending = self._arrive(TOP, 20, 0, 4_000)
-        self.assertFalse(floors.is_below_minimum(
+        self.assertFalse(class_minimums.is_below_minimum(
             self.host, pending, support.NOW))
 
     def test_old_arrivals_do_not_count(self):
         self._arrive(TOP, 40, 40, 9_000)
         pending = self._arrive(LOW, 20, 0, 4_000)
-        self.assertFalse(floors.is_below_minimum(
+        self.assertFalse(class_minimums.is_below_minimum(
             self.host, pending, support.NOW))
-        self.assertFalse(floors.is_below_minimum(
-            self.host, pending, support.NOW + 4 * floors.DECAY_S))
+        self.assertFalse(class_minimums.is_below_minimum(
+            self.host, pending, support.NOW + 4 * class_minimums.DECAY_S))
 
 
 class OverloadTest(unittest.TestCase):
--- a/tests/entry/test_pace.py
+++ b/tests/entry/test_pause_estimate.py
@@ -4,7 +4,7 @@
 import unittest
 
 from crocuskeel.core.entry import events
-from crocuskeel.core.entry import pace
+from crocuskeel.core.entry import pause_estimate
 from tests.entry import support
 
 
@@ -13,12 +13,12 @@
 
     def _learn(self, longest_s, seed=1, count=200):
         rng = random.Random(seed)
-        estimate = pace.PauseEstimate()
+        estimate = pause_estimate.PauseEstimate()
         for _ in range(count):
             ahead_s = rng.uniform(0.02, 1.0)
             # The last prefill step of a prompt is shorter than others.
             gap_s = min(ahead_s, longest_s) * rng.choice((1.0, 1.0, 0.5))
-            pace.note_gap(estimate, ahead_s, gap_s)
+            pause_estimate.note_gap(estimate, ahead_s, gap_s)
         return estimate
 
     def test_small_prefill_steps_cause_no_long_pause(self):
@@ -28,18 +28,21 @@
         # 0.72 instead of 0.78.
         for seed in range(5):
             estimate = self._learn(0.18, seed)
-            self.assertFalse(pace.may_exceed(estimate, 0.25))
+            self.assertFalse(pause_estimate.may_exceed(estimate, 0.25))
 
     def test_large_prefill_steps_cause_long_pauses(self):
         for seed in range(5):
             estimate = self._learn(0.24, seed)
-            self.assertTrue(pace.may_exceed(estimate, 0.2))
-            self.assertFalse(pace.may_exceed(estimate, 0.4))
+            self.assertTrue(pause_estimate.may_exceed(estimate, 0.2))
+            self.assertFalse(pause_estimate.may_exceed(estimate, 0.4))
 
     def test_any_pause_is_possible_until_enough_samples(self):
-        self.assertTrue(pace.may_exceed(pace.PauseEstimate(), 10.0))
-        self.assertTrue(pace.may_exceed(
-            self._learn(0.1, count=pace.MIN_SAMPLES - 1), 10.0))
+        self.assertTrue(
+            pause_estimate.may_exceed(
+                pause_estimate.PauseEstimate(),
+                10.0))
+        self.assertTrue(pause_estimate.may_exceed(
+            self._learn(0.1, count=pause_estimate.MIN_SAMPLES - 1), 10.0))
 
     def test_short_prompts_are_not_sampled(self):
         # Under low load most prompts end within one prefill step. Their
@@ -47,14 +50,14 @@
         # were late.
         estimate = self._learn(0.24)
         for _ in range(500):
-            pace.note_gap(estimate, 0.1, 0.09)
-        self.assertTrue(pace.may_exceed(estimate, 0.2))
+            pause_estimate.note_gap(estimate, 0.1, 0.09)
+        self.assertTrue(pause_estimate.may_exceed(estimate, 0.2))
 
     def test_pauses_of_the_host_itself_are_not_sampled(self):
         estimate = self._learn(0.18)
         for _ in range(50):
-            pace.note_gap(estimate, 0.3, 2.0)
-        self.assertFalse(pace.may_exceed(estimate, 0.25))
+            pause_estimate.note_gap(estimate, 0.3, 2.0)
+        self.assertFalse(pause_estimate.may_exceed(estimate, 0.25))
 
     def test_pauses_during_prefill_are_sampled(self):
         engine = support.server("e1", "engines")
--- a/tests/entry/test_pauses.py
+++ b/tests/entry/test_prefill_pauses.py
@@ -4,9 +4,9 @@
 
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
-from crocuskeel.core.entry import pace
-from crocuskeel.core.entry import pauses
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import pause_estimate
+from crocuskeel.core.entry import prefill_pauses
+from crocuskeel.core.entry import server_load
 from tests.entry import support
 
 ENGINES = tuple(support.server(f"e{n}", "engines") for n in range(4))
@@ -70,10 +70,11 @@
     def test_engine_without_prefill_is_safe_for_chats_again(self):
         driver = _driver()
         state = driver.host.servers["e1"]
-        pauses.heard(state, 0.4, driver.now)
+        prefill_pauses.heard(state, 0.4, driver.now)
         for after_s, expected in ((0, True), (4, False)):
-            self.assertEqual(expected, pauses.is_at_risk(
-                [state], pace.PauseEstimate(), CHAT, driver.now + after_s))
+            self.assertEqual(expected, prefill_pauses.is_at_risk(
+                [state], pause_estimate.PauseEstimate(), CHAT,
+                driver.now + after_s))
 
 
 class AdmissionTest(unittest.TestCase):
@@ -130,15 +131,15 @@
         state = driver.host.servers["e0"]
         state.others.put("host-1", 5, 0, 0, driver.now,
                          ((0, 200, 3), (2, 800, 2)))
-        self.assertEqual(0.0, pauses.late_streams(
-            state, pace.PauseEstimate(), 0.0, 0.1))
-        self.assertEqual(3.0, pauses.late_streams(
-            state, pace.PauseEstimate(), 0.0, 0.2))
-        self.assertEqual(5.0, pauses.late_streams(
-            state, pace.PauseEstimate(), 0.0, 0.9))
+        self.assertEqual(0.0, prefill_pauses.late_streams(
+            state, pause_estimate.PauseEstimate(), 0.0, 0.1))
+        self.assertEqual(3.0, prefill_pauses.late_streams(
+            state, pause_estimate.PauseEstimate(), 0.0, 0.2))
+        self.assertEqual(5.0, prefill_pauses.late_streams(
+            state, pause_estimate.PauseEstimate(), 0.0, 0.9))
         # A stream that is late already is not counted again.
-        self.assertEqual(2.0, pauses.late_streams(
-            state, pace.PauseEstimate(), 0.25, 0.6))
+        self.assertEqual(2.0, prefill_pauses.late_streams(
+            state, pause_estimate.PauseEstimate(), 0.25, 0.6))
 
     def test_stream_counts_until_it_ends(self):
         driver = _driver()
@@ -154,7 +155,7 @@
         driver = _driver()
         state = driver.host.servers["e0"]
         state.others.put("host-1", 5, 0, 0, driver.now, ((0, 200, 3),))
-        serverload.ahead_tokens(state, driver.now + 2)
+        server_load.ahead_tokens(state, driver.now + 2)
         self.assertEqual({}, state.others.gaps)
 
 
--- a/tests/entry/test_parts.py
+++ b/tests/entry/test_prefix_cache.py
@@ -6,7 +6,7 @@
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import parts
+from crocuskeel.core.entry import prefix_cache
 from tests.entry import support
 
 ENGINES = tuple(support.server(
@@ -30,7 +30,7 @@
 
 
 def _cache(driver, sid, part="shared", tokens=SHARED):
-    parts.remember(driver.host.servers[sid], part, tokens, 500_000, 0)
+    prefix_cache.remember(driver.host.servers[sid], part, tokens, 500_000, 0)
 
 
 def _busy(driver, *sids):
@@ -87,7 +87,7 @@
         self.assertIsNone(_send(driver).fetch_from)
 
     def test_no_fetch_that_is_as_slow_as_prefill(self):
-        driver = _driver(fetch_token_s=1 / parts.READ_TOKENS_S)
+        driver = _driver(fetch_token_s=1 / prefix_cache.READ_TOKENS_S)
         _cache(driver, "e1")
         driver.host.servers["e1"].others.put(
             "host-1", 9, 90_000, 9, driver.now)
@@ -159,5 +159,6 @@
         _busy(driver, "e1")
         sent = _send(driver)
         (tokens,) = driver.host.servers[sent.server.sid].mine.values()
-        self.assertEqual(500 + SHARED * FETCH_TOKEN_S * parts.READ_TOKENS_S,
-                         tokens)
+        self.assertEqual(
+            500 + SHARED * FETCH_TOKEN_S * prefix_cache.READ_TOKENS_S,
+            tokens)
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -5,10 +5,10 @@
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
+from crocuskeel.core.entry import prefix_cache
 from crocuskeel.core.entry import quarantine
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
 from tests.entry import support
 
 CHAT = support.stream("chat", resumable=False, tries=1)
@@ -39,24 +39,24 @@
         # 13,000 tokens to be read. It was also avoided as slow and failing,
         # which its former process was.
         state = self._state()
-        parts.remember(state, "shared", 13_000, 5e5, 0)
+        prefix_cache.remember(state, "shared", 13_000, 5e5, 0)
         state.slowness, state.failing, state.strikes = 5.0, 0.9, 3
         state.suspect_until = self.driver.now + 4
         state.others.put("host-1", 9, 90_000, 9, self.driver.now)
-        pauses.heard(state, 0.5, self.driver.now)
+        prefill_pauses.heard(state, 0.5, self.driver.now)
         out = self._restart()
         state = self._state()
         self.assertEqual({}, dict(state.parts))
         self.assertEqual((1.0, 0.0, 0), (
             state.slowness, state.failing, state.strikes))
         self.assertEqual(0.0, state.suspect_until)
-        self.assertEqual(0, serverload.ahead_tokens(state, self.driver.now))
-        self.assertEqual(0.0, pauses.loud_s(state, self.driver.now))
+        self.assertEqual(0, server_load.ahead_tokens(state, self.driver.now))
+        self.assertEqual(0.0, prefill_pauses.loud_s(state, self.driver.now))
         self.assertIn("server_restarted", [
             effect.event for effect in support.only(out, effects.Note)])
 
     def test_a_changed_entry_alone_is_no_restart(self):
-        parts.remember(self._state(), "shared", 13_000, 5e5, 0)
+        prefix_cache.remember(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.feed(events.ServersChanged(
             (_engine(cold_s=1.0),), (), 6))
         self.assertIn("shared", self._state().parts)
@@ -66,7 +66,7 @@
         self.driver.feed(events.ServersListed(
             (_engine(born=None), _engine("e1")), 6))
         self.driver.feed(events.ServersChanged((), ("e1",), 7))
-        parts.remember(self._state(), "shared", 13_000, 5e5, 0)
+        prefix_cache.remember(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
                            deadline_s=8.0)
         out = self._restart(after=5.0)
@@ -74,7 +74,7 @@
         self.assertIn("shared", self._state().parts)
 
     def test_the_list_shows_a_restart_as_well(self):
-        parts.remember(self._state(), "shared", 13_000, 5e5, 0)
+        prefix_cache.remember(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.feed(events.ServersListed(
             (_engine(born=9_000), _engine("e1")), 7))
         self.assertEqual({}, dict(self._state().parts))
--- a/tests/entry/test_choosing.py
+++ b/tests/entry/test_server_choice.py
@@ -4,11 +4,11 @@
 import unittest
 
 from crocuskeel.core.entry import candidates
-from crocuskeel.core.entry import choosing
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import prefix_cache
+from crocuskeel.core.entry import server_choice
+from crocuskeel.core.entry import server_load
 from tests.entry import support
 
 ENGINES = tuple(support.server(f"e{n}", "engines") for n in range(4))
@@ -23,8 +23,8 @@
 def _choose(driver, prompt, exclude=()):
     pending = support.pending(TOP, driver.now, prompt=prompt)
     pending.candidates = candidates.pick(driver.host, pending)
-    return choosing.choose(driver.host, pending, set(exclude),
-                           driver.now).server.sid
+    return server_choice.choose(driver.host, pending, set(exclude),
+                                driver.now).server.sid
 
 
 class ChooseTest(unittest.TestCase):
@@ -39,13 +39,18 @@
 
     def test_part_is_sent_to_the_engine_that_caches_it(self):
         driver = _driver()
-        parts.remember(driver.host.servers["e2"], "tide", 13_000, 5e5, 0)
+        prefix_cache.remember(
+            driver.host.servers["e2"],
+            "tide",
+            13_000,
+            5e5,
+            0)
         self.assertEqual("e2", _choose(driver, support.prompt("tide")))
 
     def test_long_queue_costs_more_than_repeated_prefill(self):
         driver = _driver()
         caching = driver.host.servers["e2"]
-        parts.remember(caching, "tide", 13_000, 5e5, 0)
+        prefix_cache.remember(caching, "tide", 13_000, 5e5, 0)
         caching.others.put("host-1", 4, 40_000, 4, driver.now)
         self.assertEqual("e2", _choose(driver, support.prompt("tide")))
         caching.others.put("host-1", 9, 90_000, 9, driver.now)
@@ -55,7 +60,7 @@
         driver = _driver()
         state = driver.host.servers["e2"]
         state.others.put("host-1", 9, 90_000, 9, driver.now - 2)
-        self.assertEqual(0, serverload.ahead_tokens(state, driver.now))
+        self.assertEqual(0, server_load.ahead_tokens(state, driver.now))
 
     def test_draining_servers_never_and_suspect_ones_last(self):
         driver = _driver()
@@ -86,7 +91,7 @@
     def test_parts_beyond_an_engines_memory_are_evicted(self):
         state = _driver().host.servers["e1"]
         for number in range(10):
-            parts.remember(state, f"p{number}", 10_000, 100_000, 0)
+            prefix_cache.remember(state, f"p{number}", 10_000, 100_000, 0)
         self.assertEqual(7, len(state.parts))
         self.assertNotIn("p0", state.parts)
 
@@ -96,7 +101,7 @@
 
     def _load(self, driver, reading, tokens):
         for state in driver.host.servers.values():
-            serverload.note_work(driver.host, state)
+            server_load.note_work(driver.host, state)
             state.others.put("host-1", reading, tokens, reading, driver.now)
 
     def _arrive(self, driver, name, key=1, **kwargs):
@@ -157,7 +162,7 @@
         # engines were idle.
         driver = _driver()
         caching = driver.host.servers["e2"]
-        parts.remember(caching, "shared", 13_000, 5e5, 0)
+        prefix_cache.remember(caching, "shared", 13_000, 5e5, 0)
         caching.others.put("host-1", 1, 28_000, 1, driver.now)
         self.assertEqual(0, len(self._arrive(driver, "low")[0]))
         driver.now += 1.01
@@ -197,11 +202,11 @@
         # million tokens 12.0 million had been prefilled elsewhere before.
         driver = _driver()
         caching = driver.host.servers["e2"]
-        parts.remember(caching, "shared", 13_000, 5e5, 0)
+        prefix_cache.remember(caching, "shared", 13_000, 5e5, 0)
         for share, sends in ((0.8, 0), (0.6, 1)):
             driver = _driver()
             caching = driver.host.servers["e2"]
-            parts.remember(caching, "shared", 13_000, 5e5, 0)
+            prefix_cache.remember(caching, "shared", 13_000, 5e5, 0)
             for state in driver.host.servers.values():
                 state.busy = share
             caching.others.put("host-1", 1, 28_000, 1, driver.now)
--- a/tests/entry/test_carrying.py
+++ b/tests/entry/test_serving.py
@@ -3,14 +3,14 @@
 import unittest
 
 from bench import hosts
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import fleet
+from crocuskeel.core.entry import serving
 from tests.entry import support
 
 PEERS = 60
-WINDOW_S = carrying.RATE_WINDOW_S
+WINDOW_S = serving.RATE_WINDOW_S
 
 
 def _driver():
@@ -49,7 +49,7 @@
     def test_a_lightly_loaded_fleet_of_equal_hosts_has_few(self):
         # 300 equal hosts all served callers and reported to 12 others at a
         # time: each knew a twentieth of the load of engines.
-        self.assertEqual(carrying.CARRIERS_FEW, _count(_driver()))
+        self.assertEqual(serving.CARRIERS_FEW, _count(_driver()))
 
     def test_all_hosts_of_a_fleet_agree_on_serving_hosts(self):
         world = hosts.new_world(PEERS, 0)
@@ -61,50 +61,50 @@
     def test_more_hosts_serve_when_requests_need_them(self):
         # Twice the target rate of the base number of serving hosts.
         driver = _driver()
-        wanted = 2 * carrying.CARRIERS_FEW
-        _send_requests(driver, int(2 * carrying.TARGET_RATE * WINDOW_S))
+        wanted = 2 * serving.CARRIERS_FEW
+        _send_requests(driver, int(2 * serving.TARGET_RATE * WINDOW_S))
         self.assertTrue(driver.host.me.name in {
             peer.name for peer in fleet.carriers(driver.host, driver.now)})
         self.assertAlmostEqual(wanted, _count(driver), delta=2)
 
     def test_a_reported_number_is_valid_for_its_ttl_on_all_hosts(self):
         driver = _driver()
-        _receive_states(driver, wanted=carrying.Wanted(40, 0.0))
+        _receive_states(driver, wanted=serving.Wanted(40, 0.0))
         fleet.changed(driver.host)
         self.assertEqual(40, _count(driver))
-        _receive_states(driver, wanted=carrying.Wanted(30, 0.0))
+        _receive_states(driver, wanted=serving.Wanted(30, 0.0))
         fleet.changed(driver.host)
         self.assertEqual(40, _count(driver))
-        driver.now += carrying.DEMAND_TTL_S
+        driver.now += serving.DEMAND_TTL_S
         _receive_states(driver)
         fleet.changed(driver.host)
-        self.assertEqual(carrying.CARRIERS_FEW, _count(driver))
+        self.assertEqual(serving.CARRIERS_FEW, _count(driver))
 
     def test_hosts_that_pass_on_a_number_do_not_keep_it_valid(self):
         # After a burst, hosts that sent its number to each other would
         # keep it valid and never reduce the serving hosts.
         pair = [_driver().host, _driver().host]
         now = support.NOW
-        carrying.merge(pair[0], carrying.Wanted(50, 0.0), now)
+        serving.merge(pair[0], serving.Wanted(50, 0.0), now)
         for _ in range(200):
             now += 0.1
             for one, other in (pair, reversed(pair)):
-                carrying.merge(other, carrying.advertised(one, now), now)
-        self.assertEqual(carrying.CARRIERS_FEW,
-                         carrying.serving_host_limit(pair[0], now))
+                serving.merge(other, serving.advertised(one, now), now)
+        self.assertEqual(serving.CARRIERS_FEW,
+                         serving.serving_host_limit(pair[0], now))
 
 
 class LoadUpdateIntervalTest(unittest.TestCase):
     """Load changes are sent less often with more serving hosts."""
 
-    def _count_datagrams(self, serving):
+    def _count_datagrams(self, serving_count):
         """Return the datagrams in a second with a change every 10 ms."""
         driver = support.Driver(support.stream(), servers=[
             support.server("e1", "engines")])
-        for number in range(serving - 1):
+        for number in range(serving_count - 1):
             driver.feed(events.Heard(
                 support.peer(f"host-{number}", capacity=0.9), True, False,
-                10, 5, wanted=carrying.Wanted(serving, 0.0)))
+                10, 5, wanted=serving.Wanted(serving_count, 0.0)))
         fleet.changed(driver.host)
         count, due = 0, None
         for _ in range(100):
@@ -121,10 +121,10 @@
     def test_many_serving_hosts_report_only_their_own_work(self):
         # Each of 72 hosts passed on the load that all others reported, in
         # states of 400 rows that each host reads forty times a second.
-        for serving, rows in ((13, 2), (14, 1)):
+        for serving_count, rows in ((13, 2), (14, 1)):
             driver = support.Driver(support.stream(), servers=[
                 support.server(f"e{n}", "engines") for n in range(2)])
-            for number in range(serving - 1):
+            for number in range(serving_count - 1):
                 driver.feed(events.Heard(
                     support.peer(f"host-{number}"), True, False, 10, 5))
             driver.arrive(path="/advice/1", prompt=support.prompt())
--- a/tests/entry/test_tiers.py
+++ b/tests/entry/test_tiers.py
@@ -6,7 +6,7 @@
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import parts
+from crocuskeel.core.entry import prefix_cache
 from tests.entry import support
 
 CHAT = support.stream("chat", priority=0, goal_s=0.3, gap_s=0.25)
@@ -49,7 +49,8 @@
         host.servers["full"].others.put("h1", 24, 0, 0, now)
         for prompt in (CHAT_PROMPT, DRAFT_PROMPT, LONG_PROMPT):
             part, tokens = prompt.parts[0]
-            parts.remember(host.servers["full"], part, tokens, MEMORY, now)
+            prefix_cache.remember(
+                host.servers["full"], part, tokens, MEMORY, now)
             host.servers["busy"].parts.clear()
         busy = host.servers["busy"]
         busy.busy, busy.loud, busy.loud_at = 0.8, 0.3, now
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from crocuskeel.core.entry import floors
-from crocuskeel.core.entry import pace
+from crocuskeel.core.entry import class_minimums
+from crocuskeel.core.entry import pause_estimate
 from crocuskeel.gateway import metrics
 from tests.duties import world as worlds
 from tests.entry import support
@@ -42,7 +42,9 @@
     def test_pause_of_engines_is_exported(self):
         # The pause decides which streams may be delayed by long prompts.
         host = support.Driver().host
-        pace.note_gap(pace.of_service(host, "engines"), 1.0, 0.2)
+        pause_estimate.note_gap(
+            pause_estimate.of_service(
+                host, "engines"), 1.0, 0.2)
         text = metrics.new_metrics(host).text().decode()
         self.assertIn(
             'crocuskeel_reading_pause_seconds{service="engines"} 0.2', text)
@@ -52,7 +54,7 @@
         host = support.Driver().host
         pending_request = support.pending(
             support.stream(), prompt=support.prompt())
-        floors.note_arrived(host, pending_request, support.NOW)
+        class_minimums.note_arrived(host, pending_request, support.NOW)
         text = metrics.new_metrics(host).text().decode()
         self.assertIn(
             'let_in_share{priority="0",route="advice",service="engines"} 0',
--- a/tests/gateway/test_pieces.py
+++ b/tests/gateway/test_pieces.py
@@ -5,10 +5,10 @@
 import unittest
 
 from crocuskeel.core import duties
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
+from crocuskeel.core.entry import serving
 from crocuskeel.gateway import event_stream
 from crocuskeel.gateway import gossip
 from crocuskeel.gateway import logs
@@ -49,7 +49,7 @@
                 events.Heard(support.peer(), True, False, 3, 4,
                              wall=1.7e9 + 0.25,
                              leader=duties.Leader(9, "host-2", 7),
-                             wanted=carrying.Wanted(30, 1.5)),
+                             wanted=serving.Wanted(30, 1.5)),
                 duties.Usage("host-1", 4, ((7, (("hire", 3),)),)),
                 events.LoadHeard("host-1", (("s", 1, 2, 1, 30),),
                                  ("t",))):
@@ -62,7 +62,7 @@
                    for number in range(3000)]
         driver = support.Driver(support.stream(), servers=servers)
         for state in driver.host.servers.values():
-            serverload.note_work(driver.host, state)
+            server_load.note_work(driver.host, state)
         driver.host.servers[servers[-1].sid].mine[1, 0] = 500
         driver.feed(events.PeersSeen((support.peer("other"),)))
         tell = support.only(driver.feed(events.Ticked(), 0.3),
