--- a/bench/elastic.py
+++ b/bench/elastic.py
@@ -141,7 +141,7 @@
         history.pop(0)
     growth = max(0.0, used - history[0][1]) * SCALING.boot_s
     ordering.sample(duties, SERVICE, shares, now, POLICY)
-    demand.note(duties.demands[SERVICE], used + growth, now)
+    demand.record_need(duties.demands[SERVICE], used + growth, now)
     return ordering.due(duties, SERVICE, SCALING, serving, now, POLICY)
 
 
@@ -153,7 +153,8 @@
 def at_most(duties, shares, serving, now):
     """Have as many spot engines as there may be, always."""
     ordering.sample(duties, SERVICE, shares, now, POLICY)
-    demand.note(duties.demands[SERVICE], len(DOMAINS) * SCALING.most, now)
+    demand.record_need(duties.demands[SERVICE], len(DOMAINS) * SCALING.most,
+                       now)
     return ordering.due(duties, SERVICE, SCALING, serving, now, POLICY)
 
 
@@ -216,7 +217,7 @@
     serving = {key: count for key, count in platform.serving.items()
                if count}
     for call in way(duties, shares, serving, now):
-        known = states.Open(call)
+        known = states.DutyCall(call)
         duties.calls[call.subject] = known
         ordering.answered(duties, known, platform.order(call, now), now)
 
@@ -270,8 +271,9 @@
         for engines in (30, 120, 1700):
             print(f"a look at {engines} engines: "
                   f"{look_us(engines):.0f} us")
-    print(f"planned use {capacity.USE_SHARE}, kept {demand.KEPT_S:.0f} s, "
-          "20 days each")
+    print(
+        f"planned use {capacity.USE_SHARE}, kept {demand.PEAK_KEPT_S:.0f} s, "
+        "20 days each")
     print("| Work, engines | Way | Cost | Lost | Lost in bursts | Most |")
     print("| --- | --- | --- | --- | --- | --- |")
     for base in (4.0, 9.0, 14.0):
--- a/bench/hosts.py
+++ b/bench/hosts.py
@@ -119,12 +119,12 @@
         self._watch(name)
 
     def _take(self, name, revision):
-        self._feed(name, events.CatalogSeen(model.Catalog(
+        self._feed(name, events.CatalogRead(model.Catalog(
             revision, revision, {}, {}, None, LIMITS)))
 
     def _feed(self, name, event):
         for effect in entry.reduce(self.hosts[name], event, self.now):
-            if type(effect) is effects.Tell:
+            if type(effect) is effects.SendToPeer:
                 self.flying.append((name, effect.peer.name, effect.event))
             elif type(effect) is effects.FetchCatalog:
                 self._fetch(name, effect.peer.name)
@@ -149,7 +149,7 @@
         world.hosts[peer.name] = host
         world.phase[peer.name] = world.rng.randrange(TICK_STEPS)
         world._feed(peer.name, events.Started(peer))
-        world._feed(peer.name, events.PeersSeen(tuple(peers)))
+        world._feed(peer.name, events.PeersListed(tuple(peers)))
     return world
 
 
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -55,22 +55,22 @@
         self.carriers = ()
         self.feed(events.Started(fleets.new_peer(
             "me", 1.1 if carries else 0.4)))
-        self.feed(events.CatalogSeen(model.Catalog(
+        self.feed(events.CatalogRead(model.Catalog(
             1, 1, {}, {SERVICE: model.Service(
-                SERVICE, 0, model.Engine(64, 500_000))},
+                SERVICE, 0, model.EngineSpec(64, 500_000))},
             None, fleets.LIMITS)))
-        self.feed(events.PeersSeen(tuple(map(_peer, self.names))))
+        self.feed(events.PeersListed(tuple(map(_peer, self.names))))
 
     def feed(self, event):
         """Feed an event; datagrams that follow are encoded."""
         began = time.process_time()
         for effect in entry.reduce(self.host, event, self.now):
-            if type(effect) is effects.Tell:
+            if type(effect) is effects.SendToPeer:
                 self.bytes += len(gossip_codec.encode(effect.event))
         self.spent_s += time.process_time() - began
 
     def _hear(self, name):
-        data = gossip_codec.encode(events.Heard(
+        data = gossip_codec.encode(events.PeerStateReceived(
             _peer(name), True, False, 1, self.host.servers_revision,
             reads_store=name == "h0", informed_s=0.1,
             carriers=self.carriers if name in self.carriers else ()))
@@ -84,8 +84,8 @@
         """Have each other host tell its state once."""
         for name in self.names:
             self._hear(name)
-        fleet.changed(self.host)
-        self.carriers = tuple(peer.name for peer in fleet.carriers(
+        fleet.invalidate_serving_hosts(self.host)
+        self.carriers = tuple(peer.name for peer in fleet.serving_hosts(
             self.host, self.now))
 
     def tick(self):
@@ -98,10 +98,10 @@
     def _speakers(self):
         others = [name for name in self.carriers if name != "me"]
         if len(others) == len(self.carriers):
-            return others[:gossip.CONTACTS]
-        told = min(len(others), gossip.MESH_MOST)
+            return others[:gossip.CONTACT_COUNT]
+        told = min(len(others), gossip.MAX_FANOUT)
         small = max(0, len(self.names) - len(others))
-        contacts = 0.5 * gossip.CONTACTS * small / len(self.carriers)
+        contacts = 0.5 * gossip.CONTACT_COUNT * small / len(self.carriers)
         drawn = min(round(contacts), len(self.names))
         return (self.rng.sample(others, told)
                 + self.rng.sample(self.names, drawn))
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -31,14 +31,14 @@
         15.0, 0.3, 1, 0, True, False, GAP_MS / 1000)
     catalog = model.Catalog(
         1, 1, {"desk": [route]},
-        {SERVICE: model.Service(SERVICE, 0, model.Engine(64, 232_000))},
+        {SERVICE: model.Service(SERVICE, 0, model.EngineSpec(64, 232_000))},
         None, model.Limits(16384, 1 << 20, 3.0, 15.0))
     servers = tuple(
         model.Server(f"e{number}", SERVICE, (f"10.0.0.{number}", 80), "a",
                      64, False)
         for number in range(engines))
     me = model.Peer("me", 1, "a", "me:80", ("me", 81), ("me", 82), 1.0)
-    for event in (events.Started(me), events.CatalogSeen(catalog),
+    for event in (events.Started(me), events.CatalogRead(catalog),
                   events.ServersListed(servers, 1)):
         entry.reduce(host, event, NOW)
     return host
@@ -70,7 +70,7 @@
         now = NOW + key * 0.001
         if key % 100 == 0:
             _load(host, now)
-        event = events.Arrived(key, _request(key))
+        event = events.RequestReceived(key, _request(key))
         began = time.process_time()
         entry.reduce(host, event, now)
         spent += time.process_time() - began
--- a/crocuskeel/core/duties/capacity.py
+++ b/crocuskeel/core/duties/capacity.py
@@ -33,7 +33,7 @@
 
     use_share: float = USE_SHARE
     loss_share: float = LOSS_SHARE
-    kept_s: float = demand.KEPT_S
+    kept_s: float = demand.PEAK_KEPT_S
     spot_share: float = 1.0
 
 
--- a/crocuskeel/core/duties/clock.py
+++ b/crocuskeel/core/duties/clock.py
@@ -7,7 +7,7 @@
 
 import statistics
 
-__all__ = ["add_reading", "own", "wall_time"]
+__all__ = ["add_reading", "own_wall_time", "wall_time"]
 
 # A reading of a host's clock is valid for this long, s: ten datagrams.
 READING_TTL_S = 3.0
@@ -29,7 +29,7 @@
         offset for offset, _ in offsets.values())
 
 
-def own(offsets, name, now):
+def own_wall_time(offsets, name, now):
     """Return a host's own wall clock time, or None without a reading."""
     if name not in offsets:
         return None
--- a/crocuskeel/core/duties/demand.py
+++ b/crocuskeel/core/duties/demand.py
@@ -3,19 +3,20 @@
 It is designed for a load that is steady for minutes and then triples its
 number of long prompts within a second, for a few seconds. Ordered engines
 serve only after their boot time, which is too late for such a burst. So
-the estimate rises immediately and falls only after :data:`KEPT_S`.
+the estimate rises immediately and falls only after :data:`PEAK_KEPT_S`.
 """
 
 import collections
 import dataclasses
 
-__all__ = ["Demand", "KEPT_S", "need", "new_demand", "note", "sample"]
+__all__ = ["Demand", "PEAK_KEPT_S", "peak_need", "new_demand", "record_need",
+           "sample"]
 
 # A peak of the need is kept this long, s. An engine that is removed loses
 # the prompt parts that it has read, and one that is back 4 s after its
 # order misses the next burst; bursts follow one another within ten to
 # twenty seconds.
-KEPT_S = 20.0
+PEAK_KEPT_S = 20.0
 # Above this utilization the need may be larger than the engines' load
 # shows, as requests that wait or are refused are not part of their load.
 SATURATED_SHARE = 0.75
@@ -34,12 +35,12 @@
 
     peaks: collections.deque = dataclasses.field(
         default_factory=collections.deque)
-    kept_s: float = KEPT_S
+    kept_s: float = PEAK_KEPT_S
     mean: float = 0.0
     mean_at: float | None = None
 
 
-def new_demand(kept_s=KEPT_S):
+def new_demand(kept_s=PEAK_KEPT_S):
     """Return the initial demand of a service."""
     return Demand(kept_s=kept_s)
 
@@ -53,10 +54,10 @@
     demand.mean_at = now
     if shares and used > SATURATED_SHARE * len(shares):
         used *= SATURATED_GROWTH
-    note(demand, used, now)
+    record_need(demand, used, now)
 
 
-def note(demand, engines, now):
+def record_need(demand, engines, now):
     """Record that so many engines are needed now."""
     peaks = demand.peaks
     while peaks and peaks[0][0] < now - demand.kept_s:
@@ -66,6 +67,6 @@
     peaks.append((now, engines))
 
 
-def need(demand):
+def peak_need(demand):
     """Return the peak of the need within ``kept_s``."""
     return demand.peaks[0][1] if demand.peaks else 0.0
--- a/crocuskeel/core/duties/ordering.py
+++ b/crocuskeel/core/duties/ordering.py
@@ -22,7 +22,7 @@
             policy.kept_s)
         service_demand.mean = len(shares) * policy.use_share
         first = _first_need(duties, service, shares, policy)
-        demand.note(service_demand, first, now)
+        demand.record_need(service_demand, first, now)
     demand.sample(service_demand, shares, now)
 
 
@@ -49,7 +49,7 @@
     wanted = capacity.plan(
         scaling, [_domain(duties, service, name, engines)
                   for name in sorted(names)],
-        demand.need(service_demand), service_demand.mean, policy)
+        demand.peak_need(service_demand), service_demand.mean, policy)
     orders = []
     for (name, spot), count in wanted.items():
         order = model.Order(service, name, spot, count)
--- a/crocuskeel/core/duties/state.py
+++ b/crocuskeel/core/duties/state.py
@@ -6,7 +6,7 @@
 from crocuskeel.core.duties import handover as handovers
 from crocuskeel.core import leadership
 
-__all__ = ["Duties", "Leader", "Open", "new_duties"]
+__all__ = ["Duties", "Leader", "DutyCall", "new_duties"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Open:
+class DutyCall:
     """The latest call of a subject, and when it may be repeated.
 
     ``completed_at``: when it was carried out; ``unavailable``: the
--- a/crocuskeel/core/entry/admission.py
+++ b/crocuskeel/core/entry/admission.py
@@ -19,8 +19,9 @@
 from crocuskeel.core.entry import server_choice
 from crocuskeel.core.entry import server_load
 
-__all__ = ["HOLD_SHARE", "admits", "came_back", "hold_until", "look_at",
-           "may_spill", "rank", "retry_s"]
+__all__ = ["QUEUE_TIME_SHARE", "admits", "is_callers_retry", "queue_until",
+           "next_check",
+           "may_prefill_again", "rank", "retry_delay_s"]
 
 # Over six days of high load goodput was 0.559 with limits on the wait alone,
 # 0.582 with ranks by the workspace's priority, and 0.659 with ranks by the
@@ -28,40 +29,40 @@
 #
 # Share of its goal that a request may expect to wait for its first
 # token, by rank, most urgent first; the last is for all lower ranks.
-WAIT_SHARES = (0.6, 0.4, 0.18)
+MAX_WAIT_SHARES = (0.6, 0.4, 0.18)
 # Prompts that may wait for prefill at an engine, by rank. An engine prefills
 # a chunk of one between any two tokens of its running streams: during
 # continuous prefill a token takes 27 ms instead of 5 ms, and one stream in
 # ten times out.
-READING_MOST = (6, 3, 1)
+MAX_PREFILLS_AHEAD = (6, 3, 1)
 # Share of its time that an engine may spend on prefill, by rank: its running
 # streams decode five times as fast in the rest. On a day of high load with
 # 30 engines goodput was 0.503 with this limit and the next, 0.300 without.
 # Tighter ones (0.9, 0.75; 0.5) gave 0.525 there, but cost 0.012 on a quiet
 # day with six engines.
-BUSY_SHARES = (1.0, 0.95, 0.85)
+MAX_PREFILL_SHARES = (1.0, 0.95, 0.85)
 # An engine that doesn't cache a request's shared parts is used only if its
 # prefill share is at most this: a repeated prefill displaces three requests.
-SPILL_BUSY = 0.7
+SPILL_MAX_PREFILL_SHARE = 0.7
 # Streams of the same or a more urgent priority that a prompt may make late:
 # beyond this, admitting it would lose more than it gains. On a day of high
 # load 264 of 891 of the most urgent streams were late without this limit;
 # goodput was 0.51 without and 0.58 with it.
-LATE_MOST = 1.0
+MAX_LATE_STREAMS = 1.0
 # Share of an engine's memory that its requests may come to use: a host
 # learns of other hosts' requests with a delay, in which they may use the
 # rest.
-MEMORY_SHARE = 0.9
+MAX_MEMORY_SHARE = 0.9
 # Requests of a workspace with the first priority may wait this many times
 # as long.
 TOP_PRIORITY_WAIT_FACTOR = 1.3
 # Share of an engine's slots that each rank may fill.
-SLOT_SHARES = (1.0, 0.95, 0.85)
+MAX_SLOT_SHARES = (1.0, 0.95, 0.85)
 # A request without capacity is queued for this share of its goal and checked
 # at this interval, s. All queued requests together are checked at most so
 # many times a second: a check takes 0.4 ms with 70 engines, and 300 queued
 # requests would use a whole core.
-HOLD_SHARE = 0.5
+QUEUE_TIME_SHARE = 0.5
 RECHECK_S = 0.04
 MAX_CHECKS_PER_S = 200.0
 # A time limit below this share of the route's shows that the caller has
@@ -77,19 +78,21 @@
     if pending.request.prompt is None:
         return True
     rank = pending.rank
-    limit = server_load.usable_slots(target, now) * SLOT_SHARES[rank]
-    if server_load.running(target, now) >= limit:
+    limit = server_load.usable_slots(target, now) * MAX_SLOT_SHARES[rank]
+    if server_load.running_requests(target, now) >= limit:
         return False
-    if target.busy > BUSY_SHARES[rank] and not came_back(pending):
+    if target.busy > MAX_PREFILL_SHARES[rank] and not is_callers_retry(
+            pending):
         return False
     limit, share = _bounds(pending, rank)
-    if server_load.reading(target, now) >= limit:
+    if server_load.queued_prompts(target, now) >= limit:
         return False
     if not _has_memory(host, pending, target, now):
         return False
     if not _keeps_streams_on_time(host, pending, target, now):
         return False
-    return server_load.ahead_s(target, now) <= share * pending.route.goal_s
+    return server_load.queued_prefill_s(target,
+                                        now) <= share * pending.route.goal_s
 
 
 def _has_memory(host, pending, target, now):
@@ -99,13 +102,13 @@
     prefills them again later. An idle engine accepts any prompt. On a day
     of high load 32 requests were preempted both with and without this limit.
     """
-    engine = prefix_cache.engine_of(host, pending.service)
+    engine = prefix_cache.engine_config(host, pending.service)
     used = server_load.reserved_memory(target, now)
     if engine is None or not used:
         return True
     prompt = pending.request.prompt
     return used + prompt.tokens + prompt.output <= (
-        engine.memory * MEMORY_SHARE)
+        engine.memory * MAX_MEMORY_SHARE)
 
 
 def _keeps_streams_on_time(host, pending, target, now):
@@ -115,31 +118,32 @@
     late, provided that it would do so at every engine: with one engine
     left, long prompts would otherwise never be admitted while streams run.
     """
-    if cost.late_streams(host, target, pending, now) <= LATE_MOST:
+    if cost.late_streams(host, target, pending, now) <= MAX_LATE_STREAMS:
         return True
-    if not came_back(pending):
+    if not is_callers_retry(pending):
         return False
     return not any(
-        cost.late_streams(host, state, pending, now) <= LATE_MOST
+        cost.late_streams(host, state, pending, now) <= MAX_LATE_STREAMS
         for state in server_choice.healthy(host, pending, now))
 
 
 def _bounds(pending, rank):
     """Return the limits (prompts ahead, share of the goal to wait)."""
-    limit, share = READING_MOST[rank], WAIT_SHARES[rank]
+    limit, share = MAX_PREFILLS_AHEAD[rank], MAX_WAIT_SHARES[rank]
     if pending.priority < pending.route.priority and not pending.priority:
         share *= TOP_PRIORITY_WAIT_FACTOR
     return limit, share
 
 
-def may_spill(host, pending, target):
+def may_prefill_again(host, pending, target):
     """Say whether an engine has time to prefill shared parts once more.
 
     Parts that it can fetch from another engine need no prefill.
     """
-    return (target.busy <= SPILL_BUSY
-            or prefix_cache.fetchable(host, pending, prefix_cache.held(
-                target, pending.request.prompt)) > 0)
+    return (target.busy <= SPILL_MAX_PREFILL_SHARE
+            or prefix_cache.fetchable_tokens(
+                host, pending, prefix_cache.cached_tokens(
+                    target, pending.request.prompt)) > 0)
 
 
 def rank(host, pending, now):
@@ -153,17 +157,17 @@
         return 0
     if class_minimums.is_below_minimum(host, pending, now):
         return 0
-    return min(max(0, pending.route.priority), len(WAIT_SHARES) - 1)
+    return min(max(0, pending.route.priority), len(MAX_WAIT_SHARES) - 1)
 
 
-def came_back(pending):
+def is_callers_retry(pending):
     """Say whether an earlier attempt of the caller was refused or failed."""
     limit = pending.request.deadline_s
     return limit is not None and (
         limit < pending.route.timeout_s * FULL_TIMEOUT_SHARE)
 
 
-def hold_until(pending):
+def queue_until(pending):
     """Return until when a request is queued for capacity.
 
     One that may have run stays queued until its time limit, as it can't
@@ -171,15 +175,15 @@
     """
     if pending.may_have_run:
         return pending.ends_at
-    return pending.at + HOLD_SHARE * pending.route.goal_s
+    return pending.at + QUEUE_TIME_SHARE * pending.route.goal_s
 
 
-def look_at(host, now):
+def next_check(host, now):
     """Return when to check a queued request again."""
     return now + max(RECHECK_S, len(host.held) / MAX_CHECKS_PER_S)
 
 
-def retry_s(host, pending, now):
+def retry_delay_s(host, pending, now):
     """Return the seconds after which a refused caller should retry.
 
     Random, so that the callers of one burst don't retry in another burst.
--- a/crocuskeel/core/entry/attempts.py
+++ b/crocuskeel/core/entry/attempts.py
@@ -22,13 +22,13 @@
 # may run the request is limited separately.
 MAX_CONNECT_ATTEMPTS = 4
 # The request reached no server that could run it.
-NOT_REACHED = (model.Outcome.UNREACHED, model.Outcome.REFUSED,
+NOT_REACHED = (model.Outcome.UNREACHABLE, model.Outcome.REFUSED,
                model.Outcome.MISDIRECTED)
 
 
 def opened(host, event, now):
     """Handle the first event of a stream: forward it to the caller."""
-    pending, attempt = ending.find(host, event)
+    pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
     target = host.servers.get(attempt.sid)
@@ -43,24 +43,26 @@
     pending.passing = attempt.turn
     pending.progress_at = now
     out = ending.cancel_others(host, pending, attempt)
-    out.append(effects.PassOn(pending.key, attempt.turn))
-    out.append(effects.Timer(pending.key, retrying.next_check(pending, now)))
-    out.append(ending.note("opened", pending.request, turn=attempt.turn,
-                           server=attempt.sid, load=event.load,
-                           after_s=round(now - attempt.at, 3)))
+    out.append(effects.ForwardResponse(pending.key, attempt.turn))
+    out.append(
+        effects.SetRequestTimer(pending.key,
+                                retrying.next_check(pending, now)))
+    out.append(ending.log_line("opened", pending.request, turn=attempt.turn,
+                               server=attempt.sid, load=event.load,
+                               after_s=round(now - attempt.at, 3)))
     return out
 
 
 def _record_first_event(target, attempt, now):
     tokens = attempt.fresh_tokens + sum(target.mine.values())
-    expected = 0.05 + tokens / prefix_cache.READ_TOKENS_S
-    health.timed(target, now - attempt.at, expected)
-    health.heard(target, now)
+    expected = 0.05 + tokens / prefix_cache.PREFILL_TOKENS_PER_S
+    health.record_duration(target, now - attempt.at, expected)
+    health.note_activity(target, now)
 
 
 def progressed(host, event, now):
     """Handle further data of a stream."""
-    pending, attempt = ending.find(host, event)
+    pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
     gap_s = now - pending.progress_at
@@ -68,41 +70,41 @@
     pending.progress_at = now
     target = host.servers.get(attempt.sid)
     if target is not None:
-        health.heard(target, now)
+        health.note_activity(target, now)
         _record_gap(host, pending, target, gap_s, now)
     return []
 
 
 def _record_gap(host, pending, target, gap_s, now):
-    observed = pause_estimate.of_service(host, pending.service)
-    pause_estimate.note_gap(observed, pending.ahead_s, gap_s)
-    pending.ahead_s = server_load.ahead_s(target, now)
+    observed = pause_estimate.estimate_of(host, pending.service)
+    pause_estimate.add_sample(observed, pending.ahead_s, gap_s)
+    pending.ahead_s = server_load.queued_prefill_s(target, now)
 
 
 def ended(host, event, now):
     """Handle the end of a complete stream."""
-    pending, attempt = ending.find(host, event)
+    pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
     target = host.servers.get(attempt.sid)
     _record_success(host, target, attempt, now)
     ending.finish(host, pending)
-    return [ending.note("served", pending.request, turn=attempt.turn,
-                        server=attempt.sid,
-                        took_s=round(now - pending.at, 3),
-                        pause_s=round(pending.pause_s, 3),
-                        gap_s=pending.route.gap_s)]
+    return [ending.log_line("served", pending.request, turn=attempt.turn,
+                            server=attempt.sid,
+                            took_s=round(now - pending.at, 3),
+                            pause_s=round(pending.pause_s, 3),
+                            gap_s=pending.route.gap_s)]
 
 
 def _record_success(host, target, attempt, now):
     quarantine.note_completed(host, attempt.incarnation, attempt.at)
     if target is not None:
-        health.succeeded(target, now)
+        health.record_success(target, now)
 
 
 def answered(host, event, now):
     """Forward a complete response, or try another server after an error."""
-    pending, attempt = ending.find(host, event)
+    pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
     target = host.servers.get(attempt.sid)
@@ -112,13 +114,13 @@
     if event.status < SERVER_ERROR:
         return _forward(host, pending, attempt, target, event, now)
     if target is not None:
-        health.failed(target, now)
+        health.record_failure(target, now)
     pending.fallback = attempt.turn
-    if ending.live(pending):
+    if ending.active_attempts(pending):
         return []
-    if pending.passing is None and retrying.may_go_on(host, pending, now):
-        return [ending.note("failed", pending.request, turn=attempt.turn,
-                            server=attempt.sid, status=event.status)
+    if pending.passing is None and retrying.may_send_again(host, pending, now):
+        return [ending.log_line("failed", pending.request, turn=attempt.turn,
+                                server=attempt.sid, status=event.status)
                 ] + sending.send(host, pending, now)
     return ending.give_up(host, pending, f"server failed {event.status}", now)
 
@@ -130,26 +132,26 @@
         server_load.note_load(target, event.load, now)
     _record_success(host, target, attempt, now)
     out = ending.cancel_others(host, pending, attempt)
-    out.append(effects.PassOn(pending.key, attempt.turn))
-    out.append(ending.note("served", pending.request, turn=attempt.turn,
-                           server=attempt.sid, status=event.status,
-                           took_s=round(now - pending.at, 3)))
+    out.append(effects.ForwardResponse(pending.key, attempt.turn))
+    out.append(ending.log_line("served", pending.request, turn=attempt.turn,
+                               server=attempt.sid, status=event.status,
+                               took_s=round(now - pending.at, 3)))
     ending.finish(host, pending)
     return out
 
 
 def broken(host, event, now):
     """Handle the end of an attempt that got no response."""
-    pending, attempt = ending.find(host, event)
+    pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
     ending.close_attempt(host, pending, attempt)
     _record_failure(host, pending, attempt, event, now)
-    line = ending.note("broken", pending.request, turn=attempt.turn,
-                       server=attempt.sid, outcome=event.outcome.value,
-                       detail=event.detail,
-                       passing=pending.passing is not None)
-    if ending.live(pending):
+    line = ending.log_line("broken", pending.request, turn=attempt.turn,
+                           server=attempt.sid, outcome=event.outcome.value,
+                           detail=event.detail,
+                           passing=pending.passing is not None)
+    if ending.active_attempts(pending):
         return [line]
     if _may_retry(host, pending, event.outcome, now):
         return [line] + sending.send(host, pending, now)
@@ -161,8 +163,8 @@
         return pending.connect_attempts < MAX_CONNECT_ATTEMPTS
     if outcome is model.Outcome.NOT_RUN and not pending.may_have_run:
         return (pending.sent < pending.route.tries
-                and retry_budget.may_repeat(host, pending.service, now))
-    return retrying.may_go_on(host, pending, now)
+                and retry_budget.may_retry(host, pending.service, now))
+    return retrying.may_send_again(host, pending, now)
 
 
 def _record_failure(host, pending, attempt, event, now):
@@ -170,15 +172,15 @@
     target = host.servers.get(attempt.sid)
     digest = pending.request.digest
     match event.outcome:
-        case model.Outcome.UNREACHED | model.Outcome.REFUSED:
+        case model.Outcome.UNREACHABLE | model.Outcome.REFUSED:
             pending.sent -= 1
             attempt.fresh_tokens = -1
-            quarantine.note_gone(host, attempt.sid, now)
+            quarantine.record_server_down(host, attempt.sid, now)
             if event.outcome is model.Outcome.REFUSED:
                 host.refusing.add(attempt.sid)
             if target is not None:
                 target.unreached = True
-                health.unreached(target, now)
+                health.record_connection_failure(target, now)
         case model.Outcome.MISDIRECTED:
             attempt.fresh_tokens = -1
             pending.sent -= 1
@@ -194,7 +196,7 @@
             if event.torn:
                 quarantine.note_disconnect(host, digest, attempt, now)
             if target is not None:
-                health.unreached(target, now)
+                health.record_connection_failure(target, now)
 
 
 def _back_off(target, now):
--- a/crocuskeel/core/entry/backoff.py
+++ b/crocuskeel/core/entry/backoff.py
@@ -8,20 +8,20 @@
 
 from crocuskeel.core.entry import effects
 
-__all__ = ["asked", "forget", "remaining_s"]
+__all__ = ["note_backoff", "forget", "remaining_s"]
 
 # Longest back-off that is honoured, s: a corrupt number must not take a
 # server out of use for good.
 MAX_BACKOFF_S = 60.0
 
 
-def asked(host, attempt, backoff_s, now):
+def note_backoff(host, attempt, backoff_s, now):
     """Note that the refusal of an attempt asks for a back-off."""
     until = now + min(backoff_s, MAX_BACKOFF_S)
     if until <= host.rests.get(attempt.incarnation, now):
         return []
     host.rests[attempt.incarnation] = until
-    return [effects.Note("server_rests", {
+    return [effects.LogEvent("server_rests", {
         "server": attempt.sid, "rest_s": backoff_s})]
 
 
--- a/crocuskeel/core/entry/candidates.py
+++ b/crocuskeel/core/entry/candidates.py
@@ -11,11 +11,11 @@
 
 from crocuskeel.core.entry import routing
 
-__all__ = ["LOOKED_AT_MOST", "pick"]
+__all__ = ["MAX_CANDIDATES", "pick"]
 
 # All servers of a service are candidates up to this number: choosing among
 # 70 takes 1.1 ms.
-LOOKED_AT_MOST = 96
+MAX_CANDIDATES = 96
 # Candidates that consistent hashing prefers; the others are sampled.
 MAX_PREFERRED = 48
 
@@ -23,10 +23,10 @@
 def pick(host, pending):
     """Return the ServerStates that a request may be sent to."""
     servers = host.by_service.get(pending.service, [])
-    if len(servers) <= LOOKED_AT_MOST:
+    if len(servers) <= MAX_CANDIDATES:
         return servers
     preferred = _preferred(host, pending)
-    sampled = host.rng.sample(servers, LOOKED_AT_MOST - len(preferred))
+    sampled = host.rng.sample(servers, MAX_CANDIDATES - len(preferred))
     known = {state.server.sid for state in preferred}
     return preferred + [state for state in sampled
                         if state.server.sid not in known]
--- a/crocuskeel/core/entry/changelog.py
+++ b/crocuskeel/core/entry/changelog.py
@@ -8,7 +8,8 @@
 
 import dataclasses
 
-__all__ = ["Changes", "Log", "note", "note_whole", "since"]
+__all__ = ["Changes", "ChangeLog", "record_changes", "record_full_list",
+           "changes_since"]
 
 # Maximum number of removed servers' ids that are kept, some 200 kB: more than
 # are removed in the minutes that a host may be cut off from all others.
@@ -24,7 +25,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Log:
+class ChangeLog:
     """The last change of each server, oldest first.
 
     ``first_revision`` is the revision since which the log is complete, None
@@ -38,7 +39,7 @@
     removed: dict = dataclasses.field(default_factory=dict)
 
 
-def note_whole(log, former, current, revision):
+def record_full_list(log, former, current, revision):
     """Log a full list; ``former`` and ``current`` map ids to entries."""
     if log.first_revision is None:
         log.first_revision = revision
@@ -46,10 +47,10 @@
     changed = [sid for sid, entry in current.items()
                if former.get(sid) != entry]
     removed = [sid for sid in former if sid not in current]
-    note(log, changed, removed, revision)
+    record_changes(log, changed, removed, revision)
 
 
-def note(log, changed, removed, revision):
+def record_changes(log, changed, removed, revision):
     """Log the ids of servers that changed up to a revision."""
     for sid in (*changed, *removed):
         log.changes.pop(sid, None)
@@ -68,7 +69,7 @@
         del log.changes[sid]
 
 
-def since(log, revision):
+def changes_since(log, revision):
     """Return the Changes after a revision, or None if they aren't known.
 
     The cost grows with the number of changes, not with the list.
--- a/crocuskeel/core/entry/class_minimums.py
+++ b/crocuskeel/core/entry/class_minimums.py
@@ -21,7 +21,7 @@
 # Guaranteed admitted share of a class, as a fraction of the service's
 # admitted share. Callers see a class as starved at a quarter, and admitted
 # requests may still fail.
-FLOOR_SHARE = 0.3
+GUARANTEED_SHARE = 0.3
 # A class with this fraction of the service's admitted share is no longer
 # underserved.
 RECOVERED_SHARE = 0.6
@@ -125,7 +125,7 @@
         own.underserved_since = now
     return (own.underserved_since is not None
             and now >= own.underserved_since + UNDERSERVED_S
-            and own.share() < FLOOR_SHARE * service_share)
+            and own.share() < GUARANTEED_SHARE * service_share)
 
 
 def _excludes(other, own, tokens):
--- a/crocuskeel/core/entry/cost.py
+++ b/crocuskeel/core/entry/cost.py
@@ -22,23 +22,23 @@
 # time is worth this wait of another request, s. With this weight for
 # streams' pauses goodput was 0.60 over five days with faults, 0.49 with the
 # prefill time alone.
-LATE_S = 2.0
+LATE_STREAM_S = 2.0
 # Streams that long prompts would make late fill the engines in the same
 # order on all hosts: each position in it adds this cost, s, about the time
 # to prefill one short prompt.
-ORDER_S = 0.02
+ORDER_STEP_S = 0.02
 # One more running request slows each step of an engine by 0.12 ms of
 # 2.6 ms; over the some 100 steps of an answer that is 12 ms.
-RUNNING_S = 0.012
+RUNNING_REQUEST_S = 0.012
 # Prefilling a shared part again takes engine time from all other requests
 # and is billed: it counts this many times its own time.
-REREAD = 4.0
+REPEATED_PREFILL_FACTOR = 4.0
 # Fetching a part uses both engines' links and is billed at a tenth to a
 # quarter of its prefill: it counts this share of it. On a day of high load
 # with 70 engines goodput was 0.32 with fetching, 0.22 without.
-FETCH_SHARE = 0.2
+FETCH_COST_SHARE = 0.2
 # All slots are in use: waiting for one takes most of the time of an answer.
-FULL_S = 1.0
+FULL_ENGINE_S = 1.0
 # Duration of a call to a plain service: some tens of milliseconds.
 CALL_S = 0.05
 # Sending to another failure domain: 0.5 to 1.4 ms one way, and traffic is
@@ -61,11 +61,11 @@
 
 def late_streams(host, state, pending, now):
     """Return how many streams, as urgent or more, a prompt makes late."""
-    tokens = prefix_cache.to_read(host, state, pending)
-    estimate = pause_estimate.of_service(host, pending.service)
+    tokens = prefix_cache.prefill_tokens(host, state, pending)
+    estimate = pause_estimate.estimate_of(host, pending.service)
     return prefill_pauses.late_streams(
-        state, estimate, server_load.ahead_s(state, now),
-        server_load.read_s(state, tokens), pending.route.priority)
+        state, estimate, server_load.queued_prefill_s(state, now),
+        server_load.prefill_s(state, tokens), pending.route.priority)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -94,12 +94,12 @@
     """
     if pending.request.prompt is None:
         return {}
-    estimate = pause_estimate.of_service(host, pending.service)
+    estimate = pause_estimate.estimate_of(host, pending.service)
     if not prefill_pauses.is_at_risk(states, estimate, pending.route, now):
         return {}
-    ranked = sorted(states, key=lambda state: routing.name_hash(
+    ranked = sorted(states, key=lambda state: routing.cached_unit_hash(
         state.server.sid, "calm"))
-    return {state.server.sid: position * ORDER_S
+    return {state.server.sid: position * ORDER_STEP_S
             for position, state in enumerate(ranked)}
 
 
@@ -108,7 +108,7 @@
     if prompt is None:
         return None
     shared = sum(tokens for _, tokens in prompt.parts[:-1])
-    return _Prompt(pending, pause_estimate.of_service(host, pending.service),
+    return _Prompt(pending, pause_estimate.estimate_of(host, pending.service),
                    prompt.tokens - shared, shared,
                    _preferred(states, pending.request), ordered)
 
@@ -137,10 +137,10 @@
     cost_s *= state.slowness
     if state.server.domain != host.me.domain:
         cost_s += CROSS_DOMAIN_S
-    failing = health.failing(state, now)
+    failing = health.current_failure_rate(state, now)
     if pending.route.kind is model.Kind.STREAM:
         # A broken stream loses as much value as a late one.
-        cost_s += LATE_S * failing
+        cost_s += LATE_STREAM_S * failing
     else:
         cost_s += FAILING_S * failing ** 2
     cost_s += max(0.0, state.cold_until - now)
@@ -150,7 +150,7 @@
 
 def _call_cost_s(state, now):
     slots = max(1, state.server.slots)
-    running = server_load.running(state, now)
+    running = server_load.running_requests(state, now)
     cost_s = CALL_S * running / slots
     if running >= slots:
         cost_s += CALL_S * (1 + running - slots)
@@ -158,22 +158,22 @@
 
 
 def _engine_cost_s(host, state, prompt, now):
-    ahead = server_load.ahead_tokens(state, now)
-    cached = prefix_cache.held(state, prompt.pending.request.prompt)
-    fetched = prefix_cache.fetchable(host, prompt.pending, cached)
+    ahead = server_load.queued_tokens(state, now)
+    cached = prefix_cache.cached_tokens(state, prompt.pending.request.prompt)
+    fetched = prefix_cache.fetchable_tokens(host, prompt.pending, cached)
     missing = prompt.shared - cached - fetched
-    tokens = ahead + prompt.own + FETCH_SHARE * fetched
+    tokens = ahead + prompt.own + FETCH_COST_SHARE * fetched
     if state is not prompt.preferred:
-        tokens += REREAD * missing
-    running = server_load.running(state, now)
-    cost_s = tokens / prefix_cache.READ_TOKENS_S
+        tokens += REPEATED_PREFILL_FACTOR * missing
+    running = server_load.running_requests(state, now)
+    cost_s = tokens / prefix_cache.PREFILL_TOKENS_PER_S
     if not prompt.ordered:
-        cost_s += RUNNING_S * running
-    ahead_s = server_load.read_s(state, ahead)
-    cost_s += LATE_S * _expected_late(
+        cost_s += RUNNING_REQUEST_S * running
+    ahead_s = server_load.prefill_s(state, ahead)
+    cost_s += LATE_STREAM_S * _expected_late(
         state, prompt, ahead_s, prompt.own + missing, now)
     if running >= server_load.usable_slots(state, now):
-        cost_s += FULL_S
+        cost_s += FULL_ENGINE_S
     return cost_s
 
 
@@ -182,7 +182,7 @@
 
     Its own stream counts with the probability that it is late.
     """
-    prefill_s = server_load.read_s(state, tokens)
+    prefill_s = server_load.prefill_s(state, tokens)
     others = prefill_pauses.late_streams(
         state, prompt.estimate, ahead_s, prefill_s)
     return others + prefill_pauses.late_probability(
--- a/crocuskeel/core/entry/draining.py
+++ b/crocuskeel/core/entry/draining.py
@@ -9,7 +9,7 @@
 
 from crocuskeel.core.entry import effects
 
-__all__ = ["forget", "is_leaving", "merge", "note_response", "rows"]
+__all__ = ["remove_unlisted", "is_draining", "merge", "note_response", "rows"]
 
 # A draining server that is no longer listed is kept for this long, s: its
 # entry may have expired and come back.
@@ -33,10 +33,10 @@
     if incarnation in host.leaving:
         return []
     host.leaving[incarnation] = sid, now
-    return [effects.Note("server_leaving", {"server": sid})]
+    return [effects.LogEvent("server_leaving", {"server": sid})]
 
 
-def is_leaving(host, server):
+def is_draining(host, server):
     """Return whether a server is draining and must get no new requests."""
     if server.draining:
         return True
@@ -59,7 +59,7 @@
             and state.server.incarnation == incarnation)
 
 
-def forget(host, now):
+def remove_unlisted(host, now):
     """Remove servers that have not been listed for RETENTION_S."""
     for incarnation, (sid, at) in list(host.leaving.items()):
         if sid not in host.servers and at < now - RETENTION_S:
--- a/crocuskeel/core/entry/duties.py
+++ b/crocuskeel/core/entry/duties.py
@@ -11,7 +11,8 @@
 from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import usage
 
-__all__ = ["REPORT", "SCALE", "answered", "begin", "heard", "step"]
+__all__ = ["REPORT", "SCALE", "answered", "begin", "peer_state_received",
+           "step"]
 
 REPORT = "usage"
 SCALE = "scale"
@@ -28,7 +29,7 @@
             duty_lease.config(host.me.name, host.cfg.lease_s), host.rng, now)
 
 
-def heard(host, event, now):
+def peer_state_received(host, event, now):
     """Update the clock offsets and the leader from another host's state."""
     duties = host.duties
     if duties is None:
@@ -63,7 +64,7 @@
         for window in reporting.decide(duties, host.cfg.report_s, wall):
             lease.due_at = now
             counts = duties.book.decided[window]
-            lines.append(effects.Note("window_decided", {
+            lines.append(effects.LogEvent("window_decided", {
                 "window": window, "requests": sum(counts.values()),
                 "workspaces": len(counts), "hosts": sum(
                     window in table for table in duties.tables.values()),
@@ -110,7 +111,7 @@
         if service.scaling is None:
             continue
         engines = [state for state in host.by_service.get(service.name, ())
-                   if not draining.is_leaving(host, state.server)]
+                   if not draining.is_draining(host, state.server)]
         if not engines:
             # The list of engines may not be known yet.
             continue
@@ -123,7 +124,8 @@
 
 def _utilization(state, now):
     """Return the fraction of its time that an engine is in use."""
-    running = server_load.running(state, now) / max(1, state.server.slots)
+    running = server_load.running_requests(state,
+                                           now) / max(1, state.server.slots)
     return min(1.0, max(state.busy, running))
 
 
@@ -143,11 +145,11 @@
         # After a failure the report of another window is sent next; while
         # the platform is unavailable, all of them fail.
         failures = latest.failures
-    duties.calls[call.subject] = states.Open(
+    duties.calls[call.subject] = states.DutyCall(
         call, in_progress=True, failures=failures)
     lease = duties.candidate.lease
     until = duty_lease.acts_until(duties)
-    line = effects.Note("duty_sent", {
+    line = effects.LogEvent("duty_sent", {
         "duty": call.subject[0], "fence": lease.fence, **_log_fields(call)})
     return [line, effects.SendDuty(call, lease.fence, until)]
 
@@ -166,7 +168,7 @@
     if duties is None:
         return []
     latest = duties.calls.get(event.call.subject)
-    line = effects.Note("duty_answered", {
+    line = effects.LogEvent("duty_answered", {
         "duty": event.call.subject[0], "outcome": event.outcome.value,
         "detail": event.detail, **_log_fields(event.call)})
     if latest is None or latest.call != event.call:
--- a/crocuskeel/core/entry/duty_lease.py
+++ b/crocuskeel/core/entry/duty_lease.py
@@ -105,7 +105,7 @@
 
 def _position(host, now):
     """Return this host's position among those that may hold the lease."""
-    names = [peer.name for peer in fleet.carriers(host, now)]
+    names = [peer.name for peer in fleet.serving_hosts(host, now)]
     if host.me.name not in names:
         return None
     return names.index(host.me.name)
@@ -120,7 +120,7 @@
     """Handle the response to a write of the lease object."""
     duties = host.duties
     if duties is not None and duties.releasing:
-        return _released(duties, event) + gossip.tell_lease(host, now)
+        return _released(duties, event) + gossip.broadcast_lease(host, now)
     return _handle_result(host, leases.on_written, event, now)
 
 
@@ -137,7 +137,7 @@
     known_version = duties.leader.version
     _update_leader(duties, now)
     if duties.leader.version != known_version:
-        out += gossip.tell_lease(host, now)
+        out += gossip.broadcast_lease(host, now)
     return _log_records(out)
 
 
@@ -151,7 +151,7 @@
     try:
         duties.book, tables = handovers.read(lease.record)
     except ValueError as exc:
-        return [effects.Note("bad_record", {"why": str(exc)})]
+        return [effects.LogEvent("bad_record", {"why": str(exc)})]
     for name, boot, rows in tables:
         counting.merge(duties.tables.setdefault((name, boot), {}), rows)
     return []
@@ -212,12 +212,12 @@
     if event.status is lease_events.Status.WRITTEN:
         duties.leader = states.Leader(event.version)
     duties.candidate.lease = leadership.Lease()
-    return [effects.Note("lease_released", {
+    return [effects.LogEvent("lease_released", {
         "status": event.status.value, "version": event.version})]
 
 
 def _log_records(lease_effs):
     """Return the effects with Record effects turned into log lines."""
-    return [effects.Note(effect.kind, dict(effect.fields))
+    return [effects.LogEvent(effect.kind, dict(effect.fields))
             if isinstance(effect, lease_effects.Record) else effect
             for effect in lease_effs]
--- a/crocuskeel/core/entry/effects.py
+++ b/crocuskeel/core/entry/effects.py
@@ -4,13 +4,15 @@
 
 from crocuskeel.core.entry import model
 
-__all__ = ["Answer", "Cancel", "Cut", "Exit", "FetchCatalog", "Note",
-           "PassOn", "Retire", "Send", "SendDuty", "Tell",
-           "TellLoads", "Timer"]
+__all__ = ["Answer", "Cancel", "AbortStream", "Exit", "FetchCatalog",
+           "LogEvent",
+           "ForwardResponse", "CloseListener", "SendRequest", "SendDuty",
+           "SendToPeer",
+           "ScheduleLoadsDue", "SetRequestTimer"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Send:
+class SendRequest:
     """Send the request to a server, as attempt ``turn``.
 
     ``budget_s`` is the remaining time, which is passed on to the server.
@@ -39,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PassOn:
+class ForwardResponse:
     """Forward the response of this attempt to the caller."""
 
     key: int
@@ -60,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Cut:
+class AbortStream:
     """Abort the caller's stream so that it can't appear complete."""
 
     key: int
@@ -68,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Timer:
+class SetRequestTimer:
     """Deliver TimerFired at ``at``, replacing any earlier timer."""
 
     key: int
@@ -76,14 +78,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellLoads:
+class ScheduleLoadsDue:
     """Deliver LoadsDue at this time."""
 
     at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tell:
+class SendToPeer:
     """Send an event to a peer as a datagram."""
 
     peer: model.Peer
@@ -98,7 +100,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Retire:
+class CloseListener:
     """Accept no more connections and close the idle ones."""
 
 
@@ -108,7 +110,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     """A log line: an event's name and its fields."""
 
     event: str
--- a/crocuskeel/core/entry/ending.py
+++ b/crocuskeel/core/entry/ending.py
@@ -5,8 +5,9 @@
 from crocuskeel.core.entry import prefill_pauses
 
 __all__ = ["BUSY_RETRY_S", "UNAVAILABLE", "cancel_all", "cancel_others",
-           "close_attempt", "find", "finish", "give_up", "live",
-           "mark_load_changed", "note", "refuse"]
+           "close_attempt", "find_attempt", "finish", "give_up",
+           "active_attempts",
+           "mark_load_changed", "log_line", "refuse"]
 
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
@@ -18,7 +19,7 @@
 MAX_RETRY_SHARE = 0.33
 
 
-def live(pending):
+def active_attempts(pending):
     """Return the attempts in progress."""
     return [attempt for attempt in pending.tries if not attempt.over]
 
@@ -29,13 +30,13 @@
     ``retry_s`` is the retry delay that is given if it has not run.
     """
     finish(host, pending)
-    line = note("gave_up", pending.request, why=reason,
-                ran=pending.may_have_run, tries=len(pending.tries),
-                after_s=round(now - pending.at, 3))
+    line = log_line("gave_up", pending.request, why=reason,
+                    ran=pending.may_have_run, tries=len(pending.tries),
+                    after_s=round(now - pending.at, 3))
     if pending.passing is not None:
-        return [effects.Cut(pending.key, reason), line]
+        return [effects.AbortStream(pending.key, reason), line]
     if pending.fallback is not None:
-        return [effects.PassOn(pending.key, pending.fallback), line]
+        return [effects.ForwardResponse(pending.key, pending.fallback), line]
     if not pending.may_have_run:
         left = pending.ends_at - now
         return [refuse(pending.key, left, reason, retry_s), line]
@@ -55,7 +56,7 @@
 def cancel_all(host, pending):
     """Cancel all attempts of a request."""
     out = []
-    for attempt in live(pending):
+    for attempt in active_attempts(pending):
         out.append(effects.Cancel(pending.key, attempt.turn))
         # The request was sent, so its server may have run it.
         pending.may_have_run = True
@@ -66,7 +67,7 @@
 def cancel_others(host, pending, winner):
     """Cancel all attempts but the one whose response is forwarded."""
     out = []
-    for attempt in live(pending):
+    for attempt in active_attempts(pending):
         if attempt is winner:
             continue
         out.append(effects.Cancel(pending.key, attempt.turn))
@@ -74,7 +75,7 @@
     return out
 
 
-def find(host, event):
+def find_attempt(host, event):
     """Return the request of an event, and its attempt if in progress."""
     pending = host.pending.get(event.key)
     if pending is None or event.turn >= len(pending.tries):
@@ -94,7 +95,7 @@
     if target.mine.pop((pending.key, attempt.turn), None) is not None:
         target.memory -= attempt.memory
         if pending.route.kind is model.Kind.STREAM:
-            prefill_pauses.note_over(target, pending.route)
+            prefill_pauses.note_stream_ended(target, pending.route)
     mark_load_changed(host, pending, target)
 
 
@@ -106,12 +107,12 @@
 
 def finish(host, pending):
     """Remove a request from the host's state."""
-    for attempt in live(pending):
+    for attempt in active_attempts(pending):
         close_attempt(host, pending, attempt)
     host.held.discard(pending.key)
     host.pending.pop(pending.key, None)
 
 
-def note(name, request, **fields):
+def log_line(name, request, **fields):
     """Return a log line about a request."""
-    return effects.Note(name, {"rid": request.rid, **fields})
+    return effects.LogEvent(name, {"rid": request.rid, **fields})
--- a/crocuskeel/core/entry/events.py
+++ b/crocuskeel/core/entry/events.py
@@ -13,13 +13,15 @@
 from crocuskeel.core.entry import serving
 
 __all__ = [
-    "Answered", "Arrived", "Broken", "CallerLeft", "CatalogSeen",
-    "DutyAnswered", "Ended",
-    "Heard", "HintsHeard", "HintsSeen", "LoadHeard", "LoadsDue", "Opened",
-    "PeersSeen", "Progressed",
-    "ServersChanged", "ServersListed", "SettingsSeen",
-    "Started", "StopAsked", "StoreBack",
-    "StoreLeft", "StoreLost", "Ticked", "TimerFired",
+    "ResponseReceived", "RequestReceived", "AttemptFailed",
+    "CallerDisconnected", "CatalogRead",
+    "DutyAnswered", "StreamEnded",
+    "PeerStateReceived", "PeerHintsReceived", "HintsReceived",
+    "PeerLoadsReceived", "LoadsDue", "StreamOpened",
+    "PeersListed", "StreamProgressed",
+    "ServersChanged", "ServersListed", "SettingsRead",
+    "Started", "StopAsked", "StoreAvailable",
+    "StoreReadingStopped", "StoreUnavailable", "Ticked", "TimerFired",
 ]
 
 
@@ -46,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrived:
+class RequestReceived:
     """A caller's request was received completely."""
 
     key: int
@@ -54,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller's connection ended before its response did."""
 
     key: int
@@ -62,13 +64,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time set by the request's latest Timer effect has come."""
+    """The time set by the request's latest SetRequestTimer has come."""
 
     key: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HintsSeen:
+class HintsReceived:
     """The header of a server's response was received, also of a refusal.
 
     It precedes the event for the response itself.
@@ -80,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Opened:
+class StreamOpened:
     """The first complete event of a stream was received.
 
     ``load`` is (running, waiting, slots) of the server, or None.
@@ -92,7 +94,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Progressed:
+class StreamProgressed:
     """More of a stream was received."""
 
     key: int
@@ -100,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class StreamEnded:
     """A stream that was forwarded to the caller is complete."""
 
     key: int
@@ -108,7 +110,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class ResponseReceived:
     """A complete response that isn't a stream was received."""
 
     key: int
@@ -119,7 +121,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
+class AttemptFailed:
     """An attempt ended without a response; ``detail`` is for the log.
 
     ``torn``: the server's connection ended, as it does in a crash.
@@ -133,7 +135,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CatalogSeen:
+class CatalogRead:
     """A configuration was read, from the store or from a peer."""
 
     catalog: model.Catalog
@@ -170,50 +172,50 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SettingsSeen:
+class SettingsRead:
     """The deployment's limits were read again, as a Settings object."""
 
     settings: object
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreLost:
+class StoreUnavailable:
     """Calls to the store have begun to fail."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreBack:
+class StoreAvailable:
     """The store responds again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreLeft:
+class StoreReadingStopped:
     """This host stopped reading the store because other hosts do."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeersSeen:
+class PeersListed:
     """The hosts registered in the store."""
 
     peers: tuple
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Heard:
+class PeerStateReceived:
     """The state of another host, received as a datagram.
 
     ``reads_store``: it reads the store itself, successfully.
     ``informed_s``: maximum age of its information from the store, s.
-    ``carriers`` names hosts that it knows to be ready for callers.
+    ``carriers`` names serving hosts that it knows to be ready.
     ``wall`` is its wall clock time, s since 1970, None if it has no
     duties; ``leader`` is the holder of the duties' lease. ``wanted``: how
-    many carriers, hosts that serve callers, are needed. ``rate_limits``
-    and ``servers_leaving`` are as in HintsHeard.
+    many hosts that serve callers are needed. ``rate_limits``
+    and ``servers_leaving`` are as in PeerHintsReceived.
 
     ``crashed`` holds (digest, incarnation) for each request during which
-    a server crashed; ``loads`` is as in LoadHeard, and ``parts`` holds
+    a server crashed; ``loads`` is as in PeerLoadsReceived, and ``parts`` holds
     the (server id, part, tokens) that it recently sent to servers.
     """
 
@@ -230,7 +232,7 @@
     informed_s: float = math.inf
     wall: float | None = None
     leader: state.Leader = state.Leader()
-    wanted: serving.Wanted = serving.Wanted(0, 0.0)
+    wanted: serving.ServingDemand = serving.ServingDemand(0, 0.0)
     rate_limits: tuple = ()
     servers_leaving: tuple = ()
 
@@ -241,10 +243,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LoadHeard:
+class PeerLoadsReceived:
     """Changed loads of engines as reported by host ``name``.
 
-    Each row of ``loads`` holds, as in Heard: server id, number of
+    Each row of ``loads`` holds, as in PeerStateReceived: server id, number of
     requests, prompt tokens still to be read, number of requests with such
     tokens, milliseconds since the server was last heard from, streams as
     (priority, allowed pause in milliseconds, count), and the tokens that
@@ -258,7 +260,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HintsHeard:
+class PeerHintsReceived:
     """Hints from servers' responses as reported by host ``name``.
 
     ``rate_limits`` holds (server incarnation, requests a second or None,
--- a/crocuskeel/core/entry/fleet.py
+++ b/crocuskeel/core/entry/fleet.py
@@ -10,8 +10,9 @@
 from crocuskeel.core.entry import routing
 from crocuskeel.core.entry import serving
 
-__all__ = ["HOP_DELAY_S", "PEER_TIMEOUT_S", "addresses", "carriers",
-           "changed", "is_large", "is_peer_ready", "is_ready",
+__all__ = ["HOP_DELAY_S", "PEER_TIMEOUT_S", "caller_addresses",
+           "serving_hosts",
+           "invalidate_serving_hosts", "is_large", "is_peer_ready", "is_ready",
            "is_serving_host", "reads_store", "store_data_age_s"]
 
 # A host that was silent for this long is not named to callers, s: four
@@ -45,7 +46,7 @@
 HOP_DELAY_S = 0.1
 
 
-def carriers(host, now):
+def serving_hosts(host, now):
     """Return the serving hosts: peers, and this host if it is one.
 
     The same list object is returned until the serving hosts change.
@@ -58,7 +59,7 @@
     return host.carriers
 
 
-def changed(host):
+def invalidate_serving_hosts(host):
     """Invalidate the cache after a host joined or announced to leave."""
     host.carriers_until = 0.0
 
@@ -68,7 +69,7 @@
     live += [known.peer for known in host.peers.values()
              if _may_serve(known, now)]
     live.sort(key=lambda peer: (
-        -peer.capacity, routing.name_hash(peer.name, "carrier")))
+        -peer.capacity, routing.cached_unit_hash(peer.name, "carrier")))
     if not live:
         return []
     min_capacity = live[0].capacity * MIN_CAPACITY_SHARE
@@ -84,7 +85,7 @@
 
 def is_serving_host(host, now):
     """Return whether this host is a serving host."""
-    return any(peer.name == host.me.name for peer in carriers(host, now))
+    return any(peer.name == host.me.name for peer in serving_hosts(host, now))
 
 
 def is_peer_ready(known, now):
@@ -111,7 +112,7 @@
 def _is_among_readers(host, now):
     """Return whether fewer than READERS serving hosts before this one read."""
     readers = 0
-    for peer in carriers(host, now):
+    for peer in serving_hosts(host, now):
         if peer.name == host.me.name:
             return True
         readers += host.peers[peer.name].reads_store
@@ -155,10 +156,10 @@
             and host.stop_at is None)
 
 
-def addresses(host, now):
+def caller_addresses(host, now):
     """Return the caller-facing addresses of usable serving hosts."""
     reachable = []
-    for peer in carriers(host, now):
+    for peer in serving_hosts(host, now):
         if peer.name == host.me.name:
             usable = is_ready(host)
         else:
@@ -169,6 +170,6 @@
             reachable.append((peer.name, peer.front))
     if len(reachable) > MAX_ADDRESSES:
         # Each host omits different ones, so that all get callers.
-        reachable.sort(key=lambda row: routing.name_hash(
+        reachable.sort(key=lambda row: routing.cached_unit_hash(
             host.me.name, row[0]))
     return [front for _, front in reachable[:MAX_ADDRESSES]]
--- a/crocuskeel/core/entry/gossip.py
+++ b/crocuskeel/core/entry/gossip.py
@@ -19,8 +19,8 @@
 from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import serving
 
-__all__ = ["broadcast_change", "broadcast_hints", "loads_due",
-           "note_changes", "reply", "tell", "tell_lease"]
+__all__ = ["broadcast_change", "broadcast_hints", "send_load_update",
+           "schedule_load_update", "reply", "send_state", "broadcast_lease"]
 
 # Crashes are included in the state for this long, s: a datagram may be
 # lost.
@@ -36,16 +36,16 @@
 # Minimum interval between load updates, s: a host with 30 requests a second
 # changes loads 90 times a second, and each change went to nine hosts; an
 # engine takes 100 ms and more to read a prompt.
-LOADS_GAP_S = 0.03
+LOAD_UPDATE_INTERVAL_S = 0.03
 # Prompt parts sent to engines are included in the state for this long, s:
 # in two datagrams.
 PARTS_REPEAT_S = 0.6
 # Up to this many other serving hosts form a full mesh; with more, each sends
 # to this many, chosen at random each time.
-MESH_MOST = 12
+MAX_FANOUT = 12
 # Number of serving hosts that a non-serving host sends its state to, and
 # the interval, s.
-CONTACTS = 3
+CONTACT_COUNT = 3
 CONTACT_INTERVAL_S = 0.6
 # A silent host with enough capacity to serve callers is sent the state
 # again at this interval, s, and at most this many of them at a time.
@@ -53,13 +53,13 @@
 MAX_SILENT_RETRIES = 2
 
 
-def tell(host, now):
+def send_state(host, now):
     """Send this host's state to its contacts, each at its interval."""
     contacts = _contacts(host, now)
     is_serving = fleet.is_serving_host(host, now)
     if is_serving:
         serving.note_own_demand(
-            host, len(fleet.carriers(host, now)), now)
+            host, len(fleet.serving_hosts(host, now)), now)
     contacts += _silent_contacts(host, now, contacts)
     state = _state(host, now, is_serving)
     out = []
@@ -68,7 +68,7 @@
         known = host.peers[peer.name]
         if now >= known.told_at + interval - 0.01:
             known.told_at = now
-            out.append(effects.Tell(peer, state))
+            out.append(effects.SendToPeer(peer, state))
     return out
 
 
@@ -81,7 +81,7 @@
     return _broadcast_state(host, now)
 
 
-def tell_lease(host, now):
+def broadcast_lease(host, now):
     """Send what this host knows of the lease to all contacts at once.
 
     When a holder was killed before it had announced its last renewal, its
@@ -93,10 +93,10 @@
 
 def broadcast_hints(host, now):
     """Send the hints in servers' answers to all contacts at once."""
-    update = events.HintsHeard(
+    update = events.PeerHintsReceived(
         host.me.name, _sample_rows(host, ratelimits.rows(host, now)),
         _sample_rows(host, draining.rows(host)))
-    return [effects.Tell(peer, update) for peer in _contacts(host, now)]
+    return [effects.SendToPeer(peer, update) for peer in _contacts(host, now)]
 
 
 def _sample_rows(host, rows):
@@ -108,10 +108,10 @@
 
 def _broadcast_state(host, now):
     state = _state(host, now, False)
-    return [effects.Tell(peer, state) for peer in _contacts(host, now)]
+    return [effects.SendToPeer(peer, state) for peer in _contacts(host, now)]
 
 
-def note_changes(host, now):
+def schedule_load_update(host, now):
     """Send load changes to other serving hosts now or at the next interval.
 
     An engine reads a prompt in a tenth of a second: hosts that learned of
@@ -124,7 +124,7 @@
     if host.load_is_due:
         return []
     host.load_is_due = True
-    return [effects.TellLoads(due_at)]
+    return [effects.ScheduleLoadsDue(due_at)]
 
 
 def _load_update_interval_s(host, now):
@@ -134,11 +134,11 @@
     engine gets fewer requests of each host: 72 hosts that each sent to 12
     others every 30 ms would send and receive 800 datagrams a second each.
     """
-    others = len(fleet.carriers(host, now)) - 1
-    return LOADS_GAP_S * max(1.0, others / MESH_MOST)
+    others = len(fleet.serving_hosts(host, now)) - 1
+    return LOAD_UPDATE_INTERVAL_S * max(1.0, others / MAX_FANOUT)
 
 
-def loads_due(host, event, now):
+def send_load_update(host, event, now):
     """Send the load changes since the last update."""
     host.load_is_due = False
     return _send_loads(host, now)
@@ -152,8 +152,8 @@
                  if sid in host.servers)
     if host.me is None or not (rows or refusing):
         return []
-    update = events.LoadHeard(host.me.name, rows, refusing)
-    return [effects.Tell(peer, update) for peer in _contacts(host, now)]
+    update = events.PeerLoadsReceived(host.me.name, rows, refusing)
+    return [effects.SendToPeer(peer, update) for peer in _contacts(host, now)]
 
 
 def reply(host, known, now):
@@ -163,19 +163,19 @@
     if known.peer.name in {peer.name for peer in _contacts(host, now)}:
         return []
     known.told_at = now
-    return [effects.Tell(known.peer, _state(host, now, False))]
+    return [effects.SendToPeer(known.peer, _state(host, now, False))]
 
 
 def _contacts(host, now):
     """Return the peers that this host sends its state to unasked."""
-    serving = fleet.carriers(host, now)
+    serving = fleet.serving_hosts(host, now)
     others = [peer for peer in serving if peer.name != host.me.name]
     if len(others) == len(serving):
-        others.sort(key=lambda peer: routing.name_hash(
+        others.sort(key=lambda peer: routing.cached_unit_hash(
             host.me.name, peer.name))
-        return others[:CONTACTS]
-    if len(others) > MESH_MOST:
-        return host.rng.sample(others, MESH_MOST)
+        return others[:CONTACT_COUNT]
+    if len(others) > MAX_FANOUT:
+        return host.rng.sample(others, MAX_FANOUT)
     return others
 
 
@@ -193,12 +193,12 @@
 def _state(host, now, with_loads):
     """Return this host's state, ``with_loads`` and prompt parts or not."""
     reads = fleet.reads_store(host, now) and host.store_lost_at is None
-    return events.Heard(
+    return events.PeerStateReceived(
         peer=host.me, ready=fleet.is_ready(host),
         leaving=host.stop_at is not None,
         catalog_revision=host.catalog.revision if host.catalog else 0,
         servers_revision=host.servers_revision,
-        crashed=quarantine.pairs(host, now, CRASH_REPEAT_S),
+        crashed=quarantine.recent_crashes(host, now, CRASH_REPEAT_S),
         loads=_load_rows(host, now) if with_loads else (),
         parts=_recent_parts(host, now) if with_loads else (),
         reads_store=reads and host.servers_known,
@@ -214,7 +214,7 @@
     duties = host.duties
     if duties is None:
         return {}
-    return {"wall": clock.own(duties.offsets, host.me.name, now),
+    return {"wall": clock.own_wall_time(duties.offsets, host.me.name, now),
             "leader": duties.leader}
 
 
@@ -228,7 +228,7 @@
     """
     if not fleet.is_large(host) or not fleet.is_serving_host(host, now):
         return ()
-    return tuple(peer.name for peer in fleet.carriers(host, now)
+    return tuple(peer.name for peer in fleet.serving_hosts(host, now)
                  if peer.name != host.me.name
                  and fleet.is_peer_ready(host.peers[peer.name], now))
 
@@ -242,8 +242,8 @@
     with 3,000 servers just listed the state was 66 kB, more than a datagram
     holds, and reached no host; it is 9 kB with the limit.
     """
-    since = now - server_load.HEARD_S
-    if len(fleet.carriers(host, now)) > MESH_MOST + 1:
+    since = now - server_load.REPORT_HEARD_S
+    if len(fleet.serving_hosts(host, now)) > MAX_FANOUT + 1:
         since = math.inf
     reported = [state for state in map(host.servers.get, host.working)
                 if state.mine or state.heard_at > since]
@@ -256,7 +256,7 @@
     tokens = state.mine.values()
     return (state.server.sid, len(state.mine), sum(tokens),
             sum(count > 0 for count in tokens),
-            int(min(server_load.HEARD_S, now - state.heard_at) * 1000),
+            int(min(server_load.REPORT_HEARD_S, now - state.heard_at) * 1000),
             tuple((*kind, streams)
                   for kind, streams in state.gaps.items()),
             state.memory)
--- a/crocuskeel/core/entry/health.py
+++ b/crocuskeel/core/entry/health.py
@@ -8,7 +8,8 @@
 
 import math
 
-__all__ = ["failed", "failing", "heard", "succeeded", "timed", "unreached"]
+__all__ = ["record_failure", "current_failure_rate", "note_activity",
+           "record_success", "record_duration", "record_connection_failure"]
 
 # Weight of a new outcome in the moving average: about the last eight count.
 OUTCOME_WEIGHT = 0.12
@@ -25,27 +26,27 @@
 MAX_SUSPECT_S = 4.0
 
 
-def heard(state, now):
+def note_activity(state, now):
     """Record any sign of life."""
     state.heard_at = now
 
 
-def succeeded(state, now):
+def record_success(state, now):
     """Record a successful response."""
     _record_outcome(state, 0.0, now)
-    heard(state, now)
+    note_activity(state, now)
     state.strikes = 0
     state.suspect_until = 0.0
     state.unreached = False
 
 
-def failed(state, now):
+def record_failure(state, now):
     """Record a response that reports a failure of the server."""
     _record_outcome(state, 1.0, now)
-    heard(state, now)
+    note_activity(state, now)
 
 
-def unreached(state, now):
+def record_connection_failure(state, now):
     """Record a connection that failed or broke."""
     _record_outcome(state, 1.0, now)
     if state.suspect_until > now:
@@ -56,18 +57,18 @@
     state.suspect_until = now + duration_s
 
 
-def timed(state, took_s, expected_s):
+def record_duration(state, took_s, expected_s):
     """Update a server's slowness by the time to first token or response."""
     ratio = min(MAX_SLOWNESS, max(1.0, took_s / max(expected_s, 0.02)))
     state.slowness += SLOWNESS_WEIGHT * (ratio - state.slowness)
 
 
-def failing(state, now):
+def current_failure_rate(state, now):
     """Return the expected failure rate of a server."""
     return state.failing * math.exp((state.judged_at - now) / FAILURE_DECAY_S)
 
 
 def _record_outcome(state, failure, now):
-    state.failing = failing(state, now)
+    state.failing = current_failure_rate(state, now)
     state.failing += OUTCOME_WEIGHT * (failure - state.failing)
     state.judged_at = now
--- a/crocuskeel/core/entry/lifecycle.py
+++ b/crocuskeel/core/entry/lifecycle.py
@@ -11,7 +11,7 @@
 # as long; connections are accepted for this many TTLs after the stop.
 ACCEPT_TTLS = 3.0
 # The process exits this long before it would be killed, s.
-MARGIN_S = 0.4
+EXIT_MARGIN_S = 0.4
 
 
 def stop_asked(host, event, now):
@@ -19,9 +19,9 @@
     if host.stop_at is not None:
         return []
     host.stop_at = now
-    fleet.changed(host)
-    return ([effects.Note("stopping", {"pending": len(host.pending)})]
-            + gossip.tell(host, now) + duty_lease.stop(host, now))
+    fleet.invalidate_serving_hosts(host)
+    return ([effects.LogEvent("stopping", {"pending": len(host.pending)})]
+            + gossip.send_state(host, now) + duty_lease.stop(host, now))
 
 
 def step(host, now):
@@ -33,11 +33,11 @@
                    host.cfg.grace_s / 2)
     if not host.listener_closed and now >= host.stop_at + accept_s:
         host.listener_closed = True
-        out.append(effects.Retire())
-    must_exit = now >= host.stop_at + host.cfg.grace_s - MARGIN_S
+        out.append(effects.CloseListener())
+    must_exit = now >= host.stop_at + host.cfg.grace_s - EXIT_MARGIN_S
     if must_exit or (host.listener_closed and not host.pending):
         host.exited = True
-        out.append(effects.Note("stopped", {
+        out.append(effects.LogEvent("stopped", {
             "pending": len(host.pending)}))
         out.append(effects.Exit())
     return out
--- a/crocuskeel/core/entry/loads.py
+++ b/crocuskeel/core/entry/loads.py
@@ -5,14 +5,14 @@
 
 from crocuskeel.core.entry import prefill_pauses
 
-__all__ = ["REPORT_TTL_S", "Loads"]
+__all__ = ["REPORT_TTL_S", "PeerLoads"]
 
 # A load report of another host counts for this long, s: three of its
 # datagrams.
 REPORT_TTL_S = 1.0
 
 
-class Loads:
+class PeerLoads:
     """Rows of other hosts, and totals over them.
 
     ``running`` requests are at the server; ``reading`` of them have prompts
@@ -73,4 +73,5 @@
         self.reading += sign * row[2]
         self.memory += sign * row[5]
         for priority, gap_ms, streams in row[4]:
-            prefill_pauses.count(self.gaps, (priority, gap_ms), sign * streams)
+            prefill_pauses.change_count(self.gaps, (priority, gap_ms),
+                                        sign * streams)
--- a/crocuskeel/core/entry/model.py
+++ b/crocuskeel/core/entry/model.py
@@ -4,7 +4,7 @@
 import enum
 
 __all__ = [
-    "Catalog", "Engine", "Hints", "Kind", "Limits", "Outcome", "Peer",
+    "Catalog", "EngineSpec", "Hints", "Kind", "Limits", "Outcome", "Peer",
     "Prompt", "Request", "Route", "Scaling", "Server", "Service",
     "Workspace", "server_id",
 ]
@@ -22,7 +22,7 @@
     """How an attempt at a backend server ended without a response."""
 
     # No byte of the request left this host.
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     # The same, because the server's host refused the connection.
     REFUSED = "refused"
     # The server reported that it did not run the request.
@@ -30,9 +30,9 @@
     # Another server uses the address; it did not run the request.
     MISDIRECTED = "misdirected"
     # The connection ended after the request was sent.
-    BROKEN = "broken"
+    DISCONNECTED = "broken"
     # The bytes received are not a complete response to this request.
-    GARBLED = "garbled"
+    MALFORMED = "garbled"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Engine:
+class EngineSpec:
     """Properties of a service's model engines; ``memory`` in tokens.
 
     ``fetch_token_s`` is the time that one engine takes to send another
@@ -134,7 +134,7 @@
 
     name: str
     connections: int
-    engine: Engine | None
+    engine: EngineSpec | None
     scaling: Scaling | None = None
 
 
--- a/crocuskeel/core/entry/pause_estimate.py
+++ b/crocuskeel/core/entry/pause_estimate.py
@@ -6,7 +6,7 @@
 
 import dataclasses
 
-__all__ = ["PauseEstimate", "may_exceed", "note_gap", "of_service"]
+__all__ = ["PauseEstimate", "may_exceed", "add_sample", "estimate_of"]
 
 # The estimated quantile of the pauses during continuous prefill.
 QUANTILE = 0.95
@@ -30,12 +30,12 @@
     samples: int = 0
 
 
-def of_service(host, service):
+def estimate_of(host, service):
     """Return the PauseEstimate of a service's engines."""
     return host.paces.setdefault(service, PauseEstimate())
 
 
-def note_gap(estimate, ahead_s, gap_s):
+def add_sample(estimate, ahead_s, gap_s):
     """Sample a pause of a stream whose engine had ``ahead_s`` of prefill.
 
     Only pauses with clearly more prefill ahead than the estimate count: then
--- a/crocuskeel/core/entry/peers.py
+++ b/crocuskeel/core/entry/peers.py
@@ -14,7 +14,7 @@
 from crocuskeel.core.entry import serving
 from crocuskeel.core.entry import state as states
 
-__all__ = ["heard", "load_heard", "seen"]
+__all__ = ["handle_peer_state", "handle_peer_loads", "handle_peer_list"]
 
 # Minimum interval between fetches of newer data from a peer, s.
 FETCH_INTERVAL_S = 0.25
@@ -23,17 +23,17 @@
 STORE_DELAY_S = 0.4
 
 
-def seen(host, event, now):
+def handle_peer_list(host, event, now):
     """Add hosts that the store lists; they count as just heard."""
     host.seen_at = now
-    fleet.changed(host)
+    fleet.invalidate_serving_hosts(host)
     for peer in event.peers:
         if peer.name != host.me.name:
             host.peers.setdefault(peer.name, states.PeerState(peer, now))
-    return gossip.tell(host, now)
+    return gossip.send_state(host, now)
 
 
-def heard(host, event, now):
+def handle_peer_state(host, event, now):
     """Handle the state of another host."""
     peer = event.peer
     if peer.name == host.me.name:
@@ -43,22 +43,22 @@
     if known is None or known.peer.boot != peer.boot:
         known = states.PeerState(peer, now)
         host.peers[peer.name] = known
-        fleet.changed(host)
-        out.append(effects.Note("peer_up", {"peer": peer.name}))
+        fleet.invalidate_serving_hosts(host)
+        out.append(effects.LogEvent("peer_up", {"peer": peer.name}))
     known.heard_at = now
     known.ready = event.ready
     if known.leaving != event.leaving:
         known.leaving = event.leaving
-        fleet.changed(host)
+        fleet.invalidate_serving_hosts(host)
     known.catalog_revision = event.catalog_revision
     known.servers_revision = event.servers_revision
     known.reads_store = event.reads_store
     host.told_at = max(
         host.told_at, now - event.informed_s - fleet.HOP_DELAY_S)
     serving.merge(host, event.wanted, now)
-    duties.heard(host, event, now)
+    duties.peer_state_received(host, event, now)
     for digest, incarnation in event.crashed:
-        quarantine.learn(host, digest, incarnation, now)
+        quarantine.record_crash(host, digest, incarnation, now)
     _apply_loads(host, event, now)
     _apply_serving_hosts(host, event, now)
     out += ratelimits.merge(host, event.rate_limits, now)
@@ -67,16 +67,16 @@
     return out + _fetch_if_behind(host, known, now)
 
 
-def load_heard(host, event, now):
+def handle_peer_loads(host, event, now):
     """Handle load changes that another serving host reports."""
     _apply_load_rows(host, event.name, event.loads, now)
     for sid in event.refused:
-        quarantine.note_gone(host, sid, now)
+        quarantine.record_server_down(host, sid, now)
         state = host.servers.get(sid)
         # A host that is cut off from a server sees it refuse connections,
         # too. A host with requests there detects a crash by itself.
         if state is not None and not state.mine:
-            health.unreached(state, now)
+            health.record_connection_failure(state, now)
     return []
 
 
@@ -87,9 +87,10 @@
         state = host.servers.get(sid)
         if state is not None:
             # The sender's load rows include the tokens yet to be read.
-            prefix_cache.remember(state, part, tokens,
+            prefix_cache.add_part(state, part, tokens,
                                   _engine_memory(host, state.server.service),
-                                  now + server_load.ahead_s(state, now))
+                                  now + server_load.queued_prefill_s(state,
+                                                                     now))
 
 
 def _apply_load_rows(host, name, rows, now):
@@ -99,12 +100,13 @@
             continue
         server_load.note_work(host, state)
         state.others.put(name, count, tokens, reading, now, gaps, memory)
-        prefill_pauses.heard(state, server_load.ahead_s(state, now), now)
+        prefill_pauses.note_prefill(
+            state, server_load.queued_prefill_s(state, now), now)
         state.heard_at = max(state.heard_at, now - silent_ms / 1000)
 
 
 def _engine_memory(host, service):
-    engine = prefix_cache.engine_of(host, service)
+    engine = prefix_cache.engine_config(host, service)
     return engine.memory if engine is not None else 0
 
 
--- a/crocuskeel/core/entry/prefill_pauses.py
+++ b/crocuskeel/core/entry/prefill_pauses.py
@@ -14,8 +14,9 @@
 
 from crocuskeel.core.entry import pause_estimate
 
-__all__ = ["count", "heard", "is_at_risk", "late_probability",
-           "late_streams", "loud_s", "note_over", "note_sent"]
+__all__ = ["change_count", "note_prefill", "is_at_risk", "late_probability",
+           "late_streams", "expected_pause_s", "note_stream_ended",
+           "note_stream_sent"]
 
 # An expected pause is taken to be on time up to this share of the longest
 # allowed one, and certainly late at the full length: estimates of prefill
@@ -31,21 +32,21 @@
     return min(1.0, max(0.0, (share - SAFE_SHARE) / (1.0 - SAFE_SHARE)))
 
 
-def note_sent(state, route):
+def note_stream_sent(state, route):
     """Count a stream that was sent to an engine."""
-    count(state.gaps, _group(route), 1)
+    change_count(state.gaps, _group(route), 1)
 
 
-def note_over(state, route):
+def note_stream_ended(state, route):
     """Remove a stream that has ended from the counts."""
-    count(state.gaps, _group(route), -1)
+    change_count(state.gaps, _group(route), -1)
 
 
 def _group(route):
     return route.priority, round(route.gap_s * 1000)
 
 
-def count(counts, group, change):
+def change_count(counts, group, change):
     """Change a count of streams by (priority, allowed pause in ms)."""
     total = counts.get(group, 0) + change
     if total > 0:
@@ -54,13 +55,13 @@
         counts.pop(group, None)
 
 
-def heard(state, ahead_s, now):
+def note_prefill(state, ahead_s, now):
     """Note that an engine has queued prompts to prefill for ``ahead_s``."""
-    state.loud = max(ahead_s, loud_s(state, now))
+    state.loud = max(ahead_s, expected_pause_s(state, now))
     state.loud_at = now
 
 
-def loud_s(state, now):
+def expected_pause_s(state, now):
     """Return the expected pause of an engine's streams, s."""
     if not state.loud:
         return 0.0
@@ -91,12 +92,13 @@
     """Return the probability that pauses make a route's stream late."""
     if not pause_estimate.may_exceed(estimate, route.gap_s):
         return 0.0
-    return _lateness(loud_s(state, now) / route.gap_s)
+    return _lateness(expected_pause_s(state, now) / route.gap_s)
 
 
 def is_at_risk(states, estimate, route, now):
     """Say whether the prefill of long prompts can make such streams late."""
     if not pause_estimate.may_exceed(estimate, route.gap_s):
         return False
-    longest_s = max((loud_s(state, now) for state in states), default=0.0)
+    longest_s = max((expected_pause_s(state, now) for state in states),
+                    default=0.0)
     return _lateness(longest_s / route.gap_s) > 0.0
--- a/crocuskeel/core/entry/prefix_cache.py
+++ b/crocuskeel/core/entry/prefix_cache.py
@@ -9,12 +9,14 @@
 
 import dataclasses
 
-__all__ = ["CachedPart", "engine_of", "fetchable", "follow", "held", "look",
-           "place", "remember", "source", "to_read", "uncached_tokens"]
+__all__ = ["CachedPart", "engine_config", "fetchable_tokens", "can_fetch",
+           "cached_tokens", "note_fetchable",
+           "note_cached", "add_part", "fetch_source", "prefill_tokens",
+           "uncached_tokens"]
 
 # Prefill speed of an engine, tokens a second: between the rated speeds of
 # the engines of two deployments, 36,700 and 48,200.
-READ_TOKENS_S = 40_000.0
+PREFILL_TOKENS_PER_S = 40_000.0
 # Share of an engine's memory that is assumed to cache parts: running
 # requests use the rest.
 CACHE_SHARE = 0.7
@@ -31,7 +33,7 @@
     prefilled_at: float
 
 
-def engine_of(host, service):
+def engine_config(host, service):
     """Return the configuration of a service's engines, or None.
 
     A newer configuration may have removed the service of a request that
@@ -41,7 +43,7 @@
     return known.engine if known is not None else None
 
 
-def held(state, prompt):
+def cached_tokens(state, prompt):
     """Return how many tokens of a prompt's shared parts an engine caches.
 
     A part counts only if all parts before it are cached, too.
@@ -64,7 +66,7 @@
     return max(0, uncached)
 
 
-def look(pending, states, now):
+def note_fetchable(pending, states, now):
     """Note the most shared tokens of a prompt that any engine can provide."""
     prompt = pending.request.prompt
     if prompt is None:
@@ -88,42 +90,42 @@
     return tokens
 
 
-def fetchable(host, pending, cached):
+def fetchable_tokens(host, pending, cached):
     """Return how many tokens an engine may fetch from another one.
 
     It caches ``cached`` tokens of the prompt's shared parts itself.
     """
-    engine = engine_of(host, pending.service)
+    engine = engine_config(host, pending.service)
     if engine is None or not engine.fetch_token_s:
         return 0
     tokens = pending.elsewhere - cached
     if tokens <= 0:
         return 0
-    saved_s = tokens * (1 / READ_TOKENS_S - engine.fetch_token_s)
+    saved_s = tokens * (1 / PREFILL_TOKENS_PER_S - engine.fetch_token_s)
     return tokens if saved_s > FETCH_OVERHEAD_S else 0
 
 
-def follow(host, pending):
+def can_fetch(host, pending):
     """Say whether any engine may fetch a prompt's shared parts."""
-    return fetchable(host, pending, 0) > 0
+    return fetchable_tokens(host, pending, 0) > 0
 
 
-def to_read(host, state, pending):
+def prefill_tokens(host, state, pending):
     """Return the tokens to prefill before a request's first event.
 
     Fetched tokens count as the tokens that could be prefilled meanwhile.
     """
     prompt = pending.request.prompt
     uncached = uncached_tokens(state, prompt)
-    tokens = fetchable(host, pending, held(state, prompt))
+    tokens = fetchable_tokens(host, pending, cached_tokens(state, prompt))
     if not tokens:
         return uncached
-    engine = engine_of(host, pending.service)
+    engine = engine_config(host, pending.service)
     return int(uncached - tokens
-               + tokens * engine.fetch_token_s * READ_TOKENS_S)
+               + tokens * engine.fetch_token_s * PREFILL_TOKENS_PER_S)
 
 
-def source(host, target, pending, states, now):
+def fetch_source(host, target, pending, states, now):
     """Return the engine that the target is to fetch from, or None.
 
     Of the engines that can provide the most tokens, a random one in the
@@ -131,7 +133,7 @@
     one other at a time.
     """
     prompt = pending.request.prompt
-    if not fetchable(host, pending, held(target, prompt)):
+    if not fetchable_tokens(host, pending, cached_tokens(target, prompt)):
         return None
     sources = [state for state in states if state is not target
                and _ready_tokens(state, prompt, now) == pending.elsewhere]
@@ -140,7 +142,7 @@
     return host.rng.choice(same_domain or sources) if sources else None
 
 
-def place(host, state, prompt, memory, now, prefilled_at):
+def note_cached(host, state, prompt, memory, now, prefilled_at):
     """Note that an engine caches a prompt's parts, and queue this for peers.
 
     Their prefill ends at ``prefilled_at``.
@@ -149,10 +151,10 @@
         if part not in state.parts:
             host.placed.append((now, state.server.sid, part, tokens))
     for part, tokens in prompt.parts:
-        remember(state, part, tokens, memory, prefilled_at)
+        add_part(state, part, tokens, memory, prefilled_at)
 
 
-def remember(state, part, tokens, memory, prefilled_at):
+def add_part(state, part, tokens, memory, prefilled_at):
     """Note that an engine caches a part; evict the least recently used."""
     known = state.parts.pop(part, None)
     if known is not None:
--- a/crocuskeel/core/entry/quarantine.py
+++ b/crocuskeel/core/entry/quarantine.py
@@ -11,8 +11,8 @@
 incarnation.
 """
 
-__all__ = ["condemned", "ends_in", "learn", "note_completed",
-           "note_disconnect", "note_gone", "pairs"]
+__all__ = ["is_quarantined", "time_left_s", "record_crash", "note_completed",
+           "note_disconnect", "record_server_down", "recent_crashes"]
 
 # A crash ends all connections of a server within this time, s.
 CRASH_SPREAD_S = 0.3
@@ -33,10 +33,10 @@
                 if row[2] == attempt.incarnation
                 and row[0] > now - CRASH_SPREAD_S}
     if len(together) > 1:
-        note_gone(host, attempt.sid, now)
+        record_server_down(host, attempt.sid, now)
 
 
-def note_gone(host, sid, now):
+def record_server_down(host, sid, now):
     """Treat the connections recently lost at a server as due to a crash.
 
     The server can't be reached, another host reports that it refuses
@@ -44,7 +44,7 @@
     """
     for at, torn_sid, incarnation, digest in host.torn:
         if torn_sid == sid and at > now - CRASH_CONFIRM_S:
-            learn(host, digest, incarnation, now)
+            record_crash(host, digest, incarnation, now)
 
 
 def note_completed(host, incarnation, since):
@@ -60,19 +60,19 @@
             del incarnations[incarnation]
 
 
-def learn(host, digest, incarnation, now):
+def record_crash(host, digest, incarnation, now):
     """Record that a server crashed under a request, here or elsewhere."""
     if digest not in host.crashed and len(host.crashed) >= MAX_DIGESTS:
         host.crashed.pop(next(iter(host.crashed)))
     host.crashed.setdefault(digest, {})[incarnation] = now
 
 
-def condemned(host, digest, now):
+def is_quarantined(host, digest, now):
     """Return whether a request is quarantined."""
-    return ends_in(host, digest, now) > 0
+    return time_left_s(host, digest, now) > 0
 
 
-def ends_in(host, digest, now):
+def time_left_s(host, digest, now):
     """Return the time left of a request's quarantine, s."""
     times = sorted(host.crashed.get(digest, {}).values(), reverse=True)
     if len(times) < CRASH_LIMIT:
@@ -80,7 +80,7 @@
     return max(0.0, times[CRASH_LIMIT - 1] + QUARANTINE_S - now)
 
 
-def pairs(host, now, span_s):
+def recent_crashes(host, now, span_s):
     """Return the (digest, incarnation) of crashes in the last ``span_s``.
 
     The most recent ones are left out, as the server may yet complete a
--- a/crocuskeel/core/entry/ratelimits.py
+++ b/crocuskeel/core/entry/ratelimits.py
@@ -18,8 +18,9 @@
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import routing
 
-__all__ = ["RateLimit", "free_in", "is_limited", "limited", "merge",
-           "note_response", "refill", "rows", "sent"]
+__all__ = ["RateLimit", "available_in_s", "is_limited", "count_limited",
+           "merge",
+           "note_response", "refill_buckets", "rows", "consume_token"]
 
 # The buckets of a server together hold one second of its rate plus this many
 # requests. No more hosts than that share the rate, so that each bucket holds
@@ -90,7 +91,7 @@
     known.as_of = as_of
     if rate == known.rate:
         return []
-    note = effects.Note("rate_limit", {
+    note = effects.LogEvent("rate_limit", {
         "server": incarnation, "rate": rate, "was": known.rate})
     known.rate = rate
     known.repeat_until = now + REPEAT_S
@@ -105,7 +106,7 @@
         if known.rate is not None or now < known.repeat_until)
 
 
-def limited(host):
+def count_limited(host):
     """Return the number of servers with a known rate limit."""
     return sum(known.rate is not None
                for known in host.rate_limits.values())
@@ -116,7 +117,7 @@
     return _active_limit(host, server) is not None
 
 
-def free_in(host, server, now):
+def available_in_s(host, server, now):
     """Return the time until this host may send a request to a server, s.
 
     Infinity if it has no share of the server's rate.
@@ -131,7 +132,7 @@
     return missing / share if share else math.inf
 
 
-def sent(host, server, now):
+def consume_token(host, server, now):
     """Consume a token for a request that is sent to a server."""
     known = _active_limit(host, server)
     if known is not None:
@@ -146,7 +147,7 @@
     return known if known is not None and known.rate is not None else None
 
 
-def refill(host, now):
+def refill_buckets(host, now):
     """Fill all buckets, and remove limits of servers that are gone.
 
     This runs at each tick: a host that starts to share a rate must begin
@@ -174,8 +175,8 @@
 def _share(host, known, sid, now):
     """Return this host's share; recompute it if rate or fleet changed."""
     rate, serving = known.share_inputs
-    if rate != known.rate or serving is not fleet.carriers(host, now):
-        known.share_inputs = known.rate, fleet.carriers(host, now)
+    if rate != known.rate or serving is not fleet.serving_hosts(host, now):
+        known.share_inputs = known.rate, fleet.serving_hosts(host, now)
         known.share = _compute_share(host, *known.share_inputs, sid)
     return known.share
 
@@ -186,7 +187,7 @@
     if len(sharing) > int(burst):
         sharing = heapq.nsmallest(
             int(burst), sharing,
-            key=lambda peer: routing.name_hash(peer.name, sid))
+            key=lambda peer: routing.cached_unit_hash(peer.name, sid))
     if not any(peer.name == host.me.name for peer in sharing):
         return 0.0, 0.0
     return rate / len(sharing), burst / len(sharing)
--- a/crocuskeel/core/entry/reducer.py
+++ b/crocuskeel/core/entry/reducer.py
@@ -34,11 +34,11 @@
 
 
 def _ticked(host, event, now):
-    server_load.sample(host, now)
-    ratelimits.refill(host, now)
-    draining.forget(host, now)
+    server_load.sample_prefill(host, now)
+    ratelimits.refill_buckets(host, now)
+    draining.remove_unlisted(host, now)
     backoff.forget(host, now)
-    return (registry.expire(host, now) + gossip.tell(host, now)
+    return (registry.drop_expired(host, now) + gossip.send_state(host, now)
             + duties.step(host, event.wall, now)
             + lifecycle.step(host, now))
 
@@ -47,27 +47,27 @@
     events.Started: _started,
     events.Ticked: _ticked,
     events.StopAsked: lifecycle.stop_asked,
-    events.Arrived: requests.arrived,
-    events.CallerLeft: requests.caller_left,
+    events.RequestReceived: requests.request_arrived,
+    events.CallerDisconnected: requests.caller_left,
     events.TimerFired: requests.timer_fired,
-    events.HintsSeen: response_hints.seen,
-    events.HintsHeard: response_hints.heard,
-    events.Opened: attempts.opened,
-    events.Progressed: attempts.progressed,
-    events.Ended: attempts.ended,
-    events.Answered: attempts.answered,
-    events.Broken: attempts.broken,
-    events.CatalogSeen: registry.catalog_seen,
+    events.HintsReceived: response_hints.handle_response_hints,
+    events.PeerHintsReceived: response_hints.handle_peer_hints,
+    events.StreamOpened: attempts.opened,
+    events.StreamProgressed: attempts.progressed,
+    events.StreamEnded: attempts.ended,
+    events.ResponseReceived: attempts.answered,
+    events.AttemptFailed: attempts.broken,
+    events.CatalogRead: registry.catalog_seen,
     events.ServersListed: registry.servers_listed,
     events.ServersChanged: registry.servers_changed,
-    events.SettingsSeen: _settings_seen,
-    events.StoreLost: registry.store_lost,
-    events.StoreBack: registry.store_back,
-    events.StoreLeft: registry.store_left,
-    events.PeersSeen: peers.seen,
-    events.Heard: peers.heard,
-    events.LoadsDue: gossip.loads_due,
-    events.LoadHeard: peers.load_heard,
+    events.SettingsRead: _settings_seen,
+    events.StoreUnavailable: registry.store_lost,
+    events.StoreAvailable: registry.store_back,
+    events.StoreReadingStopped: registry.store_reading_stopped,
+    events.PeersListed: peers.handle_peer_list,
+    events.PeerStateReceived: peers.handle_peer_state,
+    events.LoadsDue: gossip.send_load_update,
+    events.PeerLoadsReceived: peers.handle_peer_loads,
     events.DutyAnswered: duties.answered,
     duties_model.Usage: usage.received,
     lease_events.LeaseRead: duty_lease.lease_read,
@@ -86,5 +86,5 @@
         raise exceptions.UnknownEvent(type(event).__name__)
     out = handler(host, event, now)
     if host.changed or host.refusing:
-        out += gossip.note_changes(host, now)
+        out += gossip.schedule_load_update(host, now)
     return out
--- a/crocuskeel/core/entry/registry.py
+++ b/crocuskeel/core/entry/registry.py
@@ -15,8 +15,9 @@
 from crocuskeel.core.entry import restarting
 from crocuskeel.core.entry import state as states
 
-__all__ = ["catalog_seen", "expire", "lapsing", "servers_changed",
-           "servers_listed", "store_back", "store_left", "store_lost"]
+__all__ = ["catalog_seen", "drop_expired", "grace_periods", "servers_changed",
+           "servers_listed", "store_back", "store_reading_stopped",
+           "store_lost"]
 
 # Grace period of expired entries, s. Servers register again within some 2 s
 # of the store's return. A server that left instead must get nothing 2 s
@@ -35,7 +36,7 @@
         return []
     host.catalog = catalog
     host.catalog_behind_at = None
-    note = effects.Note("catalog", {
+    note = effects.LogEvent("catalog", {
         "version": catalog.version, "revision": catalog.revision,
         "routes": sum(map(len, catalog.routes.values()))})
     return [note, *gossip.broadcast_change(host, now)]
@@ -84,7 +85,7 @@
         # An unreadable entry is no sign of a crash.
         if sid in host.servers:
             _delete(host, sid)
-            out.append(effects.Note("server_unreadable", {"server": sid}))
+            out.append(effects.LogEvent("server_unreadable", {"server": sid}))
     _rebuild_index(host)
     out += restarting.end_orphaned_attempts(host, restarted, now)
     return out + gossip.broadcast_change(host, now)
@@ -93,14 +94,14 @@
 def _remove(host, sid, grace_ends, revision, now):
     if sid not in host.servers:
         return []
-    if not draining.is_leaving(host, host.servers[sid].server):
-        quarantine.note_gone(host, sid, now)
+    if not draining.is_draining(host, host.servers[sid].server):
+        quarantine.record_server_down(host, sid, now)
     if sid not in grace_ends:
         _delete(host, sid)
     elif host.servers[sid].lapses_at is None:
         host.servers[sid].lapses_at = grace_ends[sid]
         host.lapsing[sid] = None
-    return [effects.Note("server_removed", {
+    return [effects.LogEvent("server_removed", {
         "server": sid, "revision": revision, "lapse": sid in grace_ends})]
 
 
@@ -112,7 +113,7 @@
         state = states.new_server(server, now)
         host.servers[server.sid] = state
         addresses.setdefault(server.address, []).append(state)
-        return [effects.Note("server_added", {
+        return [effects.LogEvent("server_added", {
             "server": server.sid, "service": server.service,
             "draining": server.draining})]
     former = known.server
@@ -124,7 +125,7 @@
         known.misdirects = False
     if former.draining == server.draining:
         return []
-    return [effects.Note("server_state", {
+    return [effects.LogEvent("server_state", {
         "server": server.sid, "draining": server.draining})]
 
 
@@ -166,7 +167,7 @@
 def _expired_ids(host, removed, now):
     removed_states = [
         host.servers[sid] for sid in removed if sid in host.servers
-        and not draining.is_leaving(host, host.servers[sid].server)]
+        and not draining.is_draining(host, host.servers[sid].server)]
     if host.store_lost_at is not None or (
             _store_returned_recently(host, now)):
         return {state.server.sid for state in removed_states}
@@ -185,7 +186,7 @@
     return returned_at is not None and now < returned_at + GRACE_S
 
 
-def lapsing(host, now):
+def grace_periods(host, now):
     """Return (server id, seconds left) of expired entries in grace."""
     return tuple(
         (state.server.sid, max(0.0, min(GRACE_S, state.lapses_at - now)))
@@ -210,7 +211,7 @@
             state.server.service, []).append(state)
 
 
-def expire(host, now):
+def drop_expired(host, now):
     """Drop servers that did not register again in the grace period."""
     overdue = [state.server.sid for state in _expired_servers(host)
                if state.lapses_at <= now]
@@ -218,7 +219,8 @@
         _delete(host, sid)
     if overdue:
         _rebuild_index(host)
-    return [effects.Note("server_gone", {"server": sid}) for sid in overdue]
+    return [effects.LogEvent("server_gone", {"server": sid})
+            for sid in overdue]
 
 
 def store_lost(host, event, now):
@@ -229,7 +231,7 @@
     for state in _expired_servers(host):
         # It can't register again until the store is back.
         state.lapses_at = math.inf
-    return [effects.Note("store_lost", {"why": event.reason})]
+    return [effects.LogEvent("store_lost", {"why": event.reason})]
 
 
 def store_back(host, event, now):
@@ -239,10 +241,10 @@
     outage_s = now - host.store_lost_at
     host.store_back_at = now
     _end_store_outage(host, now)
-    return [effects.Note("store_back", {"away_s": round(outage_s, 2)})]
+    return [effects.LogEvent("store_back", {"away_s": round(outage_s, 2)})]
 
 
-def store_left(host, event, now):
+def store_reading_stopped(host, event, now):
     """Stop waiting for the store, as other hosts read it for this one.
 
     A host that kept waiting for a store that it no longer calls would never
@@ -251,7 +253,7 @@
     if host.store_lost_at is None:
         return []
     _end_store_outage(host, now)
-    return [effects.Note("store_left", {})]
+    return [effects.LogEvent("store_left", {})]
 
 
 def _end_store_outage(host, now):
--- a/crocuskeel/core/entry/requests.py
+++ b/crocuskeel/core/entry/requests.py
@@ -13,7 +13,7 @@
 from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import state as states
 
-__all__ = ["arrived", "caller_left", "timer_fired"]
+__all__ = ["request_arrived", "caller_left", "timer_fired"]
 
 # Time limit of a request that has none of its own, s.
 DEFAULT_DEADLINE_S = 60.0
@@ -23,7 +23,7 @@
 STARTING_RETRY_S = 0.5
 
 
-def arrived(host, event, now):
+def request_arrived(host, event, now):
     """Resolve the route of a request and send it, or refuse it."""
     request = event.request
     if host.catalog is None or not host.servers_known:
@@ -33,9 +33,10 @@
     if resolved.is_err():
         refusal = resolved.unwrap_err()
         return [effects.Answer(event.key, refusal.status, refusal.reason),
-                ending.note("refused", request, status=refusal.status,
-                            why=refusal.reason, version=host.catalog.version)]
-    if quarantine.condemned(host, request.digest, now):
+                ending.log_line("refused", request, status=refusal.status,
+                                why=refusal.reason,
+                                version=host.catalog.version)]
+    if quarantine.is_quarantined(host, request.digest, now):
         return _quarantined(host, event, now)
     pending = _register(host, event, resolved.unwrap(), now)
     return sending.send(host, pending, now)
@@ -47,11 +48,11 @@
     The retry delay may exceed the caller's time limit: a retry before the
     quarantine ends would only be refused again.
     """
-    retry_s = quarantine.ends_in(host, event.request.digest, now)
+    retry_s = quarantine.time_left_s(host, event.request.digest, now)
     return [effects.Answer(event.key, ending.UNAVAILABLE, "quarantined",
                            retry_s),
-            ending.note("quarantined", event.request,
-                        ends_in_s=round(retry_s, 1))]
+            ending.log_line("quarantined", event.request,
+                            ends_in_s=round(retry_s, 1))]
 
 
 def _register(host, event, destination, now):
@@ -60,7 +61,7 @@
     if request.deadline_s is not None:
         left = request.deadline_s
     left = min(left, destination.route.timeout_s)
-    pending = states.Pending(
+    pending = states.RequestState(
         key=event.key, request=request, route=destination.route,
         service=destination.service, workspace=destination.workspace,
         priority=destination.priority, at=now,
@@ -78,7 +79,7 @@
         return []
     if now >= pending.ends_at:
         return _time_out(host, pending, now)
-    if not ending.live(pending):
+    if not ending.active_attempts(pending):
         # It is queued on this host until a server has capacity.
         return sending.send(host, pending, now)
     if pending.route.kind is not model.Kind.STREAM:
@@ -92,8 +93,8 @@
 
 
 def _hedge(host, pending, now):
-    timeout = [effects.Timer(pending.key, pending.ends_at)]
-    if not retrying.may_go_on(host, pending, now):
+    timeout = [effects.SetRequestTimer(pending.key, pending.ends_at)]
+    if not retrying.may_send_again(host, pending, now):
         return timeout
     return sending.send(host, pending, now)
 
@@ -106,21 +107,22 @@
     event of the former engine, it would be moved again at every check,
     0.1 s apart, and run on more servers than its route allows.
     """
-    attempt = ending.live(pending)[-1]
+    attempt = ending.active_attempts(pending)[-1]
     target = host.servers.get(attempt.sid)
     if attempt.opened:
-        limit_s = retrying.stall_s(pending) - 0.001
+        limit_s = retrying.stall_limit_s(pending) - 0.001
         silent = now - pending.progress_at >= limit_s
     else:
         silent = target is None or server_load.is_silent(target, now)
-    if not silent or not retrying.may_go_on(host, pending, now):
-        return [effects.Timer(pending.key, retrying.next_check(pending, now))]
+    if not silent or not retrying.may_send_again(host, pending, now):
+        return [effects.SetRequestTimer(pending.key,
+                                        retrying.next_check(pending, now))]
     out = ending.cancel_all(host, pending)
-    out.append(ending.note("moved", pending.request, turn=attempt.turn,
-                           server=attempt.sid,
-                           started=pending.passing is not None))
+    out.append(ending.log_line("moved", pending.request, turn=attempt.turn,
+                               server=attempt.sid,
+                               started=pending.passing is not None))
     if target is not None:
-        health.unreached(target, now)
+        health.record_connection_failure(target, now)
     return out + sending.send(host, pending, now)
 
 
@@ -131,7 +133,7 @@
         return []
     out = ending.cancel_all(host, pending)
     ending.finish(host, pending)
-    out.append(ending.note("caller_left", pending.request,
-                           after_s=round(now - pending.at, 3),
-                           passing=pending.passing is not None))
+    out.append(ending.log_line("caller_left", pending.request,
+                               after_s=round(now - pending.at, 3),
+                               passing=pending.passing is not None))
     return out
--- a/crocuskeel/core/entry/response_hints.py
+++ b/crocuskeel/core/entry/response_hints.py
@@ -6,12 +6,12 @@
 from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import ratelimits
 
-__all__ = ["heard", "seen"]
+__all__ = ["handle_peer_hints", "handle_response_hints"]
 
 
-def seen(host, event, now):
+def handle_response_hints(host, event, now):
     """Handle the hints of a response's headers; broadcast what changed."""
-    pending, attempt = ending.find(host, event)
+    pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
     received = event.hints
@@ -21,11 +21,11 @@
     if out:
         out += gossip.broadcast_hints(host, now)
     if received.rest_s is not None:
-        out += backoff.asked(host, attempt, received.rest_s, now)
+        out += backoff.note_backoff(host, attempt, received.rest_s, now)
     return out
 
 
-def heard(host, event, now):
+def handle_peer_hints(host, event, now):
     """Handle hints that another host received from servers."""
     return (ratelimits.merge(host, event.rate_limits, now)
             + draining.merge(host, event.servers_leaving, now))
--- a/crocuskeel/core/entry/restarting.py
+++ b/crocuskeel/core/entry/restarting.py
@@ -38,7 +38,7 @@
 
 def reset_server(host, server, now):
     """Discard what was recorded about the former process of a server."""
-    quarantine.note_gone(host, server.sid, now)
+    quarantine.record_server_down(host, server.sid, now)
     former = host.servers[server.sid]
     state = states.new_server(server, now)
     # Requests in progress count until they end.
@@ -47,7 +47,7 @@
     state.memory = former.memory
     state.asked_at = now if former.mine else 0.0
     host.servers[server.sid] = state
-    return [effects.Note("server_restarted", {
+    return [effects.LogEvent("server_restarted", {
         "server": server.sid, "born": server.born,
         "mine": len(former.mine)})]
 
@@ -58,8 +58,8 @@
     for server in servers:
         for pending, attempt in _orphaned_attempts(host, server, now):
             out.append(effects.Cancel(pending.key, attempt.turn))
-            out += attempts.broken(host, events.Broken(
-                pending.key, attempt.turn, model.Outcome.BROKEN,
+            out += attempts.broken(host, events.AttemptFailed(
+                pending.key, attempt.turn, model.Outcome.DISCONNECTED,
                 "server restarted"), now)
     return out
 
--- a/crocuskeel/core/entry/retry_budget.py
+++ b/crocuskeel/core/entry/retry_budget.py
@@ -9,7 +9,7 @@
 
 import collections
 
-__all__ = ["may_repeat", "note_request", "rate", "repeated"]
+__all__ = ["may_retry", "note_request", "request_rate", "note_retry"]
 
 # Share of its budget that a host uses: windows slide, and peers that are
 # not heard of for a moment still use theirs.
@@ -21,12 +21,12 @@
     _recent(host, host.arrivals, service, now).append(now)
 
 
-def repeated(host, service, now):
+def note_retry(host, service, now):
     """Count a request that is sent once more."""
     _recent(host, host.repeats, service, now).append(now)
 
 
-def may_repeat(host, service, now):
+def may_retry(host, service, now):
     """Say whether one more retry stays within this host's budget."""
     cfg = host.cfg
     arrivals = len(_recent(host, host.arrivals, service, now))
@@ -36,7 +36,7 @@
     return retries + 1 <= USED_SHARE * budget
 
 
-def rate(host, span_s, now):
+def request_rate(host, span_s, now):
     """Return callers' requests per second over the last ``span_s``."""
     since = now - span_s
     total = 0
--- a/crocuskeel/core/entry/retrying.py
+++ b/crocuskeel/core/entry/retrying.py
@@ -6,7 +6,7 @@
 from crocuskeel.core.entry import retry_budget
 from crocuskeel.core.entry import server_choice
 
-__all__ = ["MIN_SEND_S", "may_go_on", "next_check", "stall_s"]
+__all__ = ["MIN_SEND_S", "may_send_again", "next_check", "stall_limit_s"]
 
 # With less time left than this, no server could complete a request, s.
 MIN_SEND_S = 0.02
@@ -19,7 +19,7 @@
 MOVE_SHARE = 0.45
 # A resumable stream is moved when it pauses for longer than this multiple
 # of its route's longest allowed pause, and for at least so long, s.
-STALL_GAPS = 1.0
+STALL_GAP_FACTOR = 1.0
 MIN_STALL_S = 0.4
 # A request that may not be moved yet is checked again after this, s.
 RECHECK_S = 0.1
@@ -30,7 +30,8 @@
     if not pending.route.repeatable:
         return pending.ends_at
     if pending.tries[-1].opened:
-        due = max(now + RECHECK_S, pending.progress_at + stall_s(pending))
+        due = max(now + RECHECK_S,
+                  pending.progress_at + stall_limit_s(pending))
         return min(pending.ends_at, due)
     share = HEDGE_SHARE
     if pending.route.kind is model.Kind.STREAM:
@@ -39,12 +40,12 @@
     return min(pending.ends_at, max(due, now + RECHECK_S))
 
 
-def stall_s(pending):
+def stall_limit_s(pending):
     """Return the pause after which a stream counts as stalled, s."""
-    return max(MIN_STALL_S, STALL_GAPS * pending.route.gap_s)
+    return max(MIN_STALL_S, STALL_GAP_FACTOR * pending.route.gap_s)
 
 
-def may_go_on(host, pending, now):
+def may_send_again(host, pending, now):
     """Return whether this request may be sent to one more server."""
     if not pending.route.repeatable:
         return False
@@ -52,12 +53,12 @@
         return False
     if _servers_used(host, pending) >= pending.route.tries:
         return False
-    if quarantine.condemned(host, pending.request.digest, now):
+    if quarantine.is_quarantined(host, pending.request.digest, now):
         return False
     tried = {attempt.sid for attempt in pending.tries}
     if not _has_untried_server(host, pending.service, tried, now):
         return False
-    return retry_budget.may_repeat(host, pending.service, now)
+    return retry_budget.may_retry(host, pending.service, now)
 
 
 def _servers_used(host, pending):
@@ -81,6 +82,6 @@
 
 def _has_untried_server(host, service, tried, now):
     return any(state.server.sid not in tried
-               and not draining.is_leaving(host, state.server)
-               and server_choice.is_free(host, state, now)
+               and not draining.is_draining(host, state.server)
+               and server_choice.is_available(host, state, now)
                for state in host.by_service.get(service, ()))
--- a/crocuskeel/core/entry/routing.py
+++ b/crocuskeel/core/entry/routing.py
@@ -8,7 +8,7 @@
 from result import Err
 from result import Ok
 
-__all__ = ["Destination", "Refusal", "name_hash", "resolve",
+__all__ = ["Destination", "Refusal", "cached_unit_hash", "resolve",
            "unit_hash"]
 
 NOT_FOUND = 404
@@ -83,4 +83,4 @@
 
 # Cached variant for host names, which are few and change rarely: the order
 # of 65 hosts is computed some hundred times a second.
-name_hash = functools.lru_cache(maxsize=4096)(unit_hash)
+cached_unit_hash = functools.lru_cache(maxsize=4096)(unit_hash)
--- a/crocuskeel/core/entry/sending.py
+++ b/crocuskeel/core/entry/sending.py
@@ -27,7 +27,8 @@
         return ending.give_up(host, pending, "time is up", now)
     pending.candidates = candidates.pick(host, pending)
     pending.rank = admission.rank(host, pending, now)
-    prefix_cache.look(pending, server_choice.holders(host, pending, now), now)
+    prefix_cache.note_fetchable(
+        pending, server_choice.fetch_sources(host, pending, now), now)
     tried = {attempt.sid for attempt in pending.tries}
     target = server_choice.choose(host, pending, tried, now)
     if target is None:
@@ -35,33 +36,35 @@
     if not admission.admits(host, pending, target, now):
         full, target = target, _other_server(host, pending, now)
         if target is None:
-            if now < admission.hold_until(pending):
+            if now < admission.queue_until(pending):
                 return _hold(host, pending, now)
             return _shed(host, pending, full, now)
     attempt, source = _start_attempt(host, pending, target, now)
-    order = effects.Send(
+    order = effects.SendRequest(
         pending.key, attempt.turn, target.server, left, pending.priority,
         pending.workspace, pending.route.kind is model.Kind.STREAM,
         resume=pending.passing is not None,
         fetch_from=source.server.address if source else None)
     return [order, _sent_line(host, pending, target, attempt, source, now),
-            effects.Timer(pending.key, retrying.next_check(pending, now))]
+            effects.SetRequestTimer(pending.key,
+                                    retrying.next_check(pending, now))]
 
 
 def _sent_line(host, pending, target, attempt, source, now):
     """Return the log line of an attempt, with the inputs of the choice."""
     report_age_s = min(99, now - target.load_at)
-    return ending.note(
+    return ending.log_line(
         "sent", pending.request, turn=attempt.turn,
         server=target.server.sid, service=pending.service,
-        mine=len(target.mine), running=server_load.running(target, now),
-        ahead=server_load.ahead_tokens(target, now), said=target.load,
+        mine=len(target.mine),
+        running=server_load.running_requests(target, now),
+        ahead=server_load.queued_tokens(target, now), said=target.load,
         said_age_s=round(report_age_s, 1), fresh=attempt.fresh_tokens,
         spill=attempt.reread_tokens, fetch=attempt.fetched_tokens,
         source=source.server.sid if source else "",
         route=pending.route.name, rank=pending.rank,
         priority=pending.priority,
-        loud_s=round(prefill_pauses.loud_s(target, now), 3),
+        loud_s=round(prefill_pauses.expected_pause_s(target, now), 3),
         left_s=round(pending.ends_at - now, 2),
         version=host.catalog.version)
 
@@ -69,20 +72,20 @@
 def _hold(host, pending, now):
     """Hold a request at this host until a server has room."""
     host.held.add(pending.key)
-    due_at = min(pending.ends_at, admission.look_at(host, now))
-    return [effects.Timer(pending.key, due_at)]
+    due_at = min(pending.ends_at, admission.next_check(host, now))
+    return [effects.SetRequestTimer(pending.key, due_at)]
 
 
 def _wait_for_server(host, pending, tried, now):
     """Hold a request that no server can take now, or refuse it."""
-    if ending.live(pending):
-        return [effects.Timer(
+    if ending.active_attempts(pending):
+        return [effects.SetRequestTimer(
             pending.key, retrying.next_check(pending, now))]
-    free_s = server_choice.free_in(host, pending, tried, now)
+    free_s = server_choice.available_in_s(host, pending, tried, now)
     if free_s is None or pending.fallback is not None:
         return ending.give_up(host, pending, "no server", now,
                               _retry_after_s(host, pending, now))
-    if now + free_s < admission.hold_until(pending):
+    if now + free_s < admission.queue_until(pending):
         return _hold(host, pending, now)
     return ending.give_up(host, pending, "servers limited", now,
                           _retry_after_s(host, pending, now))
@@ -90,10 +93,10 @@
 
 def _retry_after_s(host, pending, now):
     """Return the retry delay for servers that take no requests now, s."""
-    free_s = server_choice.free_in(host, pending, (), now)
+    free_s = server_choice.available_in_s(host, pending, (), now)
     if not free_s:
         return ending.BUSY_RETRY_S
-    retry_s = admission.retry_s(host, pending, now)
+    retry_s = admission.retry_delay_s(host, pending, now)
     return max(retry_s, free_s) if free_s < math.inf else retry_s
 
 
@@ -105,8 +108,8 @@
     holds them. On a day of high load with 70 engines this served requests
     with 0.37 of the total value, against 0.32 when all waited first.
     """
-    if (now < admission.hold_until(pending)
-            and not prefix_cache.follow(host, pending)):
+    if (now < admission.queue_until(pending)
+            and not prefix_cache.can_fetch(host, pending)):
         return None
     return _server_with_room(host, pending, now)
 
@@ -117,36 +120,36 @@
     Reading shared parts again costs less than a refusal.
     """
     def has_room(state):
-        return (admission.may_spill(host, pending, state)
+        return (admission.may_prefill_again(host, pending, state)
                 and admission.admits(host, pending, state, now))
 
-    return server_choice.choose_with_room(host, pending, has_room, now)
+    return server_choice.choose_with_capacity(host, pending, has_room, now)
 
 
 def _shed(host, pending, target, now):
     """Refuse a request that no server has room for."""
-    line = ending.note("shed", pending.request, server=target.server.sid,
-                       route=pending.route.name, rank=pending.rank,
-                       priority=pending.priority,
-                       busy=round(target.busy, 2),
-                       running=server_load.running(target, now),
-                       ahead=server_load.ahead_tokens(target, now),
-                       reading=server_load.reading(target, now),
-                       back=admission.came_back(pending))
+    line = ending.log_line("shed", pending.request, server=target.server.sid,
+                           route=pending.route.name, rank=pending.rank,
+                           priority=pending.priority,
+                           busy=round(target.busy, 2),
+                           running=server_load.running_requests(target, now),
+                           ahead=server_load.queued_tokens(target, now),
+                           reading=server_load.queued_prompts(target, now),
+                           back=admission.is_callers_retry(pending))
     ending.finish(host, pending)
-    retry_s = admission.retry_s(host, pending, now)
+    retry_s = admission.retry_delay_s(host, pending, now)
     return [ending.refuse(pending.key, pending.ends_at - now, "overload",
                           retry_s), line]
 
 
 def _start_attempt(host, pending, target, now):
-    attempt = states.Try(len(pending.tries), target.server.sid,
-                         target.server.incarnation, now)
+    attempt = states.Attempt(len(pending.tries), target.server.sid,
+                             target.server.incarnation, now)
     source = None
     if pending.request.prompt is not None:
         source = _record_prompt(host, pending, target, attempt, now)
     host.held.discard(pending.key)
-    ratelimits.sent(host, target.server, now)
+    ratelimits.consume_token(host, target.server, now)
     class_minimums.note_sent(host, pending, now)
     pending.tries.append(attempt)
     pending.sent += 1
@@ -156,11 +159,12 @@
     server_load.note_work(host, target)
     target.mine[pending.key, attempt.turn] = attempt.fresh_tokens
     if pending.route.kind is model.Kind.STREAM:
-        prefill_pauses.note_sent(target, pending.route)
-        prefill_pauses.heard(target, server_load.ahead_s(target, now), now)
+        prefill_pauses.note_stream_sent(target, pending.route)
+        prefill_pauses.note_prefill(
+            target, server_load.queued_prefill_s(target, now), now)
     ending.mark_load_changed(host, pending, target)
     if pending.sent > 1:
-        retry_budget.repeated(host, pending.service, now)
+        retry_budget.note_retry(host, pending.service, now)
     return attempt, source
 
 
@@ -170,18 +174,21 @@
     Returns the server that it is to fetch from, or None.
     """
     prompt = pending.request.prompt
-    source = prefix_cache.source(host, target, pending, server_choice.holders(
-        host, pending, now), now)
-    held = prefix_cache.held(target, prompt)
-    attempt.fresh_tokens = prefix_cache.to_read(host, target, pending)
-    attempt.fetched_tokens = prefix_cache.fetchable(host, pending, held)
+    source = prefix_cache.fetch_source(host, target, pending,
+                                       server_choice.fetch_sources(
+                                           host, pending, now), now)
+    held = prefix_cache.cached_tokens(target, prompt)
+    attempt.fresh_tokens = prefix_cache.prefill_tokens(host, target, pending)
+    attempt.fetched_tokens = prefix_cache.fetchable_tokens(host, pending, held)
     attempt.reread_tokens = max(
         0, pending.elsewhere - held - attempt.fetched_tokens)
     attempt.memory = prompt.tokens + prompt.output
     target.memory += attempt.memory
-    engine = prefix_cache.engine_of(host, pending.service)
+    engine = prefix_cache.engine_config(host, pending.service)
     if engine is not None:
-        read_at = now + server_load.ahead_s(target, now) + server_load.read_s(
+        read_at = now + server_load.queued_prefill_s(
+            target, now) + server_load.prefill_s(
             target, attempt.fresh_tokens)
-        prefix_cache.place(host, target, prompt, engine.memory, now, read_at)
+        prefix_cache.note_cached(host, target, prompt, engine.memory, now,
+                                 read_at)
     return source
--- a/crocuskeel/core/entry/server_choice.py
+++ b/crocuskeel/core/entry/server_choice.py
@@ -15,8 +15,9 @@
 from crocuskeel.core.entry import ratelimits
 from crocuskeel.core.entry import server_load
 
-__all__ = ["choose", "choose_with_room", "free_in", "healthy", "holders",
-           "is_free"]
+__all__ = ["choose", "choose_with_capacity", "available_in_s", "healthy",
+           "fetch_sources",
+           "is_available"]
 
 # Share of the connections that a server accepts which all hosts together
 # may use: a host learns of the others' connections some milliseconds late,
@@ -40,7 +41,7 @@
     return None
 
 
-def choose_with_room(host, pending, has_capacity, now):
+def choose_with_capacity(host, pending, has_capacity, now):
     """Return the best of the servers with capacity, or None.
 
     ``has_capacity(state)`` tells which have any. Suspect servers are left
@@ -57,7 +58,7 @@
             if _is_eligible(state, 2, (), now)]
 
 
-def holders(host, pending, now):
+def fetch_sources(host, pending, now):
     """Return the servers that other engines may fetch prompt parts from.
 
     Includes rate-limited servers and those in back-off: a fetch between
@@ -67,23 +68,23 @@
             if _is_eligible(state, 2, (), now)]
 
 
-def free_in(host, pending, exclude, now):
+def available_in_s(host, pending, exclude, now):
     """Return the seconds until some server accepts a request again.
 
     None if all usable servers are in ``exclude``.
     """
-    return min((_available_in(host, state, now)
+    return min((_server_available_in_s(host, state, now)
                 for state in _usable(host, pending, now)
                 if state.server.sid not in exclude), default=None)
 
 
-def is_free(host, state, now):
+def is_available(host, state, now):
     """Say whether a server's rate limit and back-off allow a request now."""
-    return _available_in(host, state, now) <= 0
+    return _server_available_in_s(host, state, now) <= 0
 
 
-def _available_in(host, state, now):
-    return max(ratelimits.free_in(host, state.server, now),
+def _server_available_in_s(host, state, now):
+    return max(ratelimits.available_in_s(host, state.server, now),
                backoff.remaining_s(host, state.server, now))
 
 
@@ -96,7 +97,7 @@
     if not host.rate_limits and not host.rests:
         return usable
     preceded = _has_more_urgent(host, pending)
-    return [state for state in usable if is_free(host, state, now)
+    return [state for state in usable if is_available(host, state, now)
             and not (preceded
                      and ratelimits.is_limited(host, state.server))]
 
@@ -111,9 +112,9 @@
 def _usable(host, pending, now):
     limit = _connections(host, pending.service)
     return [state for state in pending.candidates
-            if not (draining.is_leaving(host, state.server)
+            if not (draining.is_draining(host, state.server)
                     or state.misdirects)
-            and server_load.running(state, now) < limit]
+            and server_load.running_requests(state, now) < limit]
 
 
 def _connections(host, service):
--- a/crocuskeel/core/entry/server_load.py
+++ b/crocuskeel/core/entry/server_load.py
@@ -6,9 +6,10 @@
 
 from crocuskeel.core.entry import prefix_cache
 
-__all__ = ["HEARD_S", "ahead_s", "ahead_tokens", "is_silent",
-           "note_load", "note_work", "read_s", "reading", "reserved_memory",
-           "running", "sample", "usable_slots"]
+__all__ = ["REPORT_HEARD_S", "queued_prefill_s", "queued_tokens", "is_silent",
+           "note_load", "note_work", "prefill_s", "queued_prompts",
+           "reserved_memory",
+           "running_requests", "sample_prefill", "usable_slots"]
 
 # A server with work is silent if it sent nothing for this long on top of the
 # prefill time of its prompts, s. Events come every 30 to 200 ms.
@@ -21,7 +22,7 @@
 # Below this the mean of an idle engine is set to zero, after some 7 s.
 MIN_BUSY = 0.01
 # Peers are told for this long that something was heard of a server, s.
-HEARD_S = 1.0
+REPORT_HEARD_S = 1.0
 
 
 def is_silent(state, now):
@@ -33,27 +34,27 @@
     if not state.mine:
         return False
     limit = SILENT_S + PREFILL_SLOWDOWN * (
-        ahead_tokens(state, now) / prefix_cache.READ_TOKENS_S)
+        queued_tokens(state, now) / prefix_cache.PREFILL_TOKENS_PER_S)
     return now - max(state.heard_at, state.asked_at) > limit
 
 
-def ahead_tokens(state, now):
+def queued_tokens(state, now):
     """Return the tokens of all hosts that are queued for prefill."""
     state.others.expire(now)
     return state.others.tokens + sum(state.mine.values())
 
 
-def ahead_s(state, now):
+def queued_prefill_s(state, now):
     """Return how long an engine takes to prefill what is queued there."""
-    return read_s(state, ahead_tokens(state, now))
+    return prefill_s(state, queued_tokens(state, now))
 
 
-def read_s(state, tokens):
+def prefill_s(state, tokens):
     """Return how long an engine takes to prefill so many tokens."""
-    return tokens / prefix_cache.READ_TOKENS_S * state.slowness
+    return tokens / prefix_cache.PREFILL_TOKENS_PER_S * state.slowness
 
 
-def reading(state, now):
+def queued_prompts(state, now):
     """Return the number of prompts that an engine has yet to prefill."""
     state.others.expire(now)
     return state.others.reading + sum(
@@ -65,7 +66,7 @@
     host.working[state.server.sid] = None
 
 
-def sample(host, now):
+def sample_prefill(host, now):
     """Sample which engines have prompts to prefill, once a tick.
 
     Only engines with work are sampled: the cost of an idle host must not
@@ -73,7 +74,7 @@
     """
     for sid in list(host.working):
         state = host.servers[sid]
-        busy = ahead_tokens(state, now) > 0
+        busy = queued_tokens(state, now) > 0
         state.busy += BUSY_WEIGHT * (busy - state.busy)
         if _is_idle(state, now):
             state.busy = 0.0
@@ -83,10 +84,10 @@
 def _is_idle(state, now):
     return (not state.mine and not state.others.rows
             and state.busy < MIN_BUSY
-            and state.heard_at < now - HEARD_S)
+            and state.heard_at < now - REPORT_HEARD_S)
 
 
-def running(state, now):
+def running_requests(state, now):
     """Return the number of requests of all hosts at a server."""
     state.others.expire(now)
     return len(state.mine) + state.others.running
--- a/crocuskeel/core/entry/serving.py
+++ b/crocuskeel/core/entry/serving.py
@@ -16,12 +16,13 @@
 
 from crocuskeel.core.entry import retry_budget
 
-__all__ = ["CARRIERS_FEW", "NOBODY", "Wanted", "advertised", "merge",
+__all__ = ["BASE_SERVING_HOSTS", "NO_DEMAND", "ServingDemand", "advertised",
+           "merge",
            "note_own_demand", "serving_host_limit"]
 
 # This many hosts may serve callers at any load: each sends to 12 others at a
 # time, so that all of them know of a change after two datagrams.
-CARRIERS_FEW = 24
+BASE_SERVING_HOSTS = 24
 # Target rate of one serving host, requests a second: each request takes 5 to
 # 8 ms of CPU time, so that a burst of five times the rate still fits a core.
 TARGET_RATE = 20.0
@@ -38,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class ServingDemand:
     """The number of serving hosts that a host found necessary, and when.
 
     In a datagram ``at`` is the age, s; in a host's state it is the time.
@@ -48,17 +49,17 @@
     at: float
 
 
-NOBODY = Wanted(0, -math.inf)
+NO_DEMAND = ServingDemand(0, -math.inf)
 
 
 def serving_host_limit(host, now):
     """Return the maximum number of serving hosts."""
-    return max(CARRIERS_FEW, _current(host, now).carriers)
+    return max(BASE_SERVING_HOSTS, _current(host, now).carriers)
 
 
 def _current(host, now):
     if now > host.wanted.at + DEMAND_TTL_S:
-        return NOBODY
+        return NO_DEMAND
     return host.wanted
 
 
@@ -67,15 +68,16 @@
 
     ``serving`` is the current number of serving hosts, including this one.
     """
-    total = retry_budget.rate(host, RATE_WINDOW_S, now) * serving
+    total = retry_budget.request_rate(host, RATE_WINDOW_S, now) * serving
     _replace_if_larger(
-        host, Wanted(math.ceil(total / TARGET_RATE), now), now)
+        host, ServingDemand(math.ceil(total / TARGET_RATE), now), now)
 
 
 def merge(host, wanted, now):
     """Merge the number that another host sent."""
     _replace_if_larger(
-        host, Wanted(wanted.carriers, now - wanted.at - HOP_DELAY_S), now)
+        host, ServingDemand(wanted.carriers, now - wanted.at - HOP_DELAY_S),
+        now)
 
 
 def _replace_if_larger(host, wanted, now):
@@ -87,6 +89,6 @@
 def advertised(host, now):
     """Return the number that this host sends to others."""
     known = _current(host, now)
-    if known is NOBODY:
-        return Wanted(0, 0.0)
-    return Wanted(known.carriers, now - known.at)
+    if known is NO_DEMAND:
+        return ServingDemand(0, 0.0)
+    return ServingDemand(known.carriers, now - known.at)
--- a/crocuskeel/core/entry/state.py
+++ b/crocuskeel/core/entry/state.py
@@ -12,7 +12,8 @@
 from crocuskeel.core.entry import routing
 from crocuskeel.core.entry import serving
 
-__all__ = ["Host", "Pending", "PeerState", "ServerState", "Settings", "Try",
+__all__ = ["Host", "RequestState", "PeerState", "ServerState", "Settings",
+           "Attempt",
            "new_host", "new_server"]
 
 
@@ -42,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Try:
+class Attempt:
     """One attempt to have a server run a request.
 
     ``fresh_tokens`` is how many tokens of the prompt the server had to
@@ -67,7 +68,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pending:
+class RequestState:
     """A request from its arrival to its final response."""
 
     key: int
@@ -119,7 +120,8 @@
     # Position on the hash ring that all hosts share, in [0, 1).
     point: float = 0.0
     mine: dict = dataclasses.field(default_factory=dict)
-    others: loads.Loads = dataclasses.field(default_factory=loads.Loads)
+    others: loads.PeerLoads = dataclasses.field(
+        default_factory=loads.PeerLoads)
     # Number of requests there according to its own latest report.
     load: int = 0
     load_at: float = 0.0
@@ -196,12 +198,12 @@
     # By service: the pauses of streams observed at its engines.
     paces: dict = dataclasses.field(default_factory=dict)
     peers: dict = dataclasses.field(default_factory=dict)
-    # Hosts that serve callers (carriers); the list is recomputed at
+    # Hosts that serve callers; the list is recomputed at
     # ``carriers_until``.
     carriers: list = dataclasses.field(default_factory=list)
     carriers_until: float = 0.0
-    # How many carriers are needed, as reported by the carriers.
-    wanted: serving.Wanted = serving.NOBODY
+    # How many serving hosts are needed, as these report it.
+    wanted: serving.ServingDemand = serving.NO_DEMAND
     # Time as of which the newest information from a store reader is valid.
     told_at: float = -math.inf
     # When the list of hosts was read.
--- a/crocuskeel/core/entry/usage.py
+++ b/crocuskeel/core/entry/usage.py
@@ -53,12 +53,12 @@
         if send_all or duties.counted_at[window] > now - RESEND_S)
     if not rows:
         return []
-    return [effects.Tell(peer, model.Usage(
+    return [effects.SendToPeer(peer, model.Usage(
         host.me.name, host.me.boot, rows))]
 
 
 def _recipient(host, now):
-    """Return the holder or, on the holder itself, the next carrier.
+    """Return the holder or, on the holder itself, the next serving host.
 
     The counts that a holder took since its last renewal, up to a second
     ago, would be lost if it is killed: 4 % of a window of 5 s where six
@@ -68,7 +68,7 @@
     if leader != host.me.name:
         holder = host.peers.get(leader)
         return holder.peer if holder is not None else None
-    others = [peer for peer in fleet.carriers(host, now)
+    others = [peer for peer in fleet.serving_hosts(host, now)
               if peer.name != leader]
     return others[0] if others else None
 
--- a/crocuskeel/gateway/calls.py
+++ b/crocuskeel/gateway/calls.py
@@ -58,7 +58,7 @@
 
     def abort(self, why):
         """Fail the call, unless it has ended."""
-        self.connection.fail(connections.Failure.BROKEN, why)
+        self.connection.fail(connections.Failure.DISCONNECTED, why)
 
 
 def call(reactor, address, method, target, timeout_s, body=b"",
--- a/crocuskeel/gateway/connections.py
+++ b/crocuskeel/gateway/connections.py
@@ -23,13 +23,13 @@
     """Why an answer is incomplete."""
 
     # No connection was established; nothing was sent.
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     # The same; the host actively refused the connection.
     REFUSED = "refused"
     # The connection ended before the answer was complete.
-    BROKEN = "broken"
+    DISCONNECTED = "broken"
     # The answer is not valid HTTP.
-    GARBLED = "garbled"
+    MALFORMED = "garbled"
 
 
 def next_event(conn):
@@ -72,7 +72,8 @@
             sockets.reset_on_close(self.transport)
             if self.is_expired():
                 # The process was paused after the call was requested.
-                self.fail(Failure.UNREACHED, "deadline passed before sending")
+                self.fail(Failure.UNREACHABLE,
+                          "deadline passed before sending")
                 return
         sockets.write(self.transport,
                       encode(self.h11, *self.handler.request()))
@@ -90,14 +91,14 @@
         if reason.check(error.ConnectionDone) and self.has_head:
             self.h11.receive_data(b"")
             self._process_events()
-        self.fail(Failure.BROKEN, reason.type.__name__)
+        self.fail(Failure.DISCONNECTED, reason.type.__name__)
 
     def _process_events(self):
         while not self.over:
             try:
                 event = next_event(self.h11)
             except h11.RemoteProtocolError as exc:
-                self.fail(Failure.GARBLED, str(exc))
+                self.fail(Failure.MALFORMED, str(exc))
                 return
             if event is None:
                 return
@@ -114,7 +115,7 @@
             case h11.EndOfMessage():
                 self.handler.end_received()
             case h11.ConnectionClosed():
-                self.fail(Failure.BROKEN, "connection closed")
+                self.fail(Failure.DISCONNECTED, "connection closed")
 
     def fail(self, failure, detail):
         """Close and report a failure, unless already closed."""
@@ -142,7 +143,7 @@
         return self.connection
 
     def clientConnectionFailed(self, connector, reason):
-        failure = Failure.UNREACHED
+        failure = Failure.UNREACHABLE
         if reason.check(error.ConnectionRefusedError):
             failure = Failure.REFUSED
         self.connection.fail(failure, reason.type.__name__)
--- a/crocuskeel/gateway/gossip.py
+++ b/crocuskeel/gateway/gossip.py
@@ -26,11 +26,11 @@
 
 def encode(event):
     """Return the datagram of an event for another host."""
-    if isinstance(event, events.LoadHeard):
+    if isinstance(event, events.PeerLoadsReceived):
         return msgpack.packb((event.name, event.loads, event.refused))
     if isinstance(event, duties.Usage):
         return msgpack.packb((USAGE_MARK, event.name, event.boot, event.rows))
-    if isinstance(event, events.HintsHeard):
+    if isinstance(event, events.PeerHintsReceived):
         return msgpack.packb((HINTS_MARK, event.name, event.rate_limits,
                               event.servers_leaving))
     return msgpack.packb((
@@ -45,9 +45,9 @@
 
     That version has no duties, and so no counts, and no rate limits.
     """
-    if isinstance(event, duties.Usage | events.HintsHeard):
+    if isinstance(event, duties.Usage | events.PeerHintsReceived):
         return None
-    if isinstance(event, events.Heard):
+    if isinstance(event, events.PeerStateReceived):
         return msgpack.packb(_previous_fields(event))
     return encode(event)
 
@@ -84,11 +84,11 @@
             return duties.Usage(*rest)
         if first == HINTS_MARK:
             name, limits, leaving = rest
-            return events.HintsHeard(
+            return events.PeerHintsReceived(
                 name, _rate_limits(limits), _servers_leaving(leaving))
         if isinstance(first, str):
             loads, refused = rest
-            return events.LoadHeard(first, loads, refused)
+            return events.PeerLoadsReceived(first, loads, refused)
         return _decode_state(first, rest)
     except (TypeError, ValueError) as exc:
         raise ValueError(f"invalid datagram: {exc}") from exc
@@ -99,15 +99,17 @@
     sender = model.Peer(
         name, boot, domain, front, control, gossip, capacity)
     if len(rest) == PREVIOUS_FIELDS:
-        return events.Heard(sender, *rest)
+        return events.PeerStateReceived(sender, *rest)
     *previous, wall, leader, wanted = rest[:STATE_FIELDS]
     if len(previous) != PREVIOUS_FIELDS:
         raise ValueError(f"state has {len(rest)} fields")
     # A state of the version without rate limits ends here.
     limits, leaving = (*rest[STATE_FIELDS:], (), ())[:2]
-    return events.Heard(sender, *previous, wall, duties.Leader(*leader),
-                        serving.Wanted(*wanted), _rate_limits(limits),
-                        _servers_leaving(leaving))
+    return events.PeerStateReceived(sender, *previous, wall,
+                                    duties.Leader(*leader),
+                                    serving.ServingDemand(*wanted),
+                                    _rate_limits(limits),
+                                    _servers_leaving(leaving))
 
 
 def _rate_limits(rows):
@@ -149,7 +151,7 @@
         except ValueError as exc:
             self.gateway.log("datagram_refused", {"why": str(exc)})
             return
-        if isinstance(event, events.Heard):
+        if isinstance(event, events.PeerStateReceived):
             self._note_version(event.peer.name,
                                len(fields) == 1 + PREVIOUS_FIELDS)
         self.gateway.feed(event)
--- a/crocuskeel/gateway/header_codec.py
+++ b/crocuskeel/gateway/header_codec.py
@@ -18,7 +18,7 @@
     # The answer to an earlier request on this connection.
     WRONG_REQUEST = "foreign"
     # A working server sends no such answer.
-    GARBLED = "garbled"
+    MALFORMED = "garbled"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/crocuskeel/gateway/loop.py
+++ b/crocuskeel/gateway/loop.py
@@ -70,11 +70,11 @@
             _answer(exchange, 400, str(exc), None)
             return
         self.exchanges[exchange.key] = exchange
-        self.feed(events.Arrived(exchange.key, exchange.request))
+        self.feed(events.RequestReceived(exchange.key, exchange.request))
 
     def left(self, exchange):
         """Handle a caller that disconnected before its answer ended."""
-        self.feed(events.CallerLeft(exchange.key))
+        self.feed(events.CallerDisconnected(exchange.key))
         self.forget(exchange)
 
     def refused(self, status, why):
@@ -92,7 +92,7 @@
 
     def addresses(self):
         """Return the addresses that callers may connect to."""
-        return fleet.addresses(self.host, self.reactor.seconds())
+        return fleet.caller_addresses(self.host, self.reactor.seconds())
 
     def is_ready(self):
         """Return whether this host accepts callers."""
@@ -102,7 +102,7 @@
 DEFAULT_LIMITS = entry.model.Limits(16384, 4 << 20, 3.0, 15.0)
 
 
-def _send(gateway, effect):
+def _send_request(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
         exchange.attempts[effect.turn] = servers.start_attempt(
@@ -115,7 +115,7 @@
         exchange.attempts[effect.turn].cancel()
 
 
-def _pass_on(gateway, effect):
+def _forward_response(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
@@ -140,14 +140,14 @@
                     json.dumps({"error": reason}).encode())
 
 
-def _cut(gateway, effect):
+def _abort_stream(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
         exchange.cut()
         gateway.forget(exchange)
 
 
-def _timer(gateway, effect):
+def _set_request_timer(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
@@ -158,21 +158,21 @@
         delay, gateway.feed, events.TimerFired(effect.key))
 
 
-def _tell(gateway, effect):
+def _send_datagram(gateway, effect):
     if gateway.gossip is not None:
         gateway.gossip.tell(effect)
 
 
-def _tell_loads(gateway, effect):
+def _schedule_loads(gateway, effect):
     delay = max(0.0, effect.at - gateway.reactor.seconds())
     gateway.reactor.callLater(delay, gateway.feed, events.LoadsDue())
 
 
-def _fetch(gateway, effect):
+def _fetch_snapshot(gateway, effect):
     gateway.fetch(effect.peer)
 
 
-def _retire(gateway, effect):
+def _stop_accepting(gateway, effect):
     gateway.on_retire()
 
 
@@ -184,23 +184,23 @@
     gateway.duty_executor(effect)
 
 
-def _note(gateway, effect):
+def _log_event(gateway, effect):
     gateway.log(effect.event, effect.fields)
 
 
 EFFECT_HANDLERS = {
-    effects.Send: _send,
+    effects.SendRequest: _send_request,
     effects.Cancel: _cancel,
-    effects.PassOn: _pass_on,
+    effects.ForwardResponse: _forward_response,
     effects.Answer: _answer_effect,
-    effects.Cut: _cut,
-    effects.Timer: _timer,
-    effects.Tell: _tell,
-    effects.TellLoads: _tell_loads,
-    effects.FetchCatalog: _fetch,
-    effects.Retire: _retire,
+    effects.AbortStream: _abort_stream,
+    effects.SetRequestTimer: _set_request_timer,
+    effects.SendToPeer: _send_datagram,
+    effects.ScheduleLoadsDue: _schedule_loads,
+    effects.FetchCatalog: _fetch_snapshot,
+    effects.CloseListener: _stop_accepting,
     effects.Exit: _exit,
-    effects.Note: _note,
+    effects.LogEvent: _log_event,
     effects.SendDuty: _execute_duty,
     lease_effects.ReadLease: _execute_duty,
     lease_effects.WriteLease: _execute_duty,
--- a/crocuskeel/gateway/metrics.py
+++ b/crocuskeel/gateway/metrics.py
@@ -93,7 +93,7 @@
             "Engines' worth of work that the holder sees, at the most.",
             labels=["service"])
         for service, known in duties.demands.items():
-            needed.add_metric([service], demand.need(known))
+            needed.add_metric([service], demand.peak_need(known))
         yield needed
 
 
@@ -147,7 +147,7 @@
                     lambda: len(host.servers))
         self._gauge("crocuskeel_rate_limited_servers",
                     "Backend servers that name a rate in their answers.",
-                    lambda: ratelimits.limited(host))
+                    lambda: ratelimits.count_limited(host))
         self._gauge("crocuskeel_catalog_revision",
                     "Revision of the configuration in force.",
                     lambda: host.catalog.revision if host.catalog else 0)
--- a/crocuskeel/gateway/servers.py
+++ b/crocuskeel/gateway/servers.py
@@ -18,10 +18,10 @@
 AUTHENTIC_VERDICTS = (header_codec.Verdict.ANSWER,
                       header_codec.Verdict.NOT_RUN)
 OUTCOMES = {
-    connections.Failure.UNREACHED: model.Outcome.UNREACHED,
+    connections.Failure.UNREACHABLE: model.Outcome.UNREACHABLE,
     connections.Failure.REFUSED: model.Outcome.REFUSED,
-    connections.Failure.BROKEN: model.Outcome.BROKEN,
-    connections.Failure.GARBLED: model.Outcome.GARBLED,
+    connections.Failure.DISCONNECTED: model.Outcome.DISCONNECTED,
+    connections.Failure.MALFORMED: model.Outcome.MALFORMED,
 }
 
 
@@ -62,14 +62,14 @@
     def failed(self, failure, detail):
         """Report a failed connection."""
         self._report(OUTCOMES[failure], detail,
-                     torn=failure is connections.Failure.BROKEN)
+                     torn=failure is connections.Failure.DISCONNECTED)
 
     def head_received(self, status, headers):
         """Classify an answer by its head."""
         head = header_codec.Head(headers, status=status)
         verdict = self.gateway.codec.classify(self.exchange.request, head)
         if verdict in AUTHENTIC_VERDICTS:
-            self.gateway.feed(events.HintsSeen(
+            self.gateway.feed(events.HintsReceived(
                 self.exchange.key, self.turn,
                 self.gateway.codec.hints(head)))
         match verdict:
@@ -78,8 +78,8 @@
             case header_codec.Verdict.MISDIRECTED:
                 self._fail(model.Outcome.MISDIRECTED, str(head.status))
             case (header_codec.Verdict.WRONG_REQUEST
-                  | header_codec.Verdict.GARBLED):
-                self._fail(model.Outcome.GARBLED, verdict.value)
+                  | header_codec.Verdict.MALFORMED):
+                self._fail(model.Outcome.MALFORMED, verdict.value)
             case header_codec.Verdict.ANSWER:
                 self.head = head
                 if self.send.stream and head.status == 200:
@@ -93,7 +93,7 @@
         try:
             found = self.splitter.feed(data)
         except ValueError as exc:
-            self._fail(model.Outcome.GARBLED, str(exc))
+            self._fail(model.Outcome.MALFORMED, str(exc))
             return
         if found and self._ids_increase(found):
             self._handle_events(found)
@@ -101,7 +101,7 @@
     def _collect_body(self, data):
         self.size += len(data)
         if self.size > MAX_ANSWER_BYTES:
-            self._fail(model.Outcome.GARBLED, "answer too large")
+            self._fail(model.Outcome.MALFORMED, "answer too large")
             return
         self.body.append(data)
 
@@ -112,7 +112,7 @@
             if number is None:
                 continue
             if self.last_event is not None and number <= self.last_event:
-                self._fail(model.Outcome.GARBLED, "event out of order")
+                self._fail(model.Outcome.MALFORMED, "event out of order")
                 return False
             self.last_event = number
         return True
@@ -121,13 +121,14 @@
         self.events += found
         if not self.opened:
             self.opened = True
-            self.gateway.feed(events.Opened(
+            self.gateway.feed(events.StreamOpened(
                 self.exchange.key, self.turn,
                 self.gateway.codec.load(self.head)))
             return
         if self.forwarding:
             self._flush()
-        self.gateway.feed(events.Progressed(self.exchange.key, self.turn))
+        self.gateway.feed(
+            events.StreamProgressed(self.exchange.key, self.turn))
 
     def _flush(self):
         data, self.events = b"".join(self.events), []
@@ -139,16 +140,16 @@
         """Process the end of the answer."""
         if self.splitter is None:
             self.connection.close()
-            self.gateway.feed(events.Answered(
+            self.gateway.feed(events.ResponseReceived(
                 self.exchange.key, self.turn, self.head.status,
                 self.gateway.codec.load(self.head),
                 self.gateway.codec.stamped(self.head)))
             return
         if self.splitter.partial or not self.opened:
-            self._fail(model.Outcome.GARBLED, "stream ended within an event")
+            self._fail(model.Outcome.MALFORMED, "stream ended within an event")
             return
         self.connection.close()
-        self.gateway.feed(events.Ended(self.exchange.key, self.turn))
+        self.gateway.feed(events.StreamEnded(self.exchange.key, self.turn))
         self.exchange.end()
         self.gateway.forget(self.exchange)
 
@@ -172,12 +173,12 @@
         self._report(outcome, detail)
 
     def _report(self, outcome, detail, torn=False):
-        self.gateway.feed(events.Broken(
+        self.gateway.feed(events.AttemptFailed(
             self.exchange.key, self.turn, outcome, detail, torn))
 
 
 def start_attempt(gateway, exchange, send):
-    """Connect to the server of a Send effect; return the Attempt."""
+    """Connect to the server of a SendRequest effect; return the Attempt."""
     attempt = Attempt(gateway, exchange, send)
     attempt.connection = connections.connect(
         gateway.reactor, send.server.address, attempt, CONNECT_TIMEOUT_S)
--- a/crocuskeel/platform/headers.py
+++ b/crocuskeel/platform/headers.py
@@ -150,9 +150,9 @@
     if rid is not None and rid.decode("latin-1") != request.rid:
         return header_codec.Verdict.WRONG_REQUEST
     if head.get(b"content-encoding") is not None:
-        return header_codec.Verdict.GARBLED
+        return header_codec.Verdict.MALFORMED
     if head.status < 300 and (rid is None or not _is_stamped(head)):
-        return header_codec.Verdict.GARBLED
+        return header_codec.Verdict.MALFORMED
     return header_codec.Verdict.ANSWER
 
 
--- a/crocuskeel/platform/objects.py
+++ b/crocuskeel/platform/objects.py
@@ -84,8 +84,8 @@
     """
     engine = row.get("Engine")
     if engine:
-        engine = model.Engine(engine["Slots"], engine["KvTokens"],
-                              _fetch_token_s(engine))
+        engine = model.EngineSpec(engine["Slots"], engine["KvTokens"],
+                                  _fetch_token_s(engine))
     return model.Service(row["Name"], row.get("MaxConns", 0),
                          engine or None, _scaling(row.get("Autoscale")))
 
--- a/crocuskeel/platform/reloading.py
+++ b/crocuskeel/platform/reloading.py
@@ -69,7 +69,7 @@
         self.store.address = new_settings.store
         if self.gateway.duty_executor is not None:
             self.gateway.duty_executor.address = new_settings.cloud
-        self.gateway.feed(events.SettingsSeen(new_settings.settings))
+        self.gateway.feed(events.SettingsRead(new_settings.settings))
 
 
 def new_reloader(reactor, path, boot, gateway, store):
--- a/crocuskeel/platform/store_watcher.py
+++ b/crocuskeel/platform/store_watcher.py
@@ -74,7 +74,7 @@
         self.kinds = []
         self.raw_config = None
         self.raw_servers = {}
-        self.changes = changelog.Log()
+        self.changes = changelog.ChangeLog()
         self.revision = 0
         self.started = False
 
@@ -125,7 +125,7 @@
                     "kind": kind.name, "reads": reading})
             if not reading:
                 kind.revision = None
-                self.gateway.feed(events.StoreLeft())
+                self.gateway.feed(events.StoreReadingStopped())
                 await task.deferLater(self.reactor, ROLE_CHECK_INTERVAL_S)
                 continue
             kind.called_at = self.reactor.seconds()
@@ -203,13 +203,13 @@
         return min(WATCH_MAX_S, host.cfg.apply_s)
 
     def _report_lost(self, why):
-        self.gateway.feed(events.StoreLost(why))
+        self.gateway.feed(events.StoreUnavailable(why))
 
     def _store_answered(self, kind):
         kind.answered_at = self.reactor.seconds()
         if self.gateway.host.store_lost_at is None:
             return
-        self.gateway.feed(events.StoreBack())
+        self.gateway.feed(events.StoreAvailable())
         # After a network partition the other watch may wait on a dead
         # connection: changes would be seen only after its timeout.
         for other in self.kinds:
@@ -244,14 +244,14 @@
         current = self.gateway.host.catalog
         if current is None or catalog.revision > current.revision:
             self.raw_config = obj
-        self.gateway.feed(events.CatalogSeen(catalog))
+        self.gateway.feed(events.CatalogRead(catalog))
 
     def _on_server_list(self, listing, lapsing=None):
         previous, self.raw_servers = self.raw_servers, {}
         servers, unreadable = self._decode_servers(listing.items)
         self.revision = listing.revision
-        changelog.note_whole(self.changes, previous, self.raw_servers,
-                             self.revision)
+        changelog.record_full_list(self.changes, previous, self.raw_servers,
+                                   self.revision)
         self.gateway.feed(events.ServersListed(
             servers, listing.revision, lapsing, unreadable))
 
@@ -277,8 +277,9 @@
             self.raw_servers.pop(sid, None)
         changed, unreadable = self._decode_servers(items)
         self.revision = revision
-        changelog.note(self.changes, [server.sid for server in changed],
-                       (*removed, *unreadable), revision)
+        changelog.record_changes(self.changes,
+                                 [server.sid for server in changed],
+                                 (*removed, *unreadable), revision)
         self.gateway.feed(events.ServersChanged(
             changed, removed, revision, unreadable, lapsing))
 
@@ -320,7 +321,7 @@
                 # The store may reject writes only.
                 self._start_watching()
                 await self._back_off(failures)
-        self.gateway.feed(events.PeersSeen(tuple(
+        self.gateway.feed(events.PeersListed(tuple(
             peer for peer in map(self._decode_peer, listing.items) if peer)))
         self._start_watching()
 
@@ -349,10 +350,10 @@
         if config["Meta"]["Rev"] <= config_revision:
             config = None
         found = {"config": config,
-                 "lapsing": registry.lapsing(
+                 "lapsing": registry.grace_periods(
                      self.gateway.host, self.reactor.seconds()),
                  "revision": self.revision}
-        changes = changelog.since(self.changes, servers_revision)
+        changes = changelog.changes_since(self.changes, servers_revision)
         if changes is None:
             return {**found, "servers": list(self.raw_servers.values())}
         return {**found, "since": servers_revision,
--- a/crocuskeel/programs/config_files.py
+++ b/crocuskeel/programs/config_files.py
@@ -2,11 +2,11 @@
 
 import dataclasses
 
-__all__ = ["BadFile", "Fault", "read_object"]
+__all__ = ["InvalidFileError", "FileError", "parse_object"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fault:
+class FileError:
     """An error in a file, with a hint on how to correct it."""
 
     id: str
@@ -17,7 +17,7 @@
         return f"{self.id}: {self.text} ({self.hint})"
 
 
-class BadFile(Exception):
+class InvalidFileError(Exception):
     """A file is invalid; ``faults`` lists every error."""
 
     def __init__(self, faults):
@@ -25,10 +25,11 @@
         self.faults = tuple(faults)
 
 
-def read_object(text, area, error=BadFile):
+def parse_object(text, area, error=InvalidFileError):
     """Parse a JSON object with comments.
 
-    Raises ``error``, a BadFile, with the error AREA.E001 or AREA.E002.
+    Raises ``error``, an InvalidFileError, with the error AREA.E001 or
+    AREA.E002.
     """
     # The library is needed only if a file is given.
     import json5
@@ -36,10 +37,10 @@
     try:
         found = json5.loads(text)
     except (ValueError, RecursionError) as exc:
-        raise error([Fault(
+        raise error([FileError(
             f"{area}.E001", f"invalid JSON with comments: {exc}",
             "check commas and brackets")]) from exc
     if not isinstance(found, dict):
-        raise error([Fault(
+        raise error([FileError(
             f"{area}.E002", "top level is not an object", "write { ... }")])
     return found
--- a/crocuskeel/programs/policy.py
+++ b/crocuskeel/programs/policy.py
@@ -6,7 +6,7 @@
 __all__ = ["InvalidPolicyError", "parse_policy"]
 
 
-class InvalidPolicyError(config_files.BadFile):
+class InvalidPolicyError(config_files.InvalidFileError):
     """The file of the capacity policy is invalid."""
 
 
@@ -25,7 +25,7 @@
 
     Missing settings keep their defaults.
     """
-    found = config_files.read_object(text, "capacity", InvalidPolicyError)
+    found = config_files.parse_object(text, "capacity", InvalidPolicyError)
     faults = [fault for name, value in found.items()
               if (fault := _check_setting(name, value)) is not None]
     if faults:
@@ -33,7 +33,7 @@
     policy = capacity.Policy(**{
         name: float(value) for name, value in found.items()})
     if policy.loss_share < policy.use_share:
-        raise InvalidPolicyError([config_files.Fault(
+        raise InvalidPolicyError([config_files.FileError(
             "capacity.E005", "loss_share is below use_share",
             "engines are used more after a loss than before it")])
     return policy
@@ -41,12 +41,12 @@
 
 def _check_setting(name, value):
     if name not in SETTING_RANGES:
-        return config_files.Fault(
+        return config_files.FileError(
             "capacity.E003", f"{name}: unknown setting",
             "one of " + ", ".join(SETTING_RANGES))
     minimum, maximum, purpose = SETTING_RANGES[name]
     if (isinstance(value, bool) or not isinstance(value, (int, float))
             or not minimum <= value <= maximum):
-        return config_files.Fault("capacity.E004", f"{name}: {value!r}",
-                                  f"{purpose}, {minimum:g} to {maximum:g}")
+        return config_files.FileError("capacity.E004", f"{name}: {value!r}",
+                                      f"{purpose}, {minimum:g} to {maximum:g}")
     return None
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -14,7 +14,7 @@
 FOLDER = pathlib.Path(__file__).parent / "deployments"
 
 
-class BadDeployment(config_files.BadFile):
+class BadDeployment(config_files.InvalidFileError):
     """A file that can't be played."""
 
 
@@ -120,10 +120,10 @@
     try:
         text = path.read_text(encoding="utf-8")
     except UnicodeDecodeError as exc:
-        raise BadDeployment([config_files.Fault(
+        raise BadDeployment([config_files.FileError(
             "emulator.E001", f"not JSON with comments: {exc}",
             "write it in UTF-8")]) from exc
-    found = config_files.read_object(text, "emulator", BadDeployment)
+    found = config_files.parse_object(text, "emulator", BadDeployment)
     return _deployment(path.stem, found)
 
 
@@ -143,7 +143,7 @@
     problems += [_unknown(each) for each in sorted(unknown)]
     problems += _wrong_words(made)
     if not made.kinds:
-        problems.append(config_files.Fault(
+        problems.append(config_files.FileError(
             "emulator.E005", "no kinds of requests",
             "name one at least under kinds"))
     if problems:
@@ -155,12 +155,13 @@
     """Return the problems with what kinds and faults are said to be."""
     rows = [(kind.kind, REQUESTS) for kind in made.kinds]
     rows += [(fault.kind, FAULTS) for fault in made.faults]
-    found = [config_files.Fault("emulator.E008", f"kind is {word!r}",
-                                f"one of {', '.join(words)}")
+    found = [config_files.FileError("emulator.E008", f"kind is {word!r}",
+                                    f"one of {', '.join(words)}")
              for word, words in rows if word not in words]
     found += [
-        config_files.Fault("emulator.E003", f"a_second is {kind.a_second!r}",
-                           "a number above zero")
+        config_files.FileError("emulator.E003",
+                               f"a_second is {kind.a_second!r}",
+                               "a number above zero")
         for kind in made.kinds if not kind.a_second]
     return found
 
@@ -168,7 +169,7 @@
 def _number(found, name, default, problems):
     value = found.get(name, default)
     if not _fits(value, type(default)) or value <= 0:
-        problems.append(config_files.Fault(
+        problems.append(config_files.FileError(
             "emulator.E003", f"{name} is {value!r}",
             f"a {type(default).__name__} above zero"))
         return default
@@ -177,7 +178,7 @@
 
 def _parts(kind, rows, problems):
     if not isinstance(rows, list):
-        problems.append(config_files.Fault(
+        problems.append(config_files.FileError(
             "emulator.E004", f"{rows!r} is no list", "write [ ... ]"))
         return ()
     return tuple(each for row in rows
@@ -188,19 +189,19 @@
     """Return a dataclass of a table's fields, or None."""
     fields = {field.name: field for field in dataclasses.fields(kind)}
     if not isinstance(row, dict):
-        problems.append(config_files.Fault(
+        problems.append(config_files.FileError(
             "emulator.E004", f"{row!r} is no object", "write { ... }"))
         return None
     wrong = [_unknown(name) for name in row if name not in fields]
     for name, field in fields.items():
         if name in row and not _fits(row[name], field.type):
-            wrong.append(config_files.Fault(
+            wrong.append(config_files.FileError(
                 "emulator.E003", f"{name} is {row[name]!r}",
                 f"a {field.type.__name__} that is not negative"))
     needed = [name for name, field in fields.items()
               if field.default is dataclasses.MISSING and name not in row]
-    wrong += [config_files.Fault("emulator.E006", f"{name} is missing",
-                                 f"each {kind.__name__} has one")
+    wrong += [config_files.FileError("emulator.E006", f"{name} is missing",
+                                     f"each {kind.__name__} has one")
               for name in needed]
     problems += wrong
     return None if wrong else kind(**row)
@@ -217,5 +218,5 @@
 
 
 def _unknown(name):
-    return config_files.Fault("emulator.E007", f"{name} is not known",
-                              "see docs/howto/emulator.md for the names")
+    return config_files.FileError("emulator.E007", f"{name} is not known",
+                                  "see docs/howto/emulator.md for the names")
--- a/emulator/hosts.py
+++ b/emulator/hosts.py
@@ -45,31 +45,32 @@
     def opened(self, run):
         """The first event was made."""
         self._tell_hints()
-        self._tell(events.Opened(self.key, self.turn, self.server.load()))
+        self._tell(
+            events.StreamOpened(self.key, self.turn, self.server.load()))
 
     def progressed(self, run):
         """One more event was made."""
-        self._tell(events.Progressed(self.key, self.turn))
+        self._tell(events.StreamProgressed(self.key, self.turn))
 
     def ended(self, run):
         """The answer is whole."""
         if run.prompt is not None:
-            self._tell(events.Ended(self.key, self.turn))
+            self._tell(events.StreamEnded(self.key, self.turn))
             return
         self._tell_hints()
-        self._tell(events.Answered(
+        self._tell(events.ResponseReceived(
             self.key, self.turn, 200, self.server.load(), True))
 
     def broken(self, run):
         """The connection ended."""
-        self._tell(events.Broken(
-            self.key, self.turn, model.Outcome.BROKEN, "reset", True))
+        self._tell(events.AttemptFailed(
+            self.key, self.turn, model.Outcome.DISCONNECTED, "reset", True))
 
     def fails(self, outcome):
         """The attempt ends without having run."""
         if outcome is model.Outcome.NOT_RUN:
             self._tell_hints()
-        self._tell(events.Broken(self.key, self.turn, outcome))
+        self._tell(events.AttemptFailed(self.key, self.turn, outcome))
 
     def _tell_hints(self):
         found = self.server.hints()
@@ -80,7 +81,7 @@
             self.server.told_leaving.setdefault(name, now)
         if found.rest_s is not None:
             self.server.rests.append((now, name, found.rest_s))
-        self._tell(events.HintsSeen(self.key, self.turn, found))
+        self._tell(events.HintsReceived(self.key, self.turn, found))
 
     def _tell(self, event):
         self.host.world.clock.after(
@@ -106,8 +107,8 @@
             repeat_slack=50.0), random.Random(self.rng.random()))
         me = _peer(self.name, self.boot)
         others = tuple(map(_peer, self.world.names))
-        for event in (events.Started(me), events.PeersSeen(others),
-                      events.CatalogSeen(self.world.catalog),
+        for event in (events.Started(me), events.PeersListed(others),
+                      events.CatalogRead(self.world.catalog),
                       events.ServersListed(self.world.listed(), 5)):
             self.feed(event)
         self.world.clock.after(self.rng.random() * TICK_S, self._tick,
@@ -129,7 +130,8 @@
         """Return the names of the hosts that callers may use."""
         if self.core is None:
             return []
-        return [address.partition(":")[0] for address in fleet.addresses(
+        return [address.partition(":")[0]
+                for address in fleet.caller_addresses(
             self.core, self.world.clock.now)]
 
     def ask(self, caller, request):
@@ -139,13 +141,13 @@
         self.keys += 1
         self.asked[self.keys] = _Asked(
             caller, request, self.world.clock.now)
-        self.feed(events.Arrived(self.keys, request))
+        self.feed(events.RequestReceived(self.keys, request))
         return self.keys
 
     def left(self, key):
         """The caller closed its connection."""
         if self.core is not None and key in self.asked:
-            self.feed(events.CallerLeft(key))
+            self.feed(events.CallerDisconnected(key))
             self.forget(key)
 
     def hear(self, boot, event):
@@ -157,7 +159,7 @@
             return
         self._pass_events(event)
         self.feed(event)
-        if isinstance(event, events.Ended) and key in self.asked:
+        if isinstance(event, events.StreamEnded) and key in self.asked:
             self.asked[key].caller.ended()
             self.forget(key)
 
@@ -168,7 +170,7 @@
 
     def _pass_events(self, event):
         """Let the caller have an event of the stream that it gets."""
-        if isinstance(event, events.Progressed):
+        if isinstance(event, events.StreamProgressed):
             asked = self.asked[event.key]
             if asked.passing == event.turn:
                 asked.caller.event()
@@ -274,12 +276,12 @@
 
 
 PERFORM = {
-    effects.Send: _send,
+    effects.SendRequest: _send,
     effects.Cancel: _cancel,
-    effects.PassOn: _pass_on,
+    effects.ForwardResponse: _pass_on,
     effects.Answer: _answer,
-    effects.Cut: _cut,
-    effects.Timer: _timer,
-    effects.Tell: _tell,
-    effects.TellLoads: _tell_loads,
+    effects.AbortStream: _cut,
+    effects.SetRequestTimer: _timer,
+    effects.SendToPeer: _tell,
+    effects.ScheduleLoadsDue: _tell_loads,
 }
--- a/emulator/mechanisms.py
+++ b/emulator/mechanisms.py
@@ -20,28 +20,29 @@
 
 ALL = (1.0, 1.0, 1.0)
 MECHANISMS = {
-    "wait bounds by rank": ((admission, "WAIT_SHARES", ALL),),
+    "wait bounds by rank": ((admission, "MAX_WAIT_SHARES", ALL),),
     "prompts before an engine by rank": (
-        (admission, "READING_MOST", (64, 64, 64)),),
-    "reading time by rank": ((admission, "BUSY_SHARES", (2.0, 2.0, 2.0)),),
-    "no spill to busy engines": ((admission, "SPILL_BUSY", 2.0),),
-    "slots by rank": ((admission, "SLOT_SHARES", ALL),),
-    "bound on memory": ((admission, "MEMORY_SHARE", math.inf),),
-    "bound on streams made late": ((admission, "LATE_MOST", math.inf),),
-    "holding for room": ((admission, "HOLD_SHARE", 0.0),),
-    "cost of reading again": ((cost, "REREAD", 1.0),),
-    "cost of running requests": ((cost, "RUNNING_S", 0.0),),
-    "cost of streams made late": ((cost, "LATE_S", 0.0),),
-    "order of engines for streams": ((cost, "ORDER_S", 0.0),),
-    "cost of fetching": ((cost, "FETCH_SHARE", 0.0),),
-    "cost of a full engine": ((cost, "FULL_S", 0.0),),
+        (admission, "MAX_PREFILLS_AHEAD", (64, 64, 64)),),
+    "reading time by rank": (
+        (admission, "MAX_PREFILL_SHARES", (2.0, 2.0, 2.0)),),
+    "no spill to busy engines": ((admission, "SPILL_MAX_PREFILL_SHARE", 2.0),),
+    "slots by rank": ((admission, "MAX_SLOT_SHARES", ALL),),
+    "bound on memory": ((admission, "MAX_MEMORY_SHARE", math.inf),),
+    "bound on streams made late": ((admission, "MAX_LATE_STREAMS", math.inf),),
+    "holding for room": ((admission, "QUEUE_TIME_SHARE", 0.0),),
+    "cost of reading again": ((cost, "REPEATED_PREFILL_FACTOR", 1.0),),
+    "cost of running requests": ((cost, "RUNNING_REQUEST_S", 0.0),),
+    "cost of streams made late": ((cost, "LATE_STREAM_S", 0.0),),
+    "order of engines for streams": ((cost, "ORDER_STEP_S", 0.0),),
+    "cost of fetching": ((cost, "FETCH_COST_SHARE", 0.0),),
+    "cost of a full engine": ((cost, "FULL_ENGINE_S", 0.0),),
     "second server for slow calls": ((retrying, "HEDGE_SHARE", 9.0),),
     "moving silent streams": (
-        (retrying, "MOVE_SHARE", 9.0), (retrying, "STALL_GAPS", 99.0)),
-    "loads told at once": ((gossip, "LOADS_GAP_S", 0.3),),
-    "floors of classes": ((class_minimums, "FLOOR_SHARE", 0.0),),
-    "few candidates": ((candidates, "LOOKED_AT_MOST", 10 ** 6),),
-    "few carriers": ((serving, "CARRIERS_FEW", 10 ** 6),),
+        (retrying, "MOVE_SHARE", 9.0), (retrying, "STALL_GAP_FACTOR", 99.0)),
+    "loads told at once": ((gossip, "LOAD_UPDATE_INTERVAL_S", 0.3),),
+    "floors of classes": ((class_minimums, "GUARANTEED_SHARE", 0.0),),
+    "few candidates": ((candidates, "MAX_CANDIDATES", 10 ** 6),),
+    "few carriers": ((serving, "BASE_SERVING_HOSTS", 10 ** 6),),
 }
 
 
--- a/emulator/run.py
+++ b/emulator/run.py
@@ -164,7 +164,7 @@
     routes = [_route(kind) for kind in deployment.kinds]
     cfg = deployment.engines
     services = {
-        ENGINES: model.Service(ENGINES, 0, model.Engine(
+        ENGINES: model.Service(ENGINES, 0, model.EngineSpec(
             cfg.slots, cfg.memory, cfg.fetch_token_us / 1e6)),
         PLAIN: model.Service(PLAIN, 0, None)}
     return model.Catalog(1, 1, {callers.HOST: routes}, services, None,
--- a/tests/duties/test_capacity.py
+++ b/tests/duties/test_capacity.py
@@ -102,14 +102,14 @@
         service_demand = demand.new_demand()
         demand.sample(service_demand, [0.5] * 10, 100.0)
         demand.sample(service_demand, [0.1] * 10, 101.0)
-        self.assertEqual(5.0, demand.need(service_demand))
-        demand.sample(service_demand, [0.1] * 10, 100.5 + demand.KEPT_S)
-        self.assertAlmostEqual(1.0, demand.need(service_demand))
+        self.assertEqual(5.0, demand.peak_need(service_demand))
+        demand.sample(service_demand, [0.1] * 10, 100.5 + demand.PEAK_KEPT_S)
+        self.assertAlmostEqual(1.0, demand.peak_need(service_demand))
 
     def test_the_need_of_saturated_engines_exceeds_their_load(self):
         service_demand = demand.new_demand()
         demand.sample(service_demand, [0.9] * 10, 100.0)
-        self.assertGreater(demand.need(service_demand), 12.0)
+        self.assertGreater(demand.peak_need(service_demand), 12.0)
 
 
 class ReplayTest(unittest.TestCase):
--- a/tests/duties/world.py
+++ b/tests/duties/world.py
@@ -99,11 +99,11 @@
                       for each in self.hosts.values())
         self.feed(host, events.Started(
             support.peer(host.name, host.boot)))
-        self.feed(host, events.PeersSeen(peers))
+        self.feed(host, events.PeersListed(peers))
         catalog = support.catalog(support.stream())
         services = {**catalog.services, "engines": dataclasses.replace(
             catalog.services["engines"], scaling=self.scaling)}
-        self.feed(host, events.CatalogSeen(
+        self.feed(host, events.CatalogRead(
             dataclasses.replace(catalog, services=services)))
         self.feed(host, events.ServersListed(self.engines, 5))
 
@@ -144,7 +144,7 @@
 
     def _carry_out(self, host, effect):
         match effect:
-            case effects.Tell():
+            case effects.SendToPeer():
                 self._tell(host, effect)
             case lease_effects.ReadLease():
                 self._read(host)
@@ -156,7 +156,7 @@
                     self.pause(host.name, self.pause_at_send_s)
                     self.pause_at_send_s = 0.0
                 self.at(DELAY_S, lambda: self._send_call(host, boot, effect))
-            case effects.Note():
+            case effects.LogEvent():
                 host.lines.append((effect.event, effect.fields))
 
     def _tell(self, host, effect):
@@ -306,7 +306,7 @@
         if host.dead or host.paused:
             return
         pending = dataclasses.replace(
-            support.pending(support.stream(), now=self.now),
+            support.request_state(support.stream(), now=self.now),
             workspace=workspace)
         usage.count_begun(host.core, pending, self.now)
         window = int(self.wall() // REPORT_S)
--- a/tests/entry/support.py
+++ b/tests/entry/support.py
@@ -36,7 +36,7 @@
     services = {
         "plain": model.Service("plain", 96, None),
         "engines": model.Service(
-            "engines", 360, model.Engine(64, 500_000))}
+            "engines", 360, model.EngineSpec(64, 500_000))}
     return model.Catalog(
         revision, revision, {HOST: ordered}, services,
         {KEY: model.Workspace("hire", None)},
@@ -70,10 +70,10 @@
                         shared + own, 200)
 
 
-def pending(route, now=NOW, **kwargs):
+def request_state(route, now=NOW, **kwargs):
     """Return the host's state of a request of the route."""
     caller_request = request(f"/{route.name}/1", **kwargs)
-    return states.Pending(
+    return states.RequestState(
         key=1, request=caller_request, route=route,
         service=route.split[0][0],
         workspace="hire", priority=route.priority, at=now,
@@ -89,7 +89,7 @@
             entry.Settings(**settings), random.Random(1))
         self.feed(events.Started(peer("me")))
         if routes:
-            self.feed(events.CatalogSeen(catalog(*routes)))
+            self.feed(events.CatalogRead(catalog(*routes)))
         if servers:
             self.feed(events.ServersListed(tuple(servers), 5))
 
@@ -100,9 +100,9 @@
 
     def arrive(self, key=1, **kwargs):
         """Feed a request; return its effects."""
-        return self.feed(events.Arrived(key, request(**kwargs)))
+        return self.feed(events.RequestReceived(key, request(**kwargs)))
 
 
-def only(effects, kind):
+def effects_of(effects, kind):
     """Return the effects of the type ``kind``."""
     return [effect for effect in effects if type(effect) is kind]
--- a/tests/entry/test_candidates.py
+++ b/tests/entry/test_candidates.py
@@ -19,7 +19,8 @@
 
 
 def _pick(driver, part="tide"):
-    pending = support.pending(ROUTE, driver.now, prompt=support.prompt(part))
+    pending = support.request_state(ROUTE, driver.now,
+                                    prompt=support.prompt(part))
     return [state.server.sid for state in candidates.pick(
         driver.host, pending)]
 
@@ -32,22 +33,22 @@
     """Servers that hashing prefers, and a random sample."""
 
     def test_small_service_is_evaluated_whole(self):
-        self.assertEqual(candidates.LOOKED_AT_MOST, len(_pick(
-            _driver(candidates.LOOKED_AT_MOST))))
+        self.assertEqual(candidates.MAX_CANDIDATES, len(_pick(
+            _driver(candidates.MAX_CANDIDATES))))
 
     def test_large_service_is_evaluated_in_part(self):
         # Evaluating 1,700 engines takes 28 ms: at 30 requests a second
         # that is most of a small host's processor time.
         picked = _pick(_driver(MANY))
         self.assertEqual(len(picked), len(set(picked)))
-        self.assertLessEqual(len(picked), candidates.LOOKED_AT_MOST)
+        self.assertLessEqual(len(picked), candidates.MAX_CANDIDATES)
         self.assertGreater(len(picked), candidates.MAX_PREFERRED)
 
     def test_request_without_parts_or_prompt(self):
         driver = _driver(MANY)
         for prompt in (None, model.Prompt((), 0, 80)):
-            pending = support.pending(ROUTE, driver.now, prompt=prompt)
-            self.assertEqual(candidates.LOOKED_AT_MOST, len(
+            pending = support.request_state(ROUTE, driver.now, prompt=prompt)
+            self.assertEqual(candidates.MAX_CANDIDATES, len(
                 candidates.pick(driver.host, pending)))
 
     def test_all_hosts_prefer_the_same_servers_for_a_part(self):
@@ -72,11 +73,11 @@
             driver.host.servers[sid].others.put(
                 "host-1", 64, 500_000, 64, driver.now)
         out = driver.arrive(path="/advice/1", prompt=support.prompt("tide"))
-        (send,) = support.only(out, effects.Send)
+        (send,) = support.effects_of(out, effects.SendRequest)
         self.assertNotIn(send.server.sid, preferred)
 
     def test_added_servers_become_candidates(self):
-        driver = _driver(candidates.LOOKED_AT_MOST)
+        driver = _driver(candidates.MAX_CANDIDATES)
         _pick(driver)
         servers = tuple(support.server(f"n{number}", "engines")
                         for number in range(MANY))
@@ -93,7 +94,7 @@
         # second, and reported them to twelve peers.
         driver = _driver(MANY)
         self.assertEqual({}, driver.host.working)
-        driver.feed(events.LoadHeard(
+        driver.feed(events.PeerLoadsReceived(
             "host-1", (("e7", 1, 9_000, 1, 0, (), 9_000),)))
         driver.feed(events.Ticked(), 0.3)
         self.assertEqual(["e7"], list(driver.host.working))
@@ -105,7 +106,7 @@
 
     def test_server_removed_with_work_is_forgotten(self):
         driver = _driver(3)
-        driver.feed(events.LoadHeard(
+        driver.feed(events.PeerLoadsReceived(
             "host-1", (("e1", 1, 9_000, 1, 0, (), 9_000),)))
         driver.feed(events.ServersChanged((), ("e1",), 6))
         driver.feed(events.Ticked(), 0.3)
--- a/tests/entry/test_changelog.py
+++ b/tests/entry/test_changelog.py
@@ -19,14 +19,14 @@
 
     def setUp(self):
         self.rng = random.Random(3)
-        self.log = changelog.Log()
+        self.log = changelog.ChangeLog()
         self.current = {}
         # The list at each revision.
         self.lists = {}
 
     def _begin(self, servers, revision):
         self.current = {f"s{number}": 0 for number in range(servers)}
-        changelog.note_whole(self.log, {}, self.current, revision)
+        changelog.record_full_list(self.log, {}, self.current, revision)
         self.lists[revision] = dict(self.current)
 
     def _change(self, revision):
@@ -48,36 +48,37 @@
             former = self._change(revision)
             if self.rng.random() < 0.1:
                 # Changes are unavailable: the full list is read again.
-                changelog.note_whole(
+                changelog.record_full_list(
                     self.log, former, self.current, revision)
             else:
-                changelog.note(
+                changelog.record_changes(
                     self.log,
                     [sid for sid in self.current
                      if self.current[sid] == revision],
                     [sid for sid in former if sid not in self.current],
                     revision)
             since = self.rng.randrange(10, revision + 1)
-            changes = changelog.since(self.log, since)
+            changes = changelog.changes_since(self.log, since)
             self.assertEqual(self.current, _apply(
                 self.lists[since], self.current, changes))
 
     def test_no_changes_are_known_for_a_revision_before_the_log(self):
-        self.assertIsNone(changelog.since(self.log, 0))
+        self.assertIsNone(changelog.changes_since(self.log, 0))
         self._begin(3, 10)
-        self.assertIsNone(changelog.since(self.log, 9))
+        self.assertIsNone(changelog.changes_since(self.log, 9))
         self.assertEqual(((), ()), (
-            changelog.since(self.log, 10).changed,
-            changelog.since(self.log, 10).removed))
+            changelog.changes_since(self.log, 10).changed,
+            changelog.changes_since(self.log, 10).removed))
 
     def test_the_number_of_removed_servers_is_bounded(self):
         # Each start of a server may have a new id: over months a host would
         # accumulate all ids that ever existed.
         self._begin(1, 10)
         for revision in range(11, 11 + 2 * changelog.MAX_REMOVED):
-            changelog.note(self.log, (), (f"old{revision}",), revision)
+            changelog.record_changes(self.log, (), (f"old{revision}",),
+                                     revision)
         self.assertLessEqual(len(self.log.removed), changelog.MAX_REMOVED)
         self.assertLessEqual(len(self.log.changes), changelog.MAX_REMOVED)
-        self.assertIsNone(changelog.since(self.log, 10))
-        self.assertEqual(1, len(changelog.since(
+        self.assertIsNone(changelog.changes_since(self.log, 10))
+        self.assertEqual(1, len(changelog.changes_since(
             self.log, revision - 1).removed))
--- a/tests/entry/test_class_minimums.py
+++ b/tests/entry/test_class_minimums.py
@@ -27,7 +27,7 @@
 
     def _arrive(self, route, count, sent, tokens):
         for number in range(count):
-            pending = support.pending(route, prompt=support.prompt(
+            pending = support.request_state(route, prompt=support.prompt(
                 shared=tokens - 500, own=500))
             class_minimums.note_arrived(self.host, pending, support.NOW)
             if number < sent:
--- a/tests/entry/test_health.py
+++ b/tests/entry/test_health.py
@@ -15,7 +15,7 @@
 
     def setUp(self):
         self.driver = support.Driver(support.route(), servers=PAIR)
-        self.driver.feed(events.Heard(
+        self.driver.feed(events.PeerStateReceived(
             support.peer(), True, False, 10, 5, reads_store=True))
         self.host = self.driver.host
 
@@ -27,10 +27,10 @@
         # own requests: 661 requests to dead engines in four seconds.
         self.driver.arrive()
         sid = self._sid(1)
-        out = self.driver.feed(events.Broken(
+        out = self.driver.feed(events.AttemptFailed(
             1, 0, model.Outcome.REFUSED, "refused"), 0.01)
         (sent,) = [effect.event for effect
-                   in support.only(out, effects.Tell)]
+                   in support.effects_of(out, effects.SendToPeer)]
         self.assertEqual((sid,), sent.refused)
 
     def test_a_report_counts_only_without_requests_at_the_server(self):
@@ -39,7 +39,7 @@
         self.driver.arrive()
         used = self._sid(1)
         other = ({"s1", "s2"} - {used}).pop()
-        self.driver.feed(events.LoadHeard("host-1", (), ("s1", "s2")))
+        self.driver.feed(events.PeerLoadsReceived("host-1", (), ("s1", "s2")))
         self.assertEqual(0.0, self.host.servers[used].suspect_until)
         self.assertLess(self.driver.now,
                         self.host.servers[other].suspect_until)
@@ -50,7 +50,7 @@
         # hold the prompt parts that they needed.
         self.driver.arrive()
         sid = self._sid(1)
-        self.driver.feed(events.Broken(
+        self.driver.feed(events.AttemptFailed(
             1, 0, model.Outcome.MISDIRECTED, "421"), 0.01)
         self.driver.now += 30.0
         for key in range(2, 12):
--- a/tests/entry/test_loads.py
+++ b/tests/entry/test_loads.py
@@ -13,7 +13,7 @@
         # A total that deviates from its rows would show an engine as busy
         # for ever, and no host would send requests there again.
         rng = random.Random(5)
-        totals, latest, now = loads.Loads(), {}, 10.0
+        totals, latest, now = loads.PeerLoads(), {}, 10.0
         for _ in range(2000):
             now += rng.random() * 0.1
             name = f"host-{rng.randrange(12)}"
@@ -27,7 +27,7 @@
                 [totals.running, totals.tokens, totals.reading])
 
     def test_the_load_of_a_silent_host_expires(self):
-        totals = loads.Loads()
+        totals = loads.PeerLoads()
         totals.put("host-1", 4, 9000, 2, 1.0)
         totals.expire(1.9)
         self.assertEqual(4, totals.running)
--- a/tests/entry/test_pause_estimate.py
+++ b/tests/entry/test_pause_estimate.py
@@ -18,7 +18,7 @@
             ahead_s = rng.uniform(0.02, 1.0)
             # The last prefill step of a prompt is shorter than others.
             gap_s = min(ahead_s, longest_s) * rng.choice((1.0, 1.0, 0.5))
-            pause_estimate.note_gap(estimate, ahead_s, gap_s)
+            pause_estimate.add_sample(estimate, ahead_s, gap_s)
         return estimate
 
     def test_small_prefill_steps_cause_no_long_pause(self):
@@ -50,24 +50,24 @@
         # were late.
         estimate = self._learn(0.24)
         for _ in range(500):
-            pause_estimate.note_gap(estimate, 0.1, 0.09)
+            pause_estimate.add_sample(estimate, 0.1, 0.09)
         self.assertTrue(pause_estimate.may_exceed(estimate, 0.2))
 
     def test_pauses_of_the_host_itself_are_not_sampled(self):
         estimate = self._learn(0.18)
         for _ in range(50):
-            pause_estimate.note_gap(estimate, 0.3, 2.0)
+            pause_estimate.add_sample(estimate, 0.3, 2.0)
         self.assertFalse(pause_estimate.may_exceed(estimate, 0.25))
 
     def test_pauses_during_prefill_are_sampled(self):
         engine = support.server("e1", "engines")
         driver = support.Driver(support.stream(gap_s=0.4), servers=(engine,))
         driver.arrive(path="/advice/1", prompt=support.prompt())
-        driver.feed(events.Opened(1, 0, None), 0.5)
+        driver.feed(events.StreamOpened(1, 0, None), 0.5)
         state = driver.host.servers["e1"]
         state.others.put("host-1", 1, 20_000, 1, driver.now)
-        driver.feed(events.Progressed(1, 0), 0.01)
-        driver.feed(events.Progressed(1, 0), 0.2)
+        driver.feed(events.StreamProgressed(1, 0), 0.01)
+        driver.feed(events.StreamProgressed(1, 0), 0.2)
         self.assertEqual(1, driver.host.paces["engines"].samples)
         self.assertAlmostEqual(0.2, driver.host.paces["engines"].gap_s)
 
--- a/tests/entry/test_peers.py
+++ b/tests/entry/test_peers.py
@@ -21,7 +21,8 @@
     # A reader's data comes from the store; the age of others' is unknown.
     values.setdefault(
         "informed_s", 0.0 if values["reads_store"] else math.inf)
-    return events.Heard(support.peer(name, boot, capacity), **values)
+    return events.PeerStateReceived(support.peer(name, boot, capacity),
+                                    **values)
 
 
 class AddressesTest(unittest.TestCase):
@@ -31,7 +32,8 @@
         self.driver = support.Driver(support.route(), servers=PAIR)
 
     def _addresses(self):
-        return sorted(fleet.addresses(self.driver.host, self.driver.now))
+        return sorted(
+            fleet.caller_addresses(self.driver.host, self.driver.now))
 
     def test_only_ready_hosts_that_are_not_silent(self):
         # After a host's power loss, callers that are sent there wait a
@@ -87,8 +89,8 @@
         self._receive_states(20, capacity=9.0)
         replies = []
         for _ in range(50):
-            replies += support.only(self.driver.feed(
-                _state("small", capacity=0.1)), effects.Tell)
+            replies += support.effects_of(self.driver.feed(
+                _state("small", capacity=0.1)), effects.SendToPeer)
         self.assertLessEqual(len(replies), 1)
 
     def test_the_number_of_datagrams_does_not_grow_with_the_fleet(self):
@@ -99,7 +101,7 @@
                 driver.feed(_state(f"h{number:03}"))
             driver.now += 0.7
             out = driver.feed(events.Ticked())
-            counts.append(len(support.only(out, effects.Tell)))
+            counts.append(len(support.effects_of(out, effects.SendToPeer)))
         self.assertLessEqual(max(counts), 14)
 
     def test_a_few_hosts_of_many_read_the_store(self):
@@ -115,7 +117,7 @@
         # opened watches that it closed a moment later.
         driver = support.Driver()
         driver.feed(events.Started(support.peer("me", capacity=0.1)))
-        driver.feed(events.PeersSeen(tuple(
+        driver.feed(events.PeersListed(tuple(
             support.peer(f"h{number}", capacity=9.0)
             for number in range(20))))
         self.assertFalse(fleet.reads_store(driver.host, driver.now))
@@ -126,7 +128,7 @@
     def test_a_large_host_of_many_reads_the_store_at_its_start(self):
         driver = support.Driver()
         driver.feed(events.Started(support.peer("me", capacity=9.0)))
-        driver.feed(events.PeersSeen(tuple(
+        driver.feed(events.PeersListed(tuple(
             support.peer(f"h{number}", capacity=0.1)
             for number in range(20))))
         self.assertTrue(fleet.reads_store(driver.host, driver.now))
@@ -142,9 +144,9 @@
         # draining server.
         newer = _state("a", servers_revision=6)
         out = self.driver.feed(newer)
-        self.assertEqual([], support.only(out, effects.FetchCatalog))
+        self.assertEqual([], support.effects_of(out, effects.FetchCatalog))
         out = self.driver.feed(newer, 0.5)
-        self.assertEqual(1, len(support.only(out, effects.FetchCatalog)))
+        self.assertEqual(1, len(support.effects_of(out, effects.FetchCatalog)))
 
     def test_a_peer_that_is_behind_too_does_not_prevent_a_fetch(self):
         # Of two hosts that were cut off from the store, each saw no newer
@@ -155,7 +157,7 @@
         for _ in range(5):
             out += self.driver.feed(newer, 0.15)
             out += self.driver.feed(_state("b"), 0.15)
-        self.assertNotEqual([], support.only(out, effects.FetchCatalog))
+        self.assertNotEqual([], support.effects_of(out, effects.FetchCatalog))
 
     def test_server_changes_do_not_hide_a_newer_configuration(self):
         # With a dead watch of the configuration and a live one of servers,
@@ -166,12 +168,12 @@
                 _state("a", catalog_revision=11), 0.15)
             out += self.driver.feed(events.ServersChanged(
                 PAIR, (), 6 + number), 0.15)
-        self.assertNotEqual([], support.only(out, effects.FetchCatalog))
+        self.assertNotEqual([], support.effects_of(out, effects.FetchCatalog))
 
     def test_a_starting_host_fetches_at_once(self):
         driver = support.Driver()
         out = driver.feed(_state("a"))
-        self.assertEqual(1, len(support.only(out, effects.FetchCatalog)))
+        self.assertEqual(1, len(support.effects_of(out, effects.FetchCatalog)))
 
 
 class StopTest(unittest.TestCase):
@@ -183,18 +185,19 @@
         driver.feed(events.StopAsked())
         self.assertFalse(fleet.is_ready(driver.host))
         out = driver.feed(events.Ticked(), 2.0)
-        self.assertEqual([], support.only(out, effects.Retire))
+        self.assertEqual([], support.effects_of(out, effects.CloseListener))
         out = driver.feed(events.Ticked(), 1.1)
-        self.assertEqual(1, len(support.only(out, effects.Retire)))
-        self.assertEqual([], support.only(out, effects.Exit))
-        driver.feed(events.Answered(1, 0, 200, None, True))
+        self.assertEqual(1,
+                         len(support.effects_of(out, effects.CloseListener)))
+        self.assertEqual([], support.effects_of(out, effects.Exit))
+        driver.feed(events.ResponseReceived(1, 0, 200, None, True))
         out = driver.feed(events.Ticked(), 0.3)
-        self.assertEqual(1, len(support.only(out, effects.Exit)))
+        self.assertEqual(1, len(support.effects_of(out, effects.Exit)))
 
     def test_exits_before_it_would_be_killed(self):
         driver = support.Driver(support.route(), servers=PAIR)
         driver.arrive()
         driver.feed(events.StopAsked())
-        deadline_s = driver.host.cfg.grace_s - lifecycle.MARGIN_S
+        deadline_s = driver.host.cfg.grace_s - lifecycle.EXIT_MARGIN_S
         out = driver.feed(events.Ticked(), deadline_s)
-        self.assertEqual(1, len(support.only(out, effects.Exit)))
+        self.assertEqual(1, len(support.effects_of(out, effects.Exit)))
--- a/tests/entry/test_prefill_pauses.py
+++ b/tests/entry/test_prefill_pauses.py
@@ -20,10 +20,10 @@
 
 def _arrive(driver, name, key, tokens, after=0.0):
     """Return the id of the engine that gets the prompt, None if queued."""
-    out = driver.feed(events.Arrived(key, support.request(
+    out = driver.feed(events.RequestReceived(key, support.request(
         f"/{name}/1", prompt=support.prompt(f"s{key}", 0, tokens),
         deadline_s=8.0, rid=f"r{key}")), after)
-    sent = support.only(out, effects.Send)
+    sent = support.effects_of(out, effects.SendRequest)
     return sent[0].server.sid if sent else None
 
 
@@ -38,12 +38,12 @@
         chats, drafts = set(), set()
         for key in range(0, 40, 2):
             drafts.add(_arrive(driver, "draft", key, 8_000, 0.2))
-            driver.feed(events.Opened(key, 0, None), 0.05)
+            driver.feed(events.StreamOpened(key, 0, None), 0.05)
             chats.add(_arrive(driver, "chat", key + 1, 600, 0.05))
-            driver.feed(events.Opened(key + 1, 0, None), 0.03)
+            driver.feed(events.StreamOpened(key + 1, 0, None), 0.03)
             for old in (key - 12, key - 11):
                 if old in driver.host.pending:
-                    driver.feed(events.Ended(old, 0))
+                    driver.feed(events.StreamEnded(old, 0))
         # The first prompt may have arrived before any chat.
         self.assertLessEqual(len(chats & drafts), 1)
         self.assertLessEqual(len(chats), 2)
@@ -62,15 +62,15 @@
     def test_single_engine_serves_both(self):
         driver = _driver(ENGINES[:1])
         self.assertEqual("e0", _arrive(driver, "chat", 1, 600))
-        driver.feed(events.Opened(1, 0, None), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
         self.assertEqual("e0", _arrive(driver, "draft", 2, 8_000))
-        driver.feed(events.Opened(2, 0, None), 0.4)
+        driver.feed(events.StreamOpened(2, 0, None), 0.4)
         self.assertEqual("e0", _arrive(driver, "chat", 3, 600))
 
     def test_engine_without_prefill_is_safe_for_chats_again(self):
         driver = _driver()
         state = driver.host.servers["e1"]
-        prefill_pauses.heard(state, 0.4, driver.now)
+        prefill_pauses.note_prefill(state, 0.4, driver.now)
         for after_s, expected in ((0, True), (4, False)):
             self.assertEqual(expected, prefill_pauses.is_at_risk(
                 [state], pause_estimate.PauseEstimate(), CHAT,
@@ -102,8 +102,8 @@
         self._busy(driver, "e2")
         self._busy(driver, "e3")
         out = driver.feed(events.TimerFired(1))
-        self.assertEqual([], support.only(out, effects.Send))
-        self.assertEqual(1, len(support.only(out, effects.Answer)))
+        self.assertEqual([], support.effects_of(out, effects.SendRequest))
+        self.assertEqual(1, len(support.effects_of(out, effects.Answer)))
 
     def test_callers_retry_is_admitted_if_all_engines_run_chats(self):
         # All engines run chats all the time. Otherwise long prompts would
@@ -111,10 +111,10 @@
         driver = _driver()
         self._chats(driver, [f"e{n}" for n in range(4)])
         self.assertIsNone(_arrive(driver, "draft", 1, 8_000))
-        out = driver.feed(events.Arrived(2, support.request(
+        out = driver.feed(events.RequestReceived(2, support.request(
             "/draft/1", prompt=support.prompt("s2", 0, 8_000),
             deadline_s=5.0, rid="r2")))
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
 
     def test_less_urgent_streams_delay_no_prompt(self):
         driver = _driver()
@@ -146,16 +146,16 @@
         sid = _arrive(driver, "chat", 1, 600)
         state = driver.host.servers[sid]
         self.assertEqual({(0, 200): 1}, state.gaps)
-        driver.feed(events.Opened(1, 0, None), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
         self.assertEqual({(0, 200): 1}, state.gaps)
-        driver.feed(events.Ended(1, 0), 0.1)
+        driver.feed(events.StreamEnded(1, 0), 0.1)
         self.assertEqual({}, state.gaps)
 
     def test_reports_of_peers_expire(self):
         driver = _driver()
         state = driver.host.servers["e0"]
         state.others.put("host-1", 5, 0, 0, driver.now, ((0, 200, 3),))
-        server_load.ahead_tokens(state, driver.now + 2)
+        server_load.queued_tokens(state, driver.now + 2)
         self.assertEqual({}, state.others.gaps)
 
 
