--- a/tests/entry/test_prefix_cache.py
+++ b/tests/entry/test_prefix_cache.py
@@ -22,15 +22,15 @@
     catalog = driver.host.catalog
     engines = dataclasses.replace(
         catalog.services["engines"],
-        engine=model.Engine(64, 500_000, fetch_token_s))
+        engine=model.EngineSpec(64, 500_000, fetch_token_s))
     services = {**catalog.services, "engines": engines}
-    driver.feed(events.CatalogSeen(dataclasses.replace(
+    driver.feed(events.CatalogRead(dataclasses.replace(
         catalog, revision=11, services=services)))
     return driver
 
 
 def _cache(driver, sid, part="shared", tokens=SHARED):
-    prefix_cache.remember(driver.host.servers[sid], part, tokens, 500_000, 0)
+    prefix_cache.add_part(driver.host.servers[sid], part, tokens, 500_000, 0)
 
 
 def _busy(driver, *sids):
@@ -40,9 +40,10 @@
 
 
 def _send(driver, key=1):
-    (sent,) = support.only(driver.feed(events.Arrived(
+    (sent,) = support.effects_of(driver.feed(events.RequestReceived(
         key, support.request("/advice/1", prompt=support.prompt(own=500),
-                             rid=f"r{key}", deadline_s=8.0))), effects.Send)
+                             rid=f"r{key}", deadline_s=8.0))),
+        effects.SendRequest)
     return sent
 
 
@@ -68,9 +69,9 @@
         _cache(driver, "e1", tokens=4 * SHARED)
         driver.host.servers["e1"].others.put(
             "host-1", 7, 1_000, 7, driver.now)
-        (sent,) = support.only(driver.feed(events.Arrived(
+        (sent,) = support.effects_of(driver.feed(events.RequestReceived(
             1, support.request("/advice/1", prompt=support.prompt(
-                shared=4 * SHARED, own=500)))), effects.Send)
+                shared=4 * SHARED, own=500)))), effects.SendRequest)
         self.assertNotEqual("e1", sent.server.sid)
         self.assertEqual(("host-of-e1", 80), sent.fetch_from)
 
@@ -87,7 +88,7 @@
         self.assertIsNone(_send(driver).fetch_from)
 
     def test_no_fetch_that_is_as_slow_as_prefill(self):
-        driver = _driver(fetch_token_s=1 / prefix_cache.READ_TOKENS_S)
+        driver = _driver(fetch_token_s=1 / prefix_cache.PREFILL_TOKENS_PER_S)
         _cache(driver, "e1")
         driver.host.servers["e1"].others.put(
             "host-1", 9, 90_000, 9, driver.now)
@@ -98,9 +99,9 @@
         driver = _driver()
         _cache(driver, "e1", tokens=200)
         _busy(driver, "e1")
-        (sent,) = support.only(driver.feed(events.Arrived(
+        (sent,) = support.effects_of(driver.feed(events.RequestReceived(
             1, support.request("/advice/1", prompt=support.prompt(
-                shared=200, own=500)))), effects.Send)
+                shared=200, own=500)))), effects.SendRequest)
         self.assertIsNone(sent.fetch_from)
 
     def test_no_fetch_from_a_draining_or_suspect_engine(self):
@@ -160,5 +161,5 @@
         sent = _send(driver)
         (tokens,) = driver.host.servers[sent.server.sid].mine.values()
         self.assertEqual(
-            500 + SHARED * FETCH_TOKEN_S * prefix_cache.READ_TOKENS_S,
+            500 + SHARED * FETCH_TOKEN_S * prefix_cache.PREFILL_TOKENS_PER_S,
             tokens)
--- a/tests/entry/test_ratelimits.py
+++ b/tests/entry/test_ratelimits.py
@@ -129,7 +129,8 @@
                            if each.at > lifted_at}
                 self.assertEqual(set(world.names), senders)
         self.assertEqual([0] * 6, [
-            ratelimits.limited(host.core) for host in world.hosts.values()])
+            ratelimits.count_limited(host.core)
+            for host in world.hosts.values()])
 
 
 class HostTest(unittest.TestCase):
@@ -149,13 +150,14 @@
     def _set_rate(self, rate, sid="s1"):
         """Receive another host's report of a server's rate."""
         incarnation = self.host.servers[sid].server.incarnation
-        return self.driver.feed(events.HintsHeard(
+        return self.driver.feed(events.PeerHintsReceived(
             "other", ((incarnation, rate, -200),)))
 
     def _send_request(self, path="/booking/1", after=0.0, prompt=None):
         self.driver.now += after
         out = self.driver.arrive(next(self.keys), path=path, prompt=prompt)
-        return [each.server.sid for each in support.only(out, effects.Send)]
+        return [each.server.sid
+                for each in support.effects_of(out, effects.SendRequest)]
 
     def test_a_single_host_sends_one_burst_and_then_the_rate(self):
         self._set_rate(1.0)
@@ -177,7 +179,7 @@
 
     def test_refused_with_a_retry_time_if_all_are_limited(self):
         self._set_rate(0.5)
-        (answer,) = support.only(self.driver.arrive(1), effects.Answer)
+        (answer,) = support.effects_of(self.driver.arrive(1), effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertGreater(answer.retry_s, 0.1)
         self.assertEqual({}, self.host.pending)
@@ -185,9 +187,9 @@
     def test_held_if_a_rate_limit_soon_allows_it(self):
         self._set_rate(8.0)
         out = self.driver.arrive(1)
-        self.assertEqual([effects.Timer], list(map(type, out)))
+        self.assertEqual([effects.SetRequestTimer], list(map(type, out)))
         out = self.driver.feed(events.TimerFired(1), 0.13)
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
 
     def test_not_held_for_a_server_that_refused_it(self):
         # With the other server limited, the request waited half its goal
@@ -196,9 +198,9 @@
             (support.server("s2"),), (), 6))
         (sid,) = self._send_request()
         self._set_rate(0.1, "s2" if sid == "s1" else "s1")
-        out = self.driver.feed(events.Broken(
+        out = self.driver.feed(events.AttemptFailed(
             10, 0, model.Outcome.NOT_RUN, "503"))
-        self.assertEqual(1, len(support.only(out, effects.Answer)))
+        self.assertEqual(1, len(support.effects_of(out, effects.Answer)))
 
     def test_the_rest_of_a_rate_is_reserved_for_the_most_urgent(self):
         for sid in ("e1", "e2"):
@@ -209,12 +211,12 @@
                                prompt=support.prompt(part, 300, 900))
         self.assertEqual({0, 1}, self.host.held)
         self.driver.now += 0.4
-        self.assertEqual([], support.only(
-            self.driver.feed(events.TimerFired(0)), effects.Send))
-        self.assertEqual(1, len(support.only(
-            self.driver.feed(events.TimerFired(1)), effects.Send)))
-        self.assertEqual(1, len(support.only(
-            self.driver.feed(events.TimerFired(0)), effects.Send)))
+        self.assertEqual([], support.effects_of(
+            self.driver.feed(events.TimerFired(0)), effects.SendRequest))
+        self.assertEqual(1, len(support.effects_of(
+            self.driver.feed(events.TimerFired(1)), effects.SendRequest)))
+        self.assertEqual(1, len(support.effects_of(
+            self.driver.feed(events.TimerFired(0)), effects.SendRequest)))
 
     def test_a_limited_second_server_does_not_end_the_first_attempt(self):
         # When no server was available for the second attempt of a slow
@@ -224,26 +226,28 @@
         (sid,) = self._send_request()
         self._set_rate(0.1, "s2" if sid == "s1" else "s1")
         out = self.driver.feed(events.TimerFired(10), 0.3)
-        self.assertEqual([effects.Timer], list(map(type, out)))
+        self.assertEqual([effects.SetRequestTimer], list(map(type, out)))
 
     def test_a_host_that_starts_to_share_a_rate_has_an_empty_bucket(self):
         # Hosts that took the place of lost ones had full buckets, and each
         # sent a burst of its own.
         names = sorted(map(str, range(100)), key=lambda name: (
-            routing.name_hash(name, "s1")))
-        first = [name for name in names if routing.name_hash(
-            name, "s1") < routing.name_hash("me", "s1")][:2]
+            routing.cached_unit_hash(name, "s1")))
+        first = [name for name in names if routing.cached_unit_hash(
+            name, "s1") < routing.cached_unit_hash("me", "s1")][:2]
         for _ in range(20):
             for name in first:
-                self.driver.feed(events.Heard(
+                self.driver.feed(events.PeerStateReceived(
                     support.peer(name), True, False, 10, 5))
             self._set_rate(0.1)
             self.driver.feed(events.Ticked(), 0.3)
         self.driver.feed(events.Ticked(), 0.3)
-        self.assertEqual(3, len(fleet.carriers(self.host, self.driver.now)))
+        self.assertEqual(3,
+                         len(fleet.serving_hosts(self.host, self.driver.now)))
         for _ in range(6):
             self.driver.feed(events.Ticked(), 0.3)
-        self.assertEqual(1, len(fleet.carriers(self.host, self.driver.now)))
+        self.assertEqual(1,
+                         len(fleet.serving_hosts(self.host, self.driver.now)))
         self.assertEqual([], self._send_request())
 
     def test_a_restarted_server_is_not_limited(self):
@@ -268,7 +272,7 @@
     def test_an_outdated_report_does_not_lift_a_limit(self):
         self._set_rate(0.1)
         incarnation = self.host.servers["s1"].server.incarnation
-        self.driver.feed(events.HintsHeard(
+        self.driver.feed(events.PeerHintsReceived(
             "other", ((incarnation, None, 500),)), 0.1)
         self.assertEqual([], self._send_request())
 
@@ -277,7 +281,7 @@
         self.driver.arrive(1)
         self.driver.now += 0.5
         self._set_rate(0.1)
-        self.driver.feed(events.HintsSeen(1, 0, model.Hints()), 0.5)
+        self.driver.feed(events.HintsReceived(1, 0, model.Hints()), 0.5)
         self.assertEqual([], self._send_request())
 
     def test_a_host_that_missed_the_end_of_a_limit_is_notified_again(self):
@@ -289,7 +293,7 @@
         self.driver.now += 5.0
         self.assertEqual((), ratelimits.rows(self.host, self.driver.now))
         incarnation = self.host.servers["s1"].server.incarnation
-        self.driver.feed(events.HintsHeard(
+        self.driver.feed(events.PeerHintsReceived(
             "other", ((incarnation, 0.1, 9_900),)))
         ((announced, rate, age_ms),) = ratelimits.rows(
             self.host, self.driver.now)
@@ -302,12 +306,13 @@
         self.driver.feed(events.ServersChanged(tuple(servers), (), 6))
         for server in servers:
             self._set_rate(1.0, server.sid)
-        self.driver.feed(events.Heard(
+        self.driver.feed(events.PeerStateReceived(
             support.peer("other"), True, False, 10, 6))
         announced = set()
         for _ in range(20):
-            for each in support.only(
-                    self.driver.feed(events.Ticked(), 0.3), effects.Tell):
+            for each in support.effects_of(
+                    self.driver.feed(events.Ticked(), 0.3),
+                    effects.SendToPeer):
                 self.assertLessEqual(len(each.event.rate_limits), 400)
                 announced.update(row[0] for row in each.event.rate_limits)
         self.assertEqual(600, len(announced))
@@ -323,23 +328,23 @@
                 self.driver.feed(events.Ticked(), 0.3)
                 self._send_request()
             self.assertEqual(0, spy.call_count)
-            self.driver.feed(events.Heard(
+            self.driver.feed(events.PeerStateReceived(
                 support.peer("other"), True, False, 10, 5))
             self.driver.feed(events.Ticked(), 0.3)
             self.assertEqual(1, spy.call_count)
 
     def test_a_rate_is_announced_at_once_and_in_each_state(self):
-        self.driver.feed(events.Heard(
+        self.driver.feed(events.PeerStateReceived(
             support.peer("other"), True, False, 10, 5))
         self.driver.arrive(1)
         out = self.driver.feed(
-            events.HintsSeen(1, 0, model.Hints(2.0)), 0.5)
-        (sent,) = support.only(out, effects.Tell)
+            events.HintsReceived(1, 0, model.Hints(2.0)), 0.5)
+        (sent,) = support.effects_of(out, effects.SendToPeer)
         self.assertEqual("other", sent.peer.name)
         row = (self.host.servers["s1"].server.incarnation, 2.0, 0)
         self.assertEqual((row,), sent.event.rate_limits)
-        for each in support.only(
-                self.driver.feed(events.Ticked(), 0.3), effects.Tell):
+        for each in support.effects_of(
+                self.driver.feed(events.Ticked(), 0.3), effects.SendToPeer):
             self.assertEqual(2.0, each.event.rate_limits[0][1])
 
 
@@ -354,8 +359,8 @@
         for key in range(len(rates)):
             driver.arrive(key)
         for key, rate in enumerate(rates):
-            lines += support.only(driver.feed(events.HintsSeen(
-                key, 0, model.Hints(rate))), effects.Note)
+            lines += support.effects_of(driver.feed(events.HintsReceived(
+                key, 0, model.Hints(rate))), effects.LogEvent)
         self.assertEqual(
             [(None, 1.5), (1.5, 2.0), (2.0, None)],
             [(line.fields["was"], line.fields["rate"]) for line in lines])
--- a/tests/entry/test_registry.py
+++ b/tests/entry/test_registry.py
@@ -28,8 +28,8 @@
         # The store is down for longer than three heartbeats, so all entries
         # expire. Callers would get "no server" although all servers are
         # healthy, until each has registered again.
-        self.driver.feed(events.StoreLost("timeout"))
-        self.driver.feed(events.StoreBack(), 5.0)
+        self.driver.feed(events.StoreUnavailable("timeout"))
+        self.driver.feed(events.StoreAvailable(), 5.0)
         self._remove("s1", "s2")
         self.driver.feed(events.Ticked(), 1.0)
         self.assertIn("s1", self.host.servers)
@@ -41,8 +41,8 @@
     def test_an_expired_server_gets_no_requests_after_two_seconds(self):
         # A server that left during the outage looks the same: no request
         # may reach it two seconds after its entry was removed.
-        self.driver.feed(events.StoreLost("timeout"))
-        self.driver.feed(events.StoreBack(), 5.0)
+        self.driver.feed(events.StoreUnavailable("timeout"))
+        self.driver.feed(events.StoreAvailable(), 5.0)
         self._remove("s1")
         self.driver.feed(events.Ticked(), 1.65)
         self.assertNotIn("s1", self.host.servers)
@@ -56,7 +56,7 @@
         self.assertEqual(["s4"], list(self.host.servers))
 
     def test_servers_are_kept_while_the_store_is_unavailable(self):
-        self.driver.feed(events.StoreLost("timeout"))
+        self.driver.feed(events.StoreUnavailable("timeout"))
         self._remove("s1")
         self.driver.feed(events.Ticked(), 60.0)
         self.assertIn("s1", self.host.servers)
@@ -67,7 +67,7 @@
         # expired and kept the server until its own connection to the store
         # returned. As it no longer read the store, it sent the server
         # requests for ever.
-        self.driver.feed(events.StoreLost("refused"))
+        self.driver.feed(events.StoreUnavailable("refused"))
         self.driver.feed(events.ServersListed(SERVERS[1:], 9, ()), 8.0)
         self.assertNotIn("s1", self.host.servers)
 
@@ -78,17 +78,17 @@
             SERVERS[1:], 9, (("s1", 0.9),)))
         self.driver.feed(events.Ticked(), 0.8)
         self.assertIn("s1", self.host.servers)
-        self.assertEqual((), registry.lapsing(
+        self.assertEqual((), registry.grace_periods(
             support.Driver(servers=SERVERS).host, self.driver.now))
-        ((sid, left_s),) = registry.lapsing(self.host, self.driver.now)
+        ((sid, left_s),) = registry.grace_periods(self.host, self.driver.now)
         self.assertEqual(("s1", 0.1), (sid, round(left_s, 3)))
         self.driver.feed(events.Ticked(), 0.2)
         self.assertNotIn("s1", self.host.servers)
 
     def test_a_host_that_stops_reading_stops_waiting_for_the_store(self):
-        self.driver.feed(events.StoreLost("refused"))
+        self.driver.feed(events.StoreUnavailable("refused"))
         self._remove("s1")
-        self.driver.feed(events.StoreLeft(), 1.0)
+        self.driver.feed(events.StoreReadingStopped(), 1.0)
         self.assertIsNone(self.host.store_lost_at)
         self.driver.feed(events.Ticked(), 1.7)
         self.assertNotIn("s1", self.host.servers)
@@ -97,6 +97,6 @@
         # A stale read, or a slow peer, may return an older one.
         older = support.catalog(support.route("old"), revision=9)
         newer = support.catalog(support.route("new"), revision=11)
-        self.driver.feed(events.CatalogSeen(newer))
-        self.driver.feed(events.CatalogSeen(older))
+        self.driver.feed(events.CatalogRead(newer))
+        self.driver.feed(events.CatalogRead(older))
         self.assertEqual(11, self.host.catalog.revision)
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -18,7 +18,7 @@
 
 
 def _broken(outcome, turn=0, torn=False):
-    return events.Broken(1, turn, outcome, "", torn)
+    return events.AttemptFailed(1, turn, outcome, "", torn)
 
 
 class PlainTest(unittest.TestCase):
@@ -28,14 +28,14 @@
         # An unsafe request must not run twice, and "not run" must be true:
         # a request that was sent and not answered may have run.
         rows = (
-            (UNSAFE, model.Outcome.BROKEN, None, 502),
-            (UNSAFE, model.Outcome.GARBLED, None, 502),
+            (UNSAFE, model.Outcome.DISCONNECTED, None, 502),
+            (UNSAFE, model.Outcome.MALFORMED, None, 502),
             (UNSAFE, model.Outcome.NOT_RUN, True, None),
             (UNSAFE, model.Outcome.MISDIRECTED, True, None),
-            (UNSAFE, model.Outcome.UNREACHED, True, None),
+            (UNSAFE, model.Outcome.UNREACHABLE, True, None),
             (UNSAFE, model.Outcome.REFUSED, True, None),
-            (SAFE, model.Outcome.BROKEN, True, None),
-            (SAFE, model.Outcome.GARBLED, True, None),
+            (SAFE, model.Outcome.DISCONNECTED, True, None),
+            (SAFE, model.Outcome.MALFORMED, True, None),
             (SAFE, model.Outcome.NOT_RUN, True, None),
         )
         for route, outcome, again, status in rows:
@@ -44,8 +44,9 @@
                 driver.arrive()
                 out = driver.feed(_broken(outcome), 0.01)
                 self.assertEqual(
-                    bool(again), bool(support.only(out, effects.Send)))
-                answers = support.only(out, effects.Answer)
+                    bool(again),
+                    bool(support.effects_of(out, effects.SendRequest)))
+                answers = support.effects_of(out, effects.Answer)
                 self.assertEqual([status] if status else [],
                                  [answer.status for answer in answers])
 
@@ -54,18 +55,18 @@
         driver = support.Driver(route, servers=PAIR)
         driver.arrive(deadline_s=0.6)
         out = driver.feed(_broken(model.Outcome.NOT_RUN), 0.01)
-        (answer,) = support.only(out, effects.Answer)
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertLessEqual(answer.retry_s, 0.2)
 
     def test_server_error_is_passed_on_if_the_retry_fails_too(self):
         driver = support.Driver(SAFE, servers=PAIR)
         driver.arrive()
-        out = driver.feed(events.Answered(1, 0, 500, None, True), 0.01)
-        self.assertEqual(1, len(support.only(out, effects.Send)))
-        out = driver.feed(events.Answered(1, 1, 500, None, True), 0.01)
-        self.assertEqual([effects.PassOn(1, 1)],
-                         support.only(out, effects.PassOn))
+        out = driver.feed(events.ResponseReceived(1, 0, 500, None, True), 0.01)
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
+        out = driver.feed(events.ResponseReceived(1, 1, 500, None, True), 0.01)
+        self.assertEqual([effects.ForwardResponse(1, 1)],
+                         support.effects_of(out, effects.ForwardResponse))
 
     def test_timeout(self):
         # The caller is answered before it stops waiting, and 504 tells
@@ -74,21 +75,21 @@
         driver.arrive()
         out = driver.feed(events.TimerFired(1), 1.98)
         self.assertEqual([effects.Cancel(1, 0)],
-                         support.only(out, effects.Cancel))
-        (answer,) = support.only(out, effects.Answer)
+                         support.effects_of(out, effects.Cancel))
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual((504, None), (answer.status, answer.retry_s))
 
     def test_slow_call_is_hedged(self):
         driver = support.Driver(CALL, servers=PAIR)
-        first = support.only(driver.arrive(), effects.Send)[0]
+        first = support.effects_of(driver.arrive(), effects.SendRequest)[0]
         out = driver.feed(events.TimerFired(1), 0.2)
-        second = support.only(out, effects.Send)[0]
+        second = support.effects_of(out, effects.SendRequest)[0]
         self.assertNotEqual(first.server.sid, second.server.sid)
-        out = driver.feed(events.Answered(1, 1, 200, None, True), 0.05)
+        out = driver.feed(events.ResponseReceived(1, 1, 200, None, True), 0.05)
         self.assertEqual([effects.Cancel(1, 0)],
-                         support.only(out, effects.Cancel))
-        self.assertEqual([effects.PassOn(1, 1)],
-                         support.only(out, effects.PassOn))
+                         support.effects_of(out, effects.Cancel))
+        self.assertEqual([effects.ForwardResponse(1, 1)],
+                         support.effects_of(out, effects.ForwardResponse))
 
     def test_retries_stay_within_the_hosts_budget(self):
         # All servers fail at once. If each request were sent twice, their
@@ -96,19 +97,19 @@
         driver = support.Driver(SAFE, servers=PAIR, repeat_slack=10)
         retries = 0
         for key in range(100):
-            driver.feed(events.Arrived(key, support.request()))
-            out = driver.feed(events.Answered(key, 0, 500, None, True))
-            retries += len(support.only(out, effects.Send))
+            driver.feed(events.RequestReceived(key, support.request()))
+            out = driver.feed(events.ResponseReceived(key, 0, 500, None, True))
+            retries += len(support.effects_of(out, effects.SendRequest))
         self.assertGreater(retries, 5)
         self.assertLessEqual(retries, 0.2 * 100 + 10)
 
     def test_disconnected_caller_cancels_its_attempts(self):
         driver = support.Driver(SAFE, servers=PAIR)
         driver.arrive()
-        out = driver.feed(events.CallerLeft(1), 0.1)
+        out = driver.feed(events.CallerDisconnected(1), 0.1)
         self.assertEqual([effects.Cancel(1, 0)],
-                         support.only(out, effects.Cancel))
-        self.assertEqual([], driver.feed(events.Answered(
+                         support.effects_of(out, effects.Cancel))
+        self.assertEqual([], driver.feed(events.ResponseReceived(
             1, 0, 200, None, True)))
         self.assertEqual({}, driver.host.servers["s1"].mine)
 
@@ -116,7 +117,7 @@
         # Callers would take 401 or 404 from a host that just started as
         # final.
         driver = support.Driver()
-        (answer,) = support.only(driver.arrive(), effects.Answer)
+        (answer,) = support.effects_of(driver.arrive(), effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertGreater(answer.retry_s, 0)
 
@@ -126,32 +127,32 @@
 
     def test_broken_stream_resumes_at_another_engine(self):
         driver = support.Driver(STREAM, servers=ENGINES)
-        first = support.only(driver.arrive(
-            path="/advice/1", prompt=support.prompt()), effects.Send)[0]
-        driver.feed(events.Opened(1, 0, None), 0.1)
-        out = driver.feed(_broken(model.Outcome.BROKEN, torn=True), 0.1)
-        (again,) = support.only(out, effects.Send)
+        first = support.effects_of(driver.arrive(
+            path="/advice/1", prompt=support.prompt()), effects.SendRequest)[0]
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
+        out = driver.feed(_broken(model.Outcome.DISCONNECTED, torn=True), 0.1)
+        (again,) = support.effects_of(out, effects.SendRequest)
         self.assertTrue(again.resume)
         self.assertNotEqual(first.server.sid, again.server.sid)
 
     def test_broken_stream_that_cannot_resume_is_cut(self):
         driver = support.Driver(ONCE, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
-        driver.feed(events.Opened(1, 0, None), 0.1)
-        out = driver.feed(_broken(model.Outcome.BROKEN), 0.1)
-        self.assertEqual(1, len(support.only(out, effects.Cut)))
-        self.assertEqual([], support.only(out, effects.Send))
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
+        out = driver.feed(_broken(model.Outcome.DISCONNECTED), 0.1)
+        self.assertEqual(1, len(support.effects_of(out, effects.AbortStream)))
+        self.assertEqual([], support.effects_of(out, effects.SendRequest))
 
     def test_silent_stream_is_cancelled_before_it_is_moved(self):
         # An engine hangs in mid-stream with its connection open. The attempt
         # there is cancelled first, so that two never run at once.
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
-        driver.feed(events.Opened(1, 0, None), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
         out = driver.feed(events.TimerFired(1), 0.5)
         kinds = [type(effect) for effect in out]
         self.assertLess(kinds.index(effects.Cancel),
-                        kinds.index(effects.Send))
+                        kinds.index(effects.SendRequest))
 
     def test_moved_stream_gets_time_for_its_prefill(self):
         # A host is paused for two seconds in mid-stream, takes the engine
@@ -162,12 +163,12 @@
             *ENGINES, support.server("e3", "engines")))
         driver.arrive(path="/advice/1", prompt=support.prompt(),
                       deadline_s=8.0)
-        driver.feed(events.Opened(1, 0, None), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
         out = driver.feed(events.TimerFired(1), 2.0)
-        self.assertEqual(1, len(support.only(out, effects.Send)))
-        driver.now = support.only(out, effects.Timer)[0].at
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
+        driver.now = support.effects_of(out, effects.SetRequestTimer)[0].at
         out = driver.feed(events.TimerFired(1))
-        self.assertEqual([], support.only(out, effects.Cancel))
+        self.assertEqual([], support.effects_of(out, effects.Cancel))
 
     def test_moved_stream_may_have_run(self):
         # An engine accepts a request and hangs; the request is moved, and
@@ -176,19 +177,19 @@
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
         out = driver.feed(events.TimerFired(1), 2.0)
-        self.assertEqual(1, len(support.only(out, effects.Cancel)))
+        self.assertEqual(1, len(support.effects_of(out, effects.Cancel)))
         out = driver.feed(_broken(model.Outcome.NOT_RUN, 1), 0.01)
-        (answer,) = support.only(out, effects.Answer)
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(502, answer.status)
 
     def test_stream_with_progress_is_not_moved(self):
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
-        driver.feed(events.Opened(1, 0, None), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
         for _ in range(5):
-            driver.feed(events.Progressed(1, 0), 0.3)
+            driver.feed(events.StreamProgressed(1, 0), 0.3)
             out = driver.feed(events.TimerFired(1), 0.01)
-            self.assertEqual([], support.only(out, effects.Cancel))
+            self.assertEqual([], support.effects_of(out, effects.Cancel))
 
     def _load(self, driver, reading, tokens):
         for state in driver.host.servers.values():
@@ -201,15 +202,15 @@
         # for four seconds.
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
-        driver.feed(events.Opened(1, 0, None), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
         self._load(driver, 9, 90_000)
-        out = driver.feed(_broken(model.Outcome.BROKEN, torn=True), 0.01)
-        self.assertEqual([], support.only(out, effects.Send))
-        (timer,) = support.only(out, effects.Timer)
+        out = driver.feed(_broken(model.Outcome.DISCONNECTED, torn=True), 0.01)
+        self.assertEqual([], support.effects_of(out, effects.SendRequest))
+        (timer,) = support.effects_of(out, effects.SetRequestTimer)
         self._load(driver, 0, 0)
         driver.now = timer.at
         out = driver.feed(events.TimerFired(1))
-        self.assertTrue(support.only(out, effects.Send)[0].resume)
+        self.assertTrue(support.effects_of(out, effects.SendRequest)[0].resume)
 
     def test_unreached_request_passes_admission_again(self):
         # Its first engine is gone. Sent on regardless of the load, it would
@@ -219,11 +220,11 @@
                       deadline_s=8.0)
         self._load(driver, 9, 90_000)
         out = driver.feed(_broken(model.Outcome.REFUSED), 0.01)
-        self.assertEqual([], support.only(out, effects.Send))
+        self.assertEqual([], support.effects_of(out, effects.SendRequest))
         driver.now += 1.0
         self._load(driver, 9, 90_000)
         out = driver.feed(events.TimerFired(1))
-        (answer,) = support.only(out, effects.Answer)
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertIsNotNone(answer.retry_s)
 
@@ -242,9 +243,9 @@
             driver.host.servers[sid].heard_at = heard
             driver.now = timer
             out = driver.feed(events.TimerFired(1))
-            if support.only(out, effects.Cancel):
+            if support.effects_of(out, effects.Cancel):
                 return timer - support.NOW
-            timer = support.only(out, effects.Timer)[0].at
+            timer = support.effects_of(out, effects.SetRequestTimer)[0].at
         return None
 
     def test_waiting_stream_stays_while_its_engine_is_heard(self):
@@ -271,18 +272,20 @@
     """Requests that crash their servers."""
 
     def _crash(self, driver, key, digest):
-        driver.feed(events.Arrived(key, support.request(digest=digest)))
+        driver.feed(
+            events.RequestReceived(key, support.request(digest=digest)))
         sid = driver.host.pending[key].tries[0].sid
-        driver.feed(events.Broken(
-            key, 0, model.Outcome.BROKEN, "reset", True))
-        driver.feed(events.CallerLeft(key))
+        driver.feed(events.AttemptFailed(
+            key, 0, model.Outcome.DISCONNECTED, "reset", True))
+        driver.feed(events.CallerDisconnected(key))
         # Another request can't reach the server.
-        driver.feed(events.Arrived(key + 1, support.request(digest="x")))
+        driver.feed(
+            events.RequestReceived(key + 1, support.request(digest="x")))
         pending = driver.host.pending[key + 1]
         pending.tries[0].sid = sid
-        driver.feed(events.Broken(
-            key + 1, 0, model.Outcome.UNREACHED, "refused"))
-        driver.feed(events.CallerLeft(key + 1))
+        driver.feed(events.AttemptFailed(
+            key + 1, 0, model.Outcome.UNREACHABLE, "refused"))
+        driver.feed(events.CallerDisconnected(key + 1))
         del driver.host.servers[sid]
         driver.host.by_service["plain"] = list(
             driver.host.servers.values())
@@ -293,15 +296,15 @@
         servers = [support.server(f"s{n}") for n in range(4)]
         driver = support.Driver(UNSAFE, servers=servers)
         self._crash(driver, 1, "poison")
-        out = driver.feed(events.Arrived(
+        out = driver.feed(events.RequestReceived(
             3, support.request(digest="poison")))
-        self.assertEqual(1, len(support.only(out, effects.Send)))
-        driver.feed(events.CallerLeft(3))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
+        driver.feed(events.CallerDisconnected(3))
         self._crash(driver, 5, "poison")
-        out = driver.feed(events.Arrived(
+        out = driver.feed(events.RequestReceived(
             7, support.request(digest="poison")))
-        self.assertEqual([], support.only(out, effects.Send))
-        (answer,) = support.only(out, effects.Answer)
+        self.assertEqual([], support.effects_of(out, effects.SendRequest))
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
         # It has not run, so its caller gets a retry delay, which lasts
         # until the quarantine ends.
@@ -313,21 +316,21 @@
         # that found the server refusing connections, or from the store's
         # list of servers. Otherwise one request crashed five servers.
         rows = (
-            lambda sid: events.LoadHeard("host-1", (), (sid,)),
+            lambda sid: events.PeerLoadsReceived("host-1", (), (sid,)),
             lambda sid: events.ServersChanged((), (sid,), 9))
         for sign in rows:
             servers = [support.server(f"s{n}") for n in range(4)]
             driver = support.Driver(UNSAFE, servers=servers)
             for key in (1, 2):
-                driver.feed(events.Arrived(
+                driver.feed(events.RequestReceived(
                     key, support.request(digest="poison")))
                 sid = driver.host.pending[key].tries[0].sid
-                driver.feed(events.Broken(
-                    key, 0, model.Outcome.BROKEN, "reset", True))
+                driver.feed(events.AttemptFailed(
+                    key, 0, model.Outcome.DISCONNECTED, "reset", True))
                 driver.feed(sign(sid), 1.2)
-            out = driver.feed(events.Arrived(
+            out = driver.feed(events.RequestReceived(
                 3, support.request(digest="poison")))
-            self.assertEqual([], support.only(out, effects.Send))
+            self.assertEqual([], support.effects_of(out, effects.SendRequest))
 
     def test_answers_lost_at_running_servers_are_no_crash(self):
         # Two servers lose many answers for some seconds. Requests that lost
@@ -335,38 +338,42 @@
         driver = support.Driver(SAFE, servers=PAIR)
         for key, sid in ((1, "s1"), (11, "s2")):
             for number, digest in enumerate(("d", f"x{key}", f"y{key}")):
-                driver.feed(events.Arrived(
+                driver.feed(events.RequestReceived(
                     key + number, support.request(digest=digest)))
                 pending = driver.host.pending[key + number]
                 pending.tries[0].sid = sid
             for number in (0, 1):
-                driver.feed(events.Broken(
-                    key + number, 0, model.Outcome.BROKEN, "reset", True))
-            driver.feed(events.Answered(key + 2, 0, 200, None, True), 0.1)
-        out = driver.feed(events.Arrived(
+                driver.feed(events.AttemptFailed(
+                    key + number, 0, model.Outcome.DISCONNECTED, "reset",
+                    True))
+            driver.feed(events.ResponseReceived(key + 2, 0, 200, None, True),
+                        0.1)
+        out = driver.feed(events.RequestReceived(
             30, support.request(digest="d")))
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
 
     def test_server_removed_after_draining_did_not_crash(self):
         servers = [support.server(f"s{n}") for n in range(4)]
         driver = support.Driver(UNSAFE, servers=servers)
         for key in (1, 2):
-            driver.feed(events.Arrived(key, support.request(digest="d")))
+            driver.feed(
+                events.RequestReceived(key, support.request(digest="d")))
             sid = driver.host.pending[key].tries[0].sid
-            driver.feed(events.Broken(
-                key, 0, model.Outcome.BROKEN, "reset", True))
+            driver.feed(events.AttemptFailed(
+                key, 0, model.Outcome.DISCONNECTED, "reset", True))
             entry = support.server(sid, draining=True)
             driver.feed(events.ServersChanged((entry,), (), 8 + key))
             driver.feed(events.ServersChanged((), (sid,), 9 + key), 1.0)
-        out = driver.feed(events.Arrived(3, support.request(digest="d")))
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        out = driver.feed(
+            events.RequestReceived(3, support.request(digest="d")))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
 
     def test_lost_answer_alone_causes_no_quarantine(self):
         # A server that loses an answer and stays up has not crashed.
         driver = support.Driver(UNSAFE, servers=PAIR)
         for key in (1, 2, 3):
-            driver.feed(events.Arrived(key, support.request()))
-            driver.feed(events.Broken(
-                key, 0, model.Outcome.BROKEN, "reset", True), 1.0)
-        out = driver.feed(events.Arrived(4, support.request()))
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+            driver.feed(events.RequestReceived(key, support.request()))
+            driver.feed(events.AttemptFailed(
+                key, 0, model.Outcome.DISCONNECTED, "reset", True), 1.0)
+        out = driver.feed(events.RequestReceived(4, support.request()))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
--- a/tests/entry/test_response_hints.py
+++ b/tests/entry/test_response_hints.py
@@ -96,12 +96,13 @@
     def _report_draining(self, sid="s1"):
         """Receive another host's report that a server is draining."""
         incarnation = self.host.servers[sid].server.incarnation
-        return self.driver.feed(events.HintsHeard(
+        return self.driver.feed(events.PeerHintsReceived(
             "other", (), ((sid, incarnation),)))
 
     def _send_request(self):
         out = self.driver.arrive(next(self.keys))
-        return [each.server.sid for each in support.only(out, effects.Send)]
+        return [each.server.sid
+                for each in support.effects_of(out, effects.SendRequest)]
 
     def _used_servers(self):
         return {sid for _ in range(20) for sid in self._send_request()}
@@ -109,7 +110,7 @@
     def test_one_response_that_reports_draining_is_enough(self):
         self.assertEqual({"s1", "s2"}, self._used_servers())
         (sid,) = self._send_request()
-        self.driver.feed(events.HintsSeen(
+        self.driver.feed(events.HintsReceived(
             max(self.host.pending), 0, model.Hints(leaving=True)))
         self.assertEqual({"s1", "s2"} - {sid}, self._used_servers())
 
@@ -118,21 +119,21 @@
         self.assertEqual({"s2"}, self._used_servers())
 
     def test_it_is_announced_at_once_and_until_the_store_lists_it(self):
-        self.driver.feed(events.Heard(
+        self.driver.feed(events.PeerStateReceived(
             support.peer("other"), True, False, 10, 5))
         (sid,) = self._send_request()
-        out = self.driver.feed(events.HintsSeen(
+        out = self.driver.feed(events.HintsReceived(
             10, 0, model.Hints(leaving=True)))
         row = (sid, self.host.servers[sid].server.incarnation)
-        sent = support.only(out, effects.Tell)
-        sent += support.only(
-            self.driver.feed(events.Ticked(), 0.3), effects.Tell)
+        sent = support.effects_of(out, effects.SendToPeer)
+        sent += support.effects_of(
+            self.driver.feed(events.Ticked(), 0.3), effects.SendToPeer)
         self.assertEqual([(row,)] * 2, [
             each.event.servers_leaving for each in sent])
         self.driver.feed(events.ServersChanged(
             (support.server(sid, draining=True),), (), 6))
-        for each in support.only(
-                self.driver.feed(events.Ticked(), 0.3), effects.Tell):
+        for each in support.effects_of(
+                self.driver.feed(events.Ticked(), 0.3), effects.SendToPeer):
             self.assertEqual((), each.event.servers_leaving)
 
     def test_an_entry_of_the_store_does_not_end_draining(self):
@@ -159,29 +160,30 @@
     def test_a_stream_continues_there_but_is_not_resumed_there(self):
         out = self.driver.arrive(1, path="/advice/1",
                                  prompt=support.prompt())
-        (send,) = support.only(out, effects.Send)
-        self.driver.feed(events.Opened(1, 0, None), 0.2)
+        (send,) = support.effects_of(out, effects.SendRequest)
+        self.driver.feed(events.StreamOpened(1, 0, None), 0.2)
         sid = send.server.sid
         out = self._report_draining(sid)
-        self.assertEqual([], support.only(out, effects.Cancel))
+        self.assertEqual([], support.effects_of(out, effects.Cancel))
         other = "e2" if sid == "e1" else "e1"
-        out = self.driver.feed(events.Broken(
-            1, 0, model.Outcome.BROKEN, "reset", True), 0.2)
+        out = self.driver.feed(events.AttemptFailed(
+            1, 0, model.Outcome.DISCONNECTED, "reset", True), 0.2)
         self.assertEqual([other], [
-            each.server.sid for each in support.only(out, effects.Send)])
+            each.server.sid
+            for each in support.effects_of(out, effects.SendRequest)])
 
     def test_a_stream_is_not_moved_if_all_other_servers_drain(self):
         self.driver.arrive(1, path="/advice/1", prompt=support.prompt())
         target = self.host.pending[1].tries[0].sid
-        self.driver.feed(events.Opened(1, 0, None), 0.2)
+        self.driver.feed(events.StreamOpened(1, 0, None), 0.2)
         self._report_draining("e2" if target == "e1" else "e1")
         out = self.driver.feed(events.TimerFired(1), 2.0)
-        self.assertEqual([effects.Timer], list(map(type, out)))
+        self.assertEqual([effects.SetRequestTimer], list(map(type, out)))
 
     def test_refused_with_a_retry_time_if_all_servers_drain(self):
         for sid in ("s1", "s2"):
             self._report_draining(sid)
-        (answer,) = support.only(self.driver.arrive(1), effects.Answer)
+        (answer,) = support.effects_of(self.driver.arrive(1), effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertGreater(answer.retry_s, 0.0)
 
@@ -206,16 +208,16 @@
 
     def _refuse(self, key, turn=0, backoff_s=3.0):
         """Have the server of an attempt refuse it; return the effects."""
-        self.driver.feed(events.HintsSeen(
+        self.driver.feed(events.HintsReceived(
             key, turn, model.Hints(rest_s=backoff_s)))
-        return self.driver.feed(events.Broken(
+        return self.driver.feed(events.AttemptFailed(
             key, turn, model.Outcome.NOT_RUN, "503"))
 
     def _send_request(self):
         key = next(self.keys)
         out = self.driver.arrive(key)
         return key, [each.server.sid
-                     for each in support.only(out, effects.Send)]
+                     for each in support.effects_of(out, effects.SendRequest)]
 
     def _back_off(self, backoff_s=3.0):
         """Have one server ask for backoff; return the ids, its own first."""
@@ -256,10 +258,10 @@
         key, (sid,) = self._send_request()
         self._refuse(key)
         out = self._refuse(key, turn=1)
-        (answer,) = support.only(out, effects.Answer)
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
-        (answer,) = support.only(
-            self.driver.feed(events.Arrived(1, support.request(
+        (answer,) = support.effects_of(
+            self.driver.feed(events.RequestReceived(1, support.request(
                 deadline_s=30.0))), effects.Answer)
         # At most a third of the remaining time: a caller waits no longer.
         self.assertAlmostEqual(0.65, answer.retry_s, places=2)
@@ -269,8 +271,8 @@
             support.route(timeout_s=60.0, goal_s=0.4),
             servers=(support.server("s1"),))
         driver.arrive(1, deadline_s=60.0)
-        driver.feed(events.HintsSeen(1, 0, model.Hints(rest_s=12.0)))
-        (answer,) = support.only(driver.feed(events.Broken(
+        driver.feed(events.HintsReceived(1, 0, model.Hints(rest_s=12.0)))
+        (answer,) = support.effects_of(driver.feed(events.AttemptFailed(
             1, 0, model.Outcome.NOT_RUN, "503")), effects.Answer)
         self.assertGreaterEqual(answer.retry_s, 12.0)
 
@@ -280,9 +282,9 @@
         out = self._refuse(key, turn=1, backoff_s=0.1)
         key = next(self.keys)
         out = self.driver.arrive(key)
-        self.assertEqual([effects.Timer], list(map(type, out)))
+        self.assertEqual([effects.SetRequestTimer], list(map(type, out)))
         out = self.driver.feed(events.TimerFired(key), 0.11)
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
 
     def test_the_duration_of_a_backoff_is_bounded(self):
         backing_off, _ = self._back_off(backoff_s=1e9)
@@ -306,8 +308,8 @@
             driver.arrive(key)
         lines = []
         for key, hints in enumerate(found):
-            lines += support.only(driver.feed(
-                events.HintsSeen(key, 0, hints)), effects.Note)
+            lines += support.effects_of(driver.feed(
+                events.HintsReceived(key, 0, hints)), effects.LogEvent)
         self.assertEqual(
             ["server_leaving", "server_rests", "server_rests"],
             [line.event for line in lines])
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -39,24 +39,26 @@
         # 13,000 tokens to be read. It was also avoided as slow and failing,
         # which its former process was.
         state = self._state()
-        prefix_cache.remember(state, "shared", 13_000, 5e5, 0)
+        prefix_cache.add_part(state, "shared", 13_000, 5e5, 0)
         state.slowness, state.failing, state.strikes = 5.0, 0.9, 3
         state.suspect_until = self.driver.now + 4
         state.others.put("host-1", 9, 90_000, 9, self.driver.now)
-        prefill_pauses.heard(state, 0.5, self.driver.now)
+        prefill_pauses.note_prefill(state, 0.5, self.driver.now)
         out = self._restart()
         state = self._state()
         self.assertEqual({}, dict(state.parts))
         self.assertEqual((1.0, 0.0, 0), (
             state.slowness, state.failing, state.strikes))
         self.assertEqual(0.0, state.suspect_until)
-        self.assertEqual(0, server_load.ahead_tokens(state, self.driver.now))
-        self.assertEqual(0.0, prefill_pauses.loud_s(state, self.driver.now))
+        self.assertEqual(0, server_load.queued_tokens(state, self.driver.now))
+        self.assertEqual(
+            0.0, prefill_pauses.expected_pause_s(state, self.driver.now))
         self.assertIn("server_restarted", [
-            effect.event for effect in support.only(out, effects.Note)])
+            effect.event
+            for effect in support.effects_of(out, effects.LogEvent)])
 
     def test_a_changed_entry_alone_is_no_restart(self):
-        prefix_cache.remember(self._state(), "shared", 13_000, 5e5, 0)
+        prefix_cache.add_part(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.feed(events.ServersChanged(
             (_engine(cold_s=1.0),), (), 6))
         self.assertIn("shared", self._state().parts)
@@ -66,15 +68,15 @@
         self.driver.feed(events.ServersListed(
             (_engine(born=None), _engine("e1")), 6))
         self.driver.feed(events.ServersChanged((), ("e1",), 7))
-        prefix_cache.remember(self._state(), "shared", 13_000, 5e5, 0)
+        prefix_cache.add_part(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
                            deadline_s=8.0)
         out = self._restart(after=5.0)
-        self.assertEqual([], support.only(out, effects.Cancel))
+        self.assertEqual([], support.effects_of(out, effects.Cancel))
         self.assertIn("shared", self._state().parts)
 
     def test_the_list_shows_a_restart_as_well(self):
-        prefix_cache.remember(self._state(), "shared", 13_000, 5e5, 0)
+        prefix_cache.add_part(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.feed(events.ServersListed(
             (_engine(born=9_000), _engine("e1")), 7))
         self.assertEqual({}, dict(self._state().parts))
@@ -86,10 +88,10 @@
         self.driver.feed(events.ServersChanged((), ("e1",), 6))
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
                            deadline_s=8.0)
-        self.driver.feed(events.Opened(1, 0, None), 0.1)
+        self.driver.feed(events.StreamOpened(1, 0, None), 0.1)
         out = self._restart(after=5.0)
-        self.assertEqual(1, len(support.only(out, effects.Cancel)))
-        self.assertEqual(1, len(support.only(out, effects.Cut)))
+        self.assertEqual(1, len(support.effects_of(out, effects.Cancel)))
+        self.assertEqual(1, len(support.effects_of(out, effects.AbortStream)))
         self.assertEqual({}, self.driver.host.pending)
         self.assertEqual({}, self._state().mine)
 
@@ -98,7 +100,7 @@
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
                            deadline_s=8.0)
         out = self._restart(after=5.0)
-        (answer,) = support.only(out, effects.Answer)
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(502, answer.status)
 
     def test_a_repeatable_stream_continues_on_another_server(self):
@@ -111,7 +113,7 @@
         other = "e1" if former.sid == "e0" else "e0"
         out = self.driver.feed(events.ServersChanged(
             (_engine(former.sid, born=9_000),), (), 6), 5.0)
-        (sent,) = support.only(out, effects.Send)
+        (sent,) = support.effects_of(out, effects.SendRequest)
         self.assertEqual(other, sent.server.sid)
 
     def test_requests_of_the_new_process_continue(self):
@@ -120,10 +122,10 @@
         self.driver.feed(events.ServersChanged((), ("e1",), 6))
         self.driver.arrive(path="/chat/1", prompt=support.prompt(),
                            deadline_s=8.0)
-        self.driver.feed(events.Opened(1, 0, None), 0.1)
+        self.driver.feed(events.StreamOpened(1, 0, None), 0.1)
         out = self._restart(after=0.2)
-        self.assertEqual([], support.only(out, effects.Cancel))
-        self.driver.feed(events.Ended(1, 0), 0.1)
+        self.assertEqual([], support.effects_of(out, effects.Cancel))
+        self.driver.feed(events.StreamEnded(1, 0), 0.1)
         self.assertEqual({}, self._state().mine)
         self.assertEqual({}, self._state().gaps)
 
@@ -135,12 +137,12 @@
             self.driver.arrive(turn, path="/chat/1", rid=f"r{turn}",
                                prompt=support.prompt())
             (attempt,) = self.driver.host.pending[turn].tries
-            self.driver.feed(events.Broken(
-                turn, 0, model.Outcome.BROKEN, torn=True), 0.1)
+            self.driver.feed(events.AttemptFailed(
+                turn, 0, model.Outcome.DISCONNECTED, torn=True), 0.1)
             self.driver.feed(events.ServersChanged(
                 (_engine(attempt.sid, born=born),), (), 5 + turn), 1.0)
             self.driver.host.servers["e1"].suspect_until = 1e9
-        self.assertTrue(quarantine.condemned(
+        self.assertTrue(quarantine.is_quarantined(
             self.driver.host, "d1", self.driver.now))
 
 
--- a/tests/entry/test_retrying.py
+++ b/tests/entry/test_retrying.py
@@ -13,7 +13,7 @@
 
 
 def _broken(turn=0):
-    return events.Broken(1, turn, model.Outcome.BROKEN, "", False)
+    return events.AttemptFailed(1, turn, model.Outcome.DISCONNECTED, "", False)
 
 
 class RepeatingTest(unittest.TestCase):
@@ -25,9 +25,9 @@
         driver.arrive(path="/advice/1", prompt=support.prompt(),
                       deadline_s=8.0)
         first = driver.host.pending[1].tries[0].sid
-        driver.feed(events.Opened(1, 0, None), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
         out = driver.feed(_broken(), 0.5)
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
         return driver, first
 
     def test_a_server_that_left_the_list_counts_as_tried(self):
@@ -37,7 +37,7 @@
         driver, first = self._resume_at_second_server()
         driver.feed(events.ServersChanged((), (first,), 6))
         out = driver.feed(_broken(1), 0.5)
-        self.assertEqual([], support.only(out, effects.Send))
+        self.assertEqual([], support.effects_of(out, effects.SendRequest))
 
     def test_a_server_that_can_not_be_reached_is_not_counted(self):
         # Two engines crash under a stream, and the first one refuses
@@ -45,4 +45,4 @@
         driver, first = self._resume_at_second_server()
         driver.host.servers[first].unreached = True
         out = driver.feed(_broken(1), 0.5)
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
--- a/tests/entry/test_server_choice.py
+++ b/tests/entry/test_server_choice.py
@@ -21,7 +21,7 @@
 
 
 def _choose(driver, prompt, exclude=()):
-    pending = support.pending(TOP, driver.now, prompt=prompt)
+    pending = support.request_state(TOP, driver.now, prompt=prompt)
     pending.candidates = candidates.pick(driver.host, pending)
     return server_choice.choose(driver.host, pending, set(exclude),
                                 driver.now).server.sid
@@ -39,7 +39,7 @@
 
     def test_part_is_sent_to_the_engine_that_caches_it(self):
         driver = _driver()
-        prefix_cache.remember(
+        prefix_cache.add_part(
             driver.host.servers["e2"],
             "tide",
             13_000,
@@ -50,7 +50,7 @@
     def test_long_queue_costs_more_than_repeated_prefill(self):
         driver = _driver()
         caching = driver.host.servers["e2"]
-        prefix_cache.remember(caching, "tide", 13_000, 5e5, 0)
+        prefix_cache.add_part(caching, "tide", 13_000, 5e5, 0)
         caching.others.put("host-1", 4, 40_000, 4, driver.now)
         self.assertEqual("e2", _choose(driver, support.prompt("tide")))
         caching.others.put("host-1", 9, 90_000, 9, driver.now)
@@ -60,7 +60,7 @@
         driver = _driver()
         state = driver.host.servers["e2"]
         state.others.put("host-1", 9, 90_000, 9, driver.now - 2)
-        self.assertEqual(0, server_load.ahead_tokens(state, driver.now))
+        self.assertEqual(0, server_load.queued_tokens(state, driver.now))
 
     def test_draining_servers_never_and_suspect_ones_last(self):
         driver = _driver()
@@ -81,17 +81,17 @@
         first.others.put("host-1", 48, 0, 0, driver.now)
         first.others.put("host-2", 40, 0, 0, driver.now)
         driver.host.servers["p2"].others.put("host-1", 80, 0, 0, driver.now)
-        (sent,) = support.only(driver.arrive(), effects.Send)
+        (sent,) = support.effects_of(driver.arrive(), effects.SendRequest)
         self.assertEqual("p2", sent.server.sid)
         driver.host.servers["p2"].others.put("host-1", 90, 0, 0, driver.now)
-        (answer,) = support.only(driver.arrive(key=2), effects.Answer)
+        (answer,) = support.effects_of(driver.arrive(key=2), effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertIsNotNone(answer.retry_s)
 
     def test_parts_beyond_an_engines_memory_are_evicted(self):
         state = _driver().host.servers["e1"]
         for number in range(10):
-            prefix_cache.remember(state, f"p{number}", 10_000, 100_000, 0)
+            prefix_cache.add_part(state, f"p{number}", 10_000, 100_000, 0)
         self.assertEqual(7, len(state.parts))
         self.assertNotIn("p0", state.parts)
 
@@ -105,10 +105,10 @@
             state.others.put("host-1", reading, tokens, reading, driver.now)
 
     def _arrive(self, driver, name, key=1, **kwargs):
-        out = driver.feed(events.Arrived(key, support.request(
+        out = driver.feed(events.RequestReceived(key, support.request(
             f"/{name}/1", prompt=support.prompt(own=500),
             **{"deadline_s": 8.0, **kwargs})))
-        return support.only(out, effects.Send), out
+        return support.effects_of(out, effects.SendRequest), out
 
     def test_less_urgent_rank_is_stopped_first(self):
         # In a burst of long prompts of a low rank engines would accept them
@@ -122,13 +122,14 @@
         driver = _driver()
         self._load(driver, 9, 90_000)
         _, out = self._arrive(driver, "low")
-        self.assertEqual([], support.only(out, effects.Answer))
-        self.assertEqual(1, len(support.only(out, effects.Timer)))
+        self.assertEqual([], support.effects_of(out, effects.Answer))
+        self.assertEqual(1,
+                         len(support.effects_of(out, effects.SetRequestTimer)))
         self._load(driver, 9, 90_000)
         driver.now += 1.01
         self._load(driver, 9, 90_000)
         out = driver.feed(events.TimerFired(1))
-        (answer,) = support.only(out, effects.Answer)
+        (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
         self.assertTrue(0.5 < answer.retry_s <= 8.0 / 3)
         self.assertEqual({}, driver.host.pending)
@@ -139,7 +140,7 @@
         self._arrive(driver, "low")
         self._load(driver, 0, 0)
         out = driver.feed(events.TimerFired(1), 0.1)
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
 
     def test_service_removed_while_a_request_is_queued(self):
         # A release removes a service. A request that was queued for its
@@ -149,12 +150,12 @@
         self._arrive(driver, "low")
         catalog = driver.host.catalog
         services = {"plain": catalog.services["plain"]}
-        driver.feed(events.CatalogSeen(dataclasses.replace(
+        driver.feed(events.CatalogRead(dataclasses.replace(
             catalog, revision=11, services=services)))
         driver.now += 0.1
         self._load(driver, 0, 0)
         out = driver.feed(events.TimerFired(1))
-        self.assertEqual(1, len(support.only(out, effects.Send)))
+        self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
 
     def test_another_engine_is_used_before_a_refusal(self):
         # The engine that caches a prompt's part prefills a very long prompt
@@ -162,13 +163,13 @@
         # engines were idle.
         driver = _driver()
         caching = driver.host.servers["e2"]
-        prefix_cache.remember(caching, "shared", 13_000, 5e5, 0)
+        prefix_cache.add_part(caching, "shared", 13_000, 5e5, 0)
         caching.others.put("host-1", 1, 28_000, 1, driver.now)
         self.assertEqual(0, len(self._arrive(driver, "low")[0]))
         driver.now += 1.01
         caching.others.put("host-1", 1, 28_000, 1, driver.now)
         out = driver.feed(events.TimerFired(1))
-        (sent,) = support.only(out, effects.Send)
+        (sent,) = support.effects_of(out, effects.SendRequest)
         self.assertNotEqual("e2", sent.server.sid)
 
     def test_suspect_engine_has_no_capacity(self):
@@ -185,8 +186,8 @@
         self._load(driver, 9, 90_000)
         dead.others.put("host-1", 0, 0, 0, driver.now)
         out = driver.feed(events.TimerFired(1))
-        self.assertEqual([], support.only(out, effects.Send))
-        self.assertEqual(1, len(support.only(out, effects.Answer)))
+        self.assertEqual([], support.effects_of(out, effects.SendRequest))
+        self.assertEqual(1, len(support.effects_of(out, effects.Answer)))
 
     def test_engine_in_continuous_prefill_gets_no_long_prompts(self):
         # During continuous prefill an engine's streams are five times
@@ -202,11 +203,11 @@
         # million tokens 12.0 million had been prefilled elsewhere before.
         driver = _driver()
         caching = driver.host.servers["e2"]
-        prefix_cache.remember(caching, "shared", 13_000, 5e5, 0)
+        prefix_cache.add_part(caching, "shared", 13_000, 5e5, 0)
         for share, sends in ((0.8, 0), (0.6, 1)):
             driver = _driver()
             caching = driver.host.servers["e2"]
-            prefix_cache.remember(caching, "shared", 13_000, 5e5, 0)
+            prefix_cache.add_part(caching, "shared", 13_000, 5e5, 0)
             for state in driver.host.servers.values():
                 state.busy = share
             caching.others.put("host-1", 1, 28_000, 1, driver.now)
@@ -214,7 +215,8 @@
             driver.now += 1.01
             caching.others.put("host-1", 1, 28_000, 1, driver.now)
             out = driver.feed(events.TimerFired(1))
-            self.assertEqual(sends, len(support.only(out, effects.Send)))
+            self.assertEqual(sends,
+                             len(support.effects_of(out, effects.SendRequest)))
 
     def test_prefill_share_follows_the_load(self):
         driver = _driver()
@@ -240,15 +242,15 @@
         out = driver.feed(events.TimerFired(1), 0.1)
         self.assertEqual(
             ["e3"], [sent.server.sid for sent
-                     in support.only(out, effects.Send)])
+                     in support.effects_of(out, effects.SendRequest)])
 
     def test_reserved_memory_is_released_when_a_request_ends(self):
         driver = _driver()
         (sent,), _ = self._arrive(driver, "top")
         state = driver.host.servers[sent.server.sid]
         self.assertEqual(13_700, state.memory)
-        driver.feed(events.Opened(1, 0, None), 0.1)
-        driver.feed(events.Ended(1, 0), 0.1)
+        driver.feed(events.StreamOpened(1, 0, None), 0.1)
+        driver.feed(events.StreamEnded(1, 0), 0.1)
         self.assertEqual(0, state.memory)
 
     def test_callers_retry_has_the_same_limits_as_a_new_request(self):
@@ -263,11 +265,12 @@
 
     def test_peers_are_told_of_a_send_at_once(self):
         driver = _driver()
-        driver.feed(events.Heard(
+        driver.feed(events.PeerStateReceived(
             support.peer(), True, False, 10, 5, reads_store=True))
         _, out = self._arrive(driver, "top")
-        told = [effect.event for effect in support.only(out, effects.Tell)]
-        self.assertEqual([events.LoadHeard], [type(e) for e in told])
+        told = [effect.event
+                for effect in support.effects_of(out, effects.SendToPeer)]
+        self.assertEqual([events.PeerLoadsReceived], [type(e) for e in told])
         ((sid, count, tokens, reading, _, gaps, memory),) = told[0].loads
         self.assertEqual((1, 13_500, 1), (count, tokens, reading))
         self.assertEqual(((0, 400, 1),), gaps)
@@ -277,19 +280,20 @@
         # A busy host changes the load of engines a hundred times a second,
         # and each change was sent to nine hosts in its own message.
         driver = _driver()
-        driver.feed(events.Heard(
+        driver.feed(events.PeerStateReceived(
             support.peer(), True, False, 10, 5, reads_store=True))
         self._arrive(driver, "top", 1)
         due, told = [], []
         for key in range(2, 8):
             driver.now += 0.001
             _, out = self._arrive(driver, "top", key)
-            due += support.only(out, effects.TellLoads)
-            told += support.only(out, effects.Tell)
+            due += support.effects_of(out, effects.ScheduleLoadsDue)
+            told += support.effects_of(out, effects.SendToPeer)
         self.assertEqual([], told)
         self.assertEqual(1, len(due))
         driver.now = due[0].at
-        (tell,) = support.only(driver.feed(events.LoadsDue()), effects.Tell)
+        (tell,) = support.effects_of(driver.feed(events.LoadsDue()),
+                                     effects.SendToPeer)
         self.assertEqual(
             {sid for pending in driver.host.pending.values()
              for sid in [pending.tries[0].sid] if pending.key > 1},
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -23,24 +23,24 @@
 
 def _receive_states(driver, **kwargs):
     for number in range(PEERS):
-        driver.feed(events.Heard(
+        driver.feed(events.PeerStateReceived(
             support.peer(f"host-{number}", capacity=0.9), True, False, 10,
             5, **kwargs))
 
 
 def _count(driver):
-    return len(fleet.carriers(driver.host, driver.now))
+    return len(fleet.serving_hosts(driver.host, driver.now))
 
 
 def _send_requests(driver, requests):
     """Have callers send this many requests, spread over the window."""
     for number in range(requests):
-        driver.feed(events.Arrived(number, support.request()),
+        driver.feed(events.RequestReceived(number, support.request()),
                     WINDOW_S / requests)
     _receive_states(driver)
-    fleet.changed(driver.host)
+    fleet.invalidate_serving_hosts(driver.host)
     driver.feed(events.Ticked())
-    fleet.changed(driver.host)
+    fleet.invalidate_serving_hosts(driver.host)
 
 
 class CarryingTest(unittest.TestCase):
@@ -49,48 +49,49 @@
     def test_a_lightly_loaded_fleet_of_equal_hosts_has_few(self):
         # 300 equal hosts all served callers and reported to 12 others at a
         # time: each knew a twentieth of the load of engines.
-        self.assertEqual(serving.CARRIERS_FEW, _count(_driver()))
+        self.assertEqual(serving.BASE_SERVING_HOSTS, _count(_driver()))
 
     def test_all_hosts_of_a_fleet_agree_on_serving_hosts(self):
         world = hosts.new_world(PEERS, 0)
         world.run(3)
-        found = {tuple(peer.name for peer in fleet.carriers(
+        found = {tuple(peer.name for peer in fleet.serving_hosts(
             host, world.now)) for host in world.hosts.values()}
         self.assertEqual(1, len(found))
 
     def test_more_hosts_serve_when_requests_need_them(self):
         # Twice the target rate of the base number of serving hosts.
         driver = _driver()
-        wanted = 2 * serving.CARRIERS_FEW
+        wanted = 2 * serving.BASE_SERVING_HOSTS
         _send_requests(driver, int(2 * serving.TARGET_RATE * WINDOW_S))
         self.assertTrue(driver.host.me.name in {
-            peer.name for peer in fleet.carriers(driver.host, driver.now)})
+            peer.name
+            for peer in fleet.serving_hosts(driver.host, driver.now)})
         self.assertAlmostEqual(wanted, _count(driver), delta=2)
 
     def test_a_reported_number_is_valid_for_its_ttl_on_all_hosts(self):
         driver = _driver()
-        _receive_states(driver, wanted=serving.Wanted(40, 0.0))
-        fleet.changed(driver.host)
+        _receive_states(driver, wanted=serving.ServingDemand(40, 0.0))
+        fleet.invalidate_serving_hosts(driver.host)
         self.assertEqual(40, _count(driver))
-        _receive_states(driver, wanted=serving.Wanted(30, 0.0))
-        fleet.changed(driver.host)
+        _receive_states(driver, wanted=serving.ServingDemand(30, 0.0))
+        fleet.invalidate_serving_hosts(driver.host)
         self.assertEqual(40, _count(driver))
         driver.now += serving.DEMAND_TTL_S
         _receive_states(driver)
-        fleet.changed(driver.host)
-        self.assertEqual(serving.CARRIERS_FEW, _count(driver))
+        fleet.invalidate_serving_hosts(driver.host)
+        self.assertEqual(serving.BASE_SERVING_HOSTS, _count(driver))
 
     def test_hosts_that_pass_on_a_number_do_not_keep_it_valid(self):
         # After a burst, hosts that sent its number to each other would
         # keep it valid and never reduce the serving hosts.
         pair = [_driver().host, _driver().host]
         now = support.NOW
-        serving.merge(pair[0], serving.Wanted(50, 0.0), now)
+        serving.merge(pair[0], serving.ServingDemand(50, 0.0), now)
         for _ in range(200):
             now += 0.1
             for one, other in (pair, reversed(pair)):
                 serving.merge(other, serving.advertised(one, now), now)
-        self.assertEqual(serving.CARRIERS_FEW,
+        self.assertEqual(serving.BASE_SERVING_HOSTS,
                          serving.serving_host_limit(pair[0], now))
 
 
@@ -102,19 +103,19 @@
         driver = support.Driver(support.stream(), servers=[
             support.server("e1", "engines")])
         for number in range(serving_count - 1):
-            driver.feed(events.Heard(
+            driver.feed(events.PeerStateReceived(
                 support.peer(f"host-{number}", capacity=0.9), True, False,
-                10, 5, wanted=serving.Wanted(serving_count, 0.0)))
-        fleet.changed(driver.host)
+                10, 5, wanted=serving.ServingDemand(serving_count, 0.0)))
+        fleet.invalidate_serving_hosts(driver.host)
         count, due = 0, None
         for _ in range(100):
             driver.host.changed.add("e1")
-            event = events.LoadHeard("host-0", ())
+            event = events.PeerLoadsReceived("host-0", ())
             if due is not None and driver.now >= due:
                 event, due = events.LoadsDue(), None
             out = driver.feed(event, 0.01)
-            count += len(support.only(out, effects.Tell))
-            for effect in support.only(out, effects.TellLoads):
+            count += len(support.effects_of(out, effects.SendToPeer))
+            for effect in support.effects_of(out, effects.ScheduleLoadsDue):
                 due = effect.at
         return count
 
@@ -125,14 +126,14 @@
             driver = support.Driver(support.stream(), servers=[
                 support.server(f"e{n}", "engines") for n in range(2)])
             for number in range(serving_count - 1):
-                driver.feed(events.Heard(
+                driver.feed(events.PeerStateReceived(
                     support.peer(f"host-{number}"), True, False, 10, 5))
             driver.arrive(path="/advice/1", prompt=support.prompt())
-            driver.feed(events.LoadHeard("host-0", tuple(
+            driver.feed(events.PeerLoadsReceived("host-0", tuple(
                 (f"e{n}", 1, 500, 1, 0, (), 500) for n in range(2))))
-            fleet.changed(driver.host)
-            (tell, *_) = support.only(
-                driver.feed(events.Ticked(), 0.3), effects.Tell)
+            fleet.invalidate_serving_hosts(driver.host)
+            (tell, *_) = support.effects_of(
+                driver.feed(events.Ticked(), 0.3), effects.SendToPeer)
             self.assertEqual(rows, len(tell.event.loads))
 
     def test_datagrams_stay_bounded(self):
--- a/tests/entry/test_slots.py
+++ b/tests/entry/test_slots.py
@@ -25,10 +25,10 @@
 
     def _arrive(self, driver, sends):
         self.key += 1
-        out = driver.feed(events.Arrived(self.key, support.request(
+        out = driver.feed(events.RequestReceived(self.key, support.request(
             "/chat/1", prompt=support.prompt(own=100, shared=50),
             rid=f"r{self.key}", deadline_s=15.0)))
-        for send in support.only(out, effects.Send):
+        for send in support.effects_of(out, effects.SendRequest):
             sid = send.server.sid
             self.sent[sid] += 1
             sends.append((driver, sid))
@@ -47,7 +47,7 @@
         for driver in self.drivers:
             for pending in list(driver.host.pending.values()):
                 if pending.tries and not pending.tries[-1].opened:
-                    driver.feed(events.Opened(pending.key, 0, None))
+                    driver.feed(events.StreamOpened(pending.key, 0, None))
 
     def test_hosts_that_learn_of_requests_with_a_delay(self):
         # Seven hosts fill the engines in one order, as long prompts are
--- a/tests/entry/test_tiers.py
+++ b/tests/entry/test_tiers.py
@@ -35,9 +35,9 @@
     def _set_up(self, fetch_token_s):
         self.driver = support.Driver(servers=(FULL, BUSY))
         catalog = support.catalog(CHAT, DRAFT)
-        engines = model.Service("engines", 360, model.Engine(
+        engines = model.Service("engines", 360, model.EngineSpec(
             24, MEMORY, fetch_token_s))
-        self.driver.feed(events.CatalogSeen(dataclasses.replace(
+        self.driver.feed(events.CatalogRead(dataclasses.replace(
             catalog, services={"engines": engines})))
         self.key = 0
         self.waiting = {}
@@ -49,7 +49,7 @@
         host.servers["full"].others.put("h1", 24, 0, 0, now)
         for prompt in (CHAT_PROMPT, DRAFT_PROMPT, LONG_PROMPT):
             part, tokens = prompt.parts[0]
-            prefix_cache.remember(
+            prefix_cache.add_part(
                 host.servers["full"], part, tokens, MEMORY, now)
             host.servers["busy"].parts.clear()
         busy = host.servers["busy"]
@@ -64,13 +64,13 @@
 
     def _record(self, key, out):
         """Record how a request ends; engines serve requests at once."""
-        sent = support.only(out, effects.Send)
-        if not sent and not support.only(out, effects.Answer):
+        sent = support.effects_of(out, effects.SendRequest)
+        if not sent and not support.effects_of(out, effects.Answer):
             return
         self.served[self.waiting.pop(key)].append(bool(sent))
         if sent:
-            self.driver.feed(events.Opened(key, 0, None))
-            self.driver.feed(events.Ended(key, 0))
+            self.driver.feed(events.StreamOpened(key, 0, None))
+            self.driver.feed(events.StreamEnded(key, 0))
 
     def _run(self, *kinds):
         for _ in range(SECONDS * REQUESTS_PER_S):
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -42,8 +42,8 @@
     def test_pause_of_engines_is_exported(self):
         # The pause decides which streams may be delayed by long prompts.
         host = support.Driver().host
-        pause_estimate.note_gap(
-            pause_estimate.of_service(
+        pause_estimate.add_sample(
+            pause_estimate.estimate_of(
                 host, "engines"), 1.0, 0.2)
         text = metrics.new_metrics(host).text().decode()
         self.assertIn(
@@ -52,7 +52,7 @@
     def test_admitted_share_of_each_class_is_exported(self):
         # Shows first if an urgent class is admitted less than others.
         host = support.Driver().host
-        pending_request = support.pending(
+        pending_request = support.request_state(
             support.stream(), prompt=support.prompt())
         class_minimums.note_arrived(host, pending_request, support.NOW)
         text = metrics.new_metrics(host).text().decode()
--- a/tests/gateway/test_pieces.py
+++ b/tests/gateway/test_pieces.py
@@ -43,16 +43,17 @@
 
     def test_round_trip_of_all_events(self):
         for event in (
-                events.Heard(support.peer(), True, False, 3, 4,
-                             (("d", "s"),), (("s", 1, 2, 1, 30),),
-                             (("s", "p", 9),), True, ("host-2",)),
-                events.Heard(support.peer(), True, False, 3, 4,
-                             wall=1.7e9 + 0.25,
-                             leader=duties.Leader(9, "host-2", 7),
-                             wanted=serving.Wanted(30, 1.5)),
+                events.PeerStateReceived(support.peer(), True, False, 3, 4,
+                                         (("d", "s"),), (("s", 1, 2, 1, 30),),
+                                         (("s", "p", 9),), True, ("host-2",)),
+                events.PeerStateReceived(support.peer(), True, False, 3, 4,
+                                         wall=1.7e9 + 0.25,
+                                         leader=duties.Leader(9, "host-2", 7),
+                                         wanted=serving.ServingDemand(30,
+                                                                      1.5)),
                 duties.Usage("host-1", 4, ((7, (("hire", 3),)),)),
-                events.LoadHeard("host-1", (("s", 1, 2, 1, 30),),
-                                 ("t",))):
+                events.PeerLoadsReceived("host-1", (("s", 1, 2, 1, 30),),
+                                         ("t",))):
             self.assertEqual(event, gossip.decode(gossip.encode(event)))
 
     def test_state_with_thousands_of_servers_fits_a_datagram(self):
@@ -64,9 +65,9 @@
         for state in driver.host.servers.values():
             server_load.note_work(driver.host, state)
         driver.host.servers[servers[-1].sid].mine[1, 0] = 500
-        driver.feed(events.PeersSeen((support.peer("other"),)))
-        tell = support.only(driver.feed(events.Ticked(), 0.3),
-                            effects.Tell)[0]
+        driver.feed(events.PeersListed((support.peer("other"),)))
+        tell = support.effects_of(driver.feed(events.Ticked(), 0.3),
+                                  effects.SendToPeer)[0]
         self.assertLess(len(gossip.encode(tell.event)), 65_000)
         self.assertEqual(servers[-1].sid, tell.event.loads[0][0])
 
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -51,15 +51,16 @@
             self.caller, header_codec.Head((), b"POST", b"/a/1"), b"abc")
         self.exchange.request = model.Request("r1", "POST", "h", "/")
         self.exchange.last_event = last_event
-        send = effects.Send(1, 0, entry_support.server("s1"), 1.0, 0, "",
-                            stream)
+        send = effects.SendRequest(1, 0, entry_support.server("s1"), 1.0, 0,
+                                   "",
+                                   stream)
         attempt = servers.Attempt(self.gateway, self.exchange, send)
         attempt.connection = connections.Connection(attempt)
         self.transport = support.Transport()
         attempt.connection.makeConnection(self.transport)
         self.gateway.on_event = lambda event: (
             attempt.pass_on() if type(event) in (
-                events.Opened, events.Answered) else None)
+                events.StreamOpened, events.ResponseReceived) else None)
         return attempt
 
     def _receive(self, data, end=None, **kwargs):
@@ -75,26 +76,27 @@
     def test_plain_answers(self):
         rows = (
             ("whole", OK + b"Content-Length: 2\r\n\r\nok", None,
-             events.Answered),
+             events.ResponseReceived),
             ("chunked", OK + b"Transfer-Encoding: chunked\r\n\r\n"
-             b"2\r\nok\r\n0\r\n\r\n", None, events.Answered),
-            ("unframed, closed", OK + b"\r\nok", DONE, events.Answered),
+             b"2\r\nok\r\n0\r\n\r\n", None, events.ResponseReceived),
+            ("unframed, closed", OK + b"\r\nok", DONE,
+             events.ResponseReceived),
             ("unframed, reset", OK + b"\r\nok", RESET,
-             model.Outcome.BROKEN),
+             model.Outcome.DISCONNECTED),
             ("truncated", OK + b"Content-Length: 9\r\n\r\nok", DONE,
-             model.Outcome.GARBLED),
-            ("reset at once", b"", RESET, model.Outcome.BROKEN),
-            ("closed at once", b"", DONE, model.Outcome.BROKEN),
+             model.Outcome.MALFORMED),
+            ("reset at once", b"", RESET, model.Outcome.DISCONNECTED),
+            ("closed at once", b"", DONE, model.Outcome.DISCONNECTED),
             ("no answer", b"\x00\x01\x02\r\n\r\n", None,
-             model.Outcome.GARBLED),
+             model.Outcome.MALFORMED),
             ("another request's", OK + b"Verdict: foreign\r\n"
-             b"Content-Length: 2\r\n\r\nok", None, model.Outcome.GARBLED),
+             b"Content-Length: 2\r\n\r\nok", None, model.Outcome.MALFORMED),
             ("not run", OK + b"Verdict: not_run\r\n\r\n", None,
              model.Outcome.NOT_RUN),
             ("another server", OK + b"Verdict: misdirected\r\n\r\n", None,
              model.Outcome.MISDIRECTED),
             ("extra bytes", OK + b"Content-Length: 2\r\n\r\nok" + OK,
-             None, events.Answered),
+             None, events.ResponseReceived),
         )
         for name, data, end, expected in rows:
             with self.subTest(name):
@@ -106,11 +108,11 @@
         # that the refusal contained.
         whole = b"Content-Length: 2\r\n\r\nok"
         for verdict, expected in (
-                (b"answer", [events.HintsSeen, events.Answered]),
-                (b"not_run", [events.HintsSeen, events.Broken]),
-                (b"misdirected", [events.Broken]),
-                (b"foreign", [events.Broken]),
-                (b"garbled", [events.Broken])):
+                (b"answer", [events.HintsReceived, events.ResponseReceived]),
+                (b"not_run", [events.HintsReceived, events.AttemptFailed]),
+                (b"misdirected", [events.AttemptFailed]),
+                (b"foreign", [events.AttemptFailed]),
+                (b"garbled", [events.AttemptFailed])):
             with self.subTest(verdict):
                 self._receive(OK + b"Rate: 2\r\nVerdict: " + verdict
                               + b"\r\n" + whole)
@@ -123,14 +125,14 @@
         head = OK + b"Transfer-Encoding: chunked\r\n\r\n"
         body = b"%x\r\n%s\r\n" % (len(EVENTS), EVENTS)
         rows = (
-            ("whole", head + body + b"0\r\n\r\n", None, events.Ended,
+            ("whole", head + body + b"0\r\n\r\n", None, events.StreamEnded,
              [200, EVENTS, "end"]),
             ("reset after an event", head + body, RESET,
-             model.Outcome.BROKEN, [200, EVENTS]),
+             model.Outcome.DISCONNECTED, [200, EVENTS]),
             ("half an event", head + b"5\r\nid: 1\r\n", RESET,
-             model.Outcome.BROKEN, []),
+             model.Outcome.DISCONNECTED, []),
             ("ends in an event", head + body
-             + b"5\r\nid: 3\r\n0\r\n\r\n", None, model.Outcome.GARBLED,
+             + b"5\r\nid: 3\r\n0\r\n\r\n", None, model.Outcome.MALFORMED,
              [200, EVENTS]),
         )
         for name, data, end, expected, sent in rows:
@@ -144,7 +146,7 @@
         # its answer twice.
         data = (OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n"
                 % (len(EVENTS), EVENTS))
-        self.assertEqual(model.Outcome.GARBLED, self._receive(
+        self.assertEqual(model.Outcome.MALFORMED, self._receive(
             data, stream=True, last_event=2))
         self.assertEqual([], self.caller.sent)
 
@@ -173,8 +175,9 @@
         gateway.reactor = testing.MemoryReactorClock()
         exchange = callers.Exchange(
             _Caller(), header_codec.Head((), b"GET", b"/"), b"")
-        send = effects.Send(1, 0, entry_support.server("s1"), 1.0, 0, "",
-                            False)
+        send = effects.SendRequest(1, 0, entry_support.server("s1"), 1.0, 0,
+                                   "",
+                                   False)
         servers.start_attempt(gateway, exchange, send)
         _, _, factory, timeout, _ = gateway.reactor.tcpClients[0]
         connector = gateway.reactor.connectors[0]
--- a/tests/gateway/test_upgrade.py
+++ b/tests/gateway/test_upgrade.py
@@ -11,7 +11,7 @@
 import msgpack
 from tests.entry import support
 
-STATE = events.Heard(
+STATE = events.PeerStateReceived(
     support.peer("h1"), True, False, 3, 4, (("d", "s"),),
     (("s", 1, 2, 1, 30, (), 7),), (("s", "p", 9),), True, ("h2",), 0.5,
     wall=1.7e9, leader=duties.Leader(9, "h1", 7))
@@ -42,7 +42,7 @@
 
     def _sent_datagram(self, event=STATE):
         self.gossip.transport.write.reset_mock()
-        self.gossip.tell(effects.Tell(support.peer("h0"), event))
+        self.gossip.tell(effects.SendToPeer(support.peer("h0"), event))
         calls = self.gossip.transport.write.call_args_list
         return calls[0].args[0] if calls else None
 
@@ -59,7 +59,7 @@
         with self.assertRaises(ValueError):
             decode_as_previous(self._sent_datagram())
         self._receive(gossip.encode_previous(
-            events.Heard(support.peer("h0"), True, False, 3, 4)))
+            events.PeerStateReceived(support.peer("h0"), True, False, 3, 4)))
         name, fields = decode_as_previous(self._sent_datagram())
         self.assertEqual("h1", name)
         self.assertEqual(STATE.loads, fields[5])
@@ -76,16 +76,18 @@
     def test_hints_have_one_format_alone_and_in_states(self):
         rows = (("s1/7", 1.5, 30), ("s2/None", None, 0))
         leave = (("s3", "s3/9"),)
-        for event in (events.HintsHeard("h1", rows, leave),
+        for event in (events.PeerHintsReceived("h1", rows, leave),
                       dataclasses.replace(STATE, rate_limits=rows,
                                           servers_leaving=leave)):
             self.assertEqual(event, gossip.decode(self._sent_datagram(event)))
         self._receive(gossip.encode_previous(
-            events.Heard(support.peer("h0"), True, False, 3, 4)))
-        self.assertIsNone(self._sent_datagram(events.HintsHeard("h1", rows)))
+            events.PeerStateReceived(support.peer("h0"), True, False, 3, 4)))
+        self.assertIsNone(
+            self._sent_datagram(events.PeerHintsReceived("h1", rows)))
 
     def test_upgraded_host_gets_the_current_format(self):
-        previous = events.Heard(support.peer("h0"), True, False, 3, 4)
+        previous = events.PeerStateReceived(support.peer("h0"), True, False, 3,
+                                            4)
         self._receive(gossip.encode_previous(previous))
         self._receive(gossip.encode(previous))
         self.assertEqual(STATE, gossip.decode(self._sent_datagram()))
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -32,8 +32,8 @@
 
 
 def _server_headers(last_event=None, resume=False):
-    send = effects.Send(1, 0, support.server("i-1"), 1.5, 12, "hire",
-                        True, resume)
+    send = effects.SendRequest(1, 0, support.server("i-1"), 1.5, 12, "hire",
+                               True, resume)
     head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
     return dict(headers.new_header_codec().server_headers(
         head, send, last_event))
@@ -83,8 +83,8 @@
     def test_kv_fetch_header_of_a_caller_is_replaced(self):
         # A caller that names an engine could read another caller's cached
         # data.
-        send = effects.Send(1, 0, support.server("i-1"), 1.5, 0, "hire",
-                            True, fetch_from=("10.0.0.9", 8080))
+        send = effects.SendRequest(1, 0, support.server("i-1"), 1.5, 0, "hire",
+                                   True, fetch_from=("10.0.0.9", 8080))
         head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
         rows = self.codec.server_headers(head, send, None)
         self.assertEqual([b"10.0.0.9:8080"], [
--- a/tests/platform/test_reloading.py
+++ b/tests/platform/test_reloading.py
@@ -54,7 +54,7 @@
         self.text = self.text.replace("10.200.1.7:8223", "10.9.9.9:1")
         self.reloader.reload()
         (seen,) = self.gateway.events
-        self.assertIsInstance(seen, events.SettingsSeen)
+        self.assertIsInstance(seen, events.SettingsRead)
         self.assertEqual(7.0, seen.settings.repeat_slack)
         self.assertEqual(("10.9.9.9", 1), self.store.address)
         self.assertEqual([("reload", {
--- a/tests/platform/test_store_watcher.py
+++ b/tests/platform/test_store_watcher.py
@@ -130,7 +130,7 @@
 
     def test_watch_timeout_is_limited_by_apply_s(self):
         self.assertLess(max(self.store.spans), self.host.cfg.apply_s)
-        self.gateway.feed(events.SettingsSeen(entry.Settings(apply_s=0.5)))
+        self.gateway.feed(events.SettingsRead(entry.Settings(apply_s=0.5)))
         self.store.answer("servers", stores.Changes((), 9))
         self.assertEqual(0.5, self.store.spans[-1])
 
@@ -244,7 +244,7 @@
         for obj in (_server("s1", "resting"),
                     {"Meta": {"Name": "s1"}, "Spec": None}):
             self.setUp()
-            self.gateway.feed(events.StoreLost("down"))
+            self.gateway.feed(events.StoreUnavailable("down"))
             self.store.answer("servers", stores.Changes(
                 ((obj, False),), 6))
             self.assertEqual(["s2"], list(self.host.servers))
@@ -326,7 +326,7 @@
         self.assertIn(("watch", "servers", 9), self.store.calls)
 
     def test_snapshot_lists_expiring_servers(self):
-        self.gateway.feed(events.StoreBack())
+        self.gateway.feed(events.StoreAvailable())
         self.host.store_back_at = self.gateway.now
         self.store.answer("servers", stores.Changes(
             ((_server("s2"), True),), 6))
