--- a/bench/elastic.py
+++ b/bench/elastic.py
@@ -38,7 +38,7 @@
 # What the holder's clock shows when the day begins, s.
 CLOCK_S = 1000.0
 SCALING = entry_model.Scaling(
-    least=1, most=20, boot_s=4.0, spot_price=0.2,
+    min_engines=1, max_engines=20, boot_s=4.0, spot_price=0.2,
     prices={"a": 0.9, "b": 1.2, "c": 1.0})
 
 
@@ -153,7 +153,8 @@
 def at_most(duties, shares, serving, now):
     """Have as many spot engines as there may be, always."""
     ordering.sample(duties, SERVICE, shares, now, POLICY)
-    demand.record_need(duties.demands[SERVICE], len(DOMAINS) * SCALING.most,
+    demand.record_need(duties.demands[SERVICE],
+                       len(DOMAINS) * SCALING.max_engines,
                        now)
     return ordering.due(duties, SERVICE, SCALING, serving, now, POLICY)
 
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -52,7 +52,7 @@
         self.spent_s = 0.0
         self.bytes = 0
         # Names of the hosts that carry callers, once all were heard.
-        self.carriers = ()
+        self.serving_hosts = ()
         self.feed(events.Started(fleets.new_peer(
             "me", 1.1 if carries else 0.4)))
         self.feed(events.CatalogRead(model.Catalog(
@@ -72,8 +72,9 @@
     def _hear(self, name):
         data = gossip_codec.encode(events.PeerStateReceived(
             _peer(name), True, False, 1, self.host.servers_revision,
-            reads_store=name == "h0", informed_s=0.1,
-            carriers=self.carriers if name in self.carriers else ()))
+            reads_store=name == "h0", store_data_age_s=0.1,
+            serving_hosts=self.serving_hosts
+            if name in self.serving_hosts else ()))
         self.bytes += len(data)
         began = time.process_time()
         event = gossip_codec.decode(data)
@@ -85,7 +86,7 @@
         for name in self.names:
             self._hear(name)
         fleet.invalidate_serving_hosts(self.host)
-        self.carriers = tuple(peer.name for peer in fleet.serving_hosts(
+        self.serving_hosts = tuple(peer.name for peer in fleet.serving_hosts(
             self.host, self.now))
 
     def tick(self):
@@ -96,12 +97,12 @@
         self.feed(events.Ticked())
 
     def _speakers(self):
-        others = [name for name in self.carriers if name != "me"]
-        if len(others) == len(self.carriers):
+        others = [name for name in self.serving_hosts if name != "me"]
+        if len(others) == len(self.serving_hosts):
             return others[:gossip.CONTACT_COUNT]
         told = min(len(others), gossip.MAX_FANOUT)
         small = max(0, len(self.names) - len(others))
-        contacts = 0.5 * gossip.CONTACT_COUNT * small / len(self.carriers)
+        contacts = 0.5 * gossip.CONTACT_COUNT * small / len(self.serving_hosts)
         drawn = min(round(contacts), len(self.names))
         return (self.rng.sample(others, told)
                 + self.rng.sample(self.names, drawn))
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -49,9 +49,11 @@
     for number, state in enumerate(host.servers.values()):
         for peer in range(PEERS):
             tokens = 6_000 if (number + peer) % 7 == 0 else 0
-            state.others.put(f"h{peer}", 1, tokens, int(tokens > 0), now,
-                             ((0, GAP_MS, 1),), 600)
-        state.loud, state.loud_at = 0.2 * (number % 3), now
+            state.peer_loads.update(f"h{peer}", 1, tokens, int(tokens > 0),
+                                    now,
+                                    ((0, GAP_MS, 1),), 600)
+        state.expected_pause_s, state.expected_pause_at = 0.2 * (
+            number % 3), now
 
 
 def _request(key):
--- a/crocuskeel/core/duties/capacity.py
+++ b/crocuskeel/core/duties/capacity.py
@@ -84,8 +84,8 @@
 def _total(scaling, domains, wanted):
     """Return the wanted number of engines, brought within the limits."""
     places = len(domains)
-    return max(scaling.least * places,
-               min(scaling.most * places, math.ceil(wanted)))
+    return max(scaling.min_engines * places,
+               min(scaling.max_engines * places, math.ceil(wanted)))
 
 
 def _regular_only(scaling, by_price, total):
@@ -96,7 +96,8 @@
 def _spread(scaling, by_price, total):
     """Spread engines evenly; the cheapest domains get the remainder."""
     quotient, remainder = divmod(total, len(by_price))
-    return {domain.name: min(scaling.most, quotient + (index < remainder))
+    return {domain.name: min(scaling.max_engines,
+                             quotient + (index < remainder))
             for index, domain in enumerate(by_price)}
 
 
@@ -113,7 +114,7 @@
             - max(lost, short))
     missing = math.ceil(needed) - left
     while missing > 0:
-        free = [domain.name for domain in by_price if scaling.most > (
+        free = [domain.name for domain in by_price if scaling.max_engines > (
             regular[domain.name] + _spot_places(domain, spot))]
         if not free:
             break
@@ -131,7 +132,7 @@
 def _spot_now(scaling, domain, spot, regular):
     """Return the number of spot engines to order: those that fit now."""
     taken = max(regular[domain.name], domain.asked)
-    return max(0, min(spot[domain.name], scaling.most - taken))
+    return max(0, min(spot[domain.name], scaling.max_engines - taken))
 
 
 def _regular_now(domain, target, keep):
--- a/crocuskeel/core/duties/ordering.py
+++ b/crocuskeel/core/duties/ordering.py
@@ -34,7 +34,7 @@
     used: if a burst comes first, engines ordered then would be too late.
     """
     has_predecessor = any(
-        subject[1] == service for subject in duties.book.asked)
+        subject[1] == service for subject in duties.handover.asked)
     return len(shares) * (policy.use_share if has_predecessor else 1.0)
 
 
@@ -61,7 +61,7 @@
 
 def _domain(duties, service, name, engines):
     regular = engines.get((name, False), 0)
-    asked = duties.book.asked.get(
+    asked = duties.handover.asked.get(
         ("scale", service, name, False), regular)
     spot = duties.calls.get(("scale", service, name, True))
     return capacity.Domain(
@@ -72,7 +72,7 @@
 def _is_due(duties, order, serving, boot_s, now):
     latest = duties.calls.get(order.subject)
     if latest is None:
-        asked = duties.book.asked.get(order.subject, serving)
+        asked = duties.handover.asked.get(order.subject, serving)
         return asked != order.count or serving != order.count
     some_lost, latest.served = serving < latest.served, serving
     if latest.in_progress or latest.retry_at > now:
@@ -90,6 +90,6 @@
     latest.unavailable = outcome is model.Outcome.UNAVAILABLE
     if outcome is model.Outcome.DONE:
         latest.completed_at = now
-        duties.book.asked[latest.call.subject] = latest.call.count
+        duties.handover.asked[latest.call.subject] = latest.call.count
     elif latest.unavailable:
         latest.retry_at = now + UNAVAILABLE_RETRY_S
--- a/crocuskeel/core/duties/reporting.py
+++ b/crocuskeel/core/duties/reporting.py
@@ -27,7 +27,7 @@
     ``wall`` is the wall clock time that hosts agree on, s.
     """
     current = int(wall // report_s)
-    book = duties.book
+    book = duties.handover
     if book.done is None:
         # This is the first holder of all: reports begin with this window.
         book.done = current - 1
@@ -53,11 +53,11 @@
     first: otherwise one report that the platform rejects would delay all
     others for a minute, which is past the time at which they are due.
     """
-    for window in list(duties.book.decided):
+    for window in list(duties.handover.decided):
         if wall > (window + 1) * report_s + due_s + RETRY_LIMIT_S:
             _close(duties, window)
     committed = _committed(duties)
-    ready = sorted(set(duties.book.decided) & set(committed))
+    ready = sorted(set(duties.handover.decided) & set(committed))
     if not ready:
         return None
     later = [window for window in ready
@@ -71,7 +71,7 @@
 
     The record is parsed only when it has changed.
     """
-    record = duties.candidate.lease.committed_record
+    record = duties.lease_state.lease.committed_record
     if record is not duties.committed_record:
         duties.committed_record = record
         try:
@@ -88,5 +88,5 @@
 
 
 def _close(duties, window):
-    duties.book.decided.pop(window, None)
-    duties.book.done = max(duties.book.done or 0, window)
+    duties.handover.decided.pop(window, None)
+    duties.handover.done = max(duties.handover.done or 0, window)
--- a/crocuskeel/core/duties/state.py
+++ b/crocuskeel/core/duties/state.py
@@ -49,7 +49,7 @@
     latest call of each subject, if this host is the holder.
     """
 
-    candidate: leadership.Candidate
+    lease_state: leadership.Candidate
     begun_at: float
     leader: Leader = Leader()
     # When the lease was found to be free.
@@ -62,7 +62,7 @@
     counted_at: dict = dataclasses.field(default_factory=dict)
     reported_to: tuple = ()
     reported_to_since: float = 0.0
-    book: handovers.HandoverState = dataclasses.field(
+    handover: handovers.HandoverState = dataclasses.field(
         default_factory=handovers.HandoverState)
     # The record known to be stored in the lease object, raw and parsed.
     committed_record: dict | None = None
--- a/crocuskeel/core/entry/admission.py
+++ b/crocuskeel/core/entry/admission.py
@@ -81,7 +81,8 @@
     limit = server_load.usable_slots(target, now) * MAX_SLOT_SHARES[rank]
     if server_load.running_requests(target, now) >= limit:
         return False
-    if target.busy > MAX_PREFILL_SHARES[rank] and not is_callers_retry(
+    if target.prefill_share > MAX_PREFILL_SHARES[
+            rank] and not is_callers_retry(
             pending):
         return False
     limit, share = _bounds(pending, rank)
@@ -92,7 +93,7 @@
     if not _keeps_streams_on_time(host, pending, target, now):
         return False
     return server_load.queued_prefill_s(target,
-                                        now) <= share * pending.route.goal_s
+                                        now) <= share * pending.route.target_s
 
 
 def _has_memory(host, pending, target, now):
@@ -107,7 +108,7 @@
     if engine is None or not used:
         return True
     prompt = pending.request.prompt
-    return used + prompt.tokens + prompt.output <= (
+    return used + prompt.tokens + prompt.max_output_tokens <= (
         engine.memory * MAX_MEMORY_SHARE)
 
 
@@ -140,7 +141,7 @@
 
     Parts that it can fetch from another engine need no prefill.
     """
-    return (target.busy <= SPILL_MAX_PREFILL_SHARE
+    return (target.prefill_share <= SPILL_MAX_PREFILL_SHARE
             or prefix_cache.fetchable_tokens(
                 host, pending, prefix_cache.cached_tokens(
                     target, pending.request.prompt)) > 0)
@@ -174,8 +175,8 @@
     be refused as not run.
     """
     if pending.may_have_run:
-        return pending.ends_at
-    return pending.at + QUEUE_TIME_SHARE * pending.route.goal_s
+        return pending.deadline_at
+    return pending.arrived_at + QUEUE_TIME_SHARE * pending.route.target_s
 
 
 def next_check(host, now):
@@ -189,5 +190,5 @@
     Random, so that the callers of one burst don't retry in another burst.
     """
     least, most = RETRY_DELAY_SHARES
-    left = pending.ends_at - now
+    left = pending.deadline_at - now
     return left * (least + (most - least) * host.rng.random())
--- a/crocuskeel/core/entry/attempts.py
+++ b/crocuskeel/core/entry/attempts.py
@@ -34,29 +34,30 @@
     target = host.servers.get(attempt.sid)
     if target is not None:
         _record_first_event(target, attempt, now)
-        target.mine[pending.key, attempt.turn] = 0
+        target.own_attempts[pending.key, attempt.attempt_number] = 0
         ending.mark_load_changed(host, pending, target)
         server_load.note_load(target, event.load, now)
     pending.may_have_run = True
     usage.count_begun(host, pending, now)
     attempt.opened = True
-    pending.passing = attempt.turn
-    pending.progress_at = now
+    pending.forwarded_attempt = attempt.attempt_number
+    pending.last_event_at = now
     out = ending.cancel_others(host, pending, attempt)
-    out.append(effects.ForwardResponse(pending.key, attempt.turn))
+    out.append(effects.ForwardResponse(pending.key, attempt.attempt_number))
     out.append(
         effects.SetRequestTimer(pending.key,
                                 retrying.next_check(pending, now)))
-    out.append(ending.log_line("opened", pending.request, turn=attempt.turn,
-                               server=attempt.sid, load=event.load,
-                               after_s=round(now - attempt.at, 3)))
+    out.append(
+        ending.log_line("opened", pending.request, turn=attempt.attempt_number,
+                        server=attempt.sid, load=event.load,
+                        after_s=round(now - attempt.sent_at, 3)))
     return out
 
 
 def _record_first_event(target, attempt, now):
-    tokens = attempt.fresh_tokens + sum(target.mine.values())
+    tokens = attempt.uncached_tokens + sum(target.own_attempts.values())
     expected = 0.05 + tokens / prefix_cache.PREFILL_TOKENS_PER_S
-    health.record_duration(target, now - attempt.at, expected)
+    health.record_duration(target, now - attempt.sent_at, expected)
     health.note_activity(target, now)
 
 
@@ -65,9 +66,9 @@
     pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
-    gap_s = now - pending.progress_at
+    gap_s = now - pending.last_event_at
     pending.pause_s = max(pending.pause_s, gap_s)
-    pending.progress_at = now
+    pending.last_event_at = now
     target = host.servers.get(attempt.sid)
     if target is not None:
         health.note_activity(target, now)
@@ -77,8 +78,8 @@
 
 def _record_gap(host, pending, target, gap_s, now):
     observed = pause_estimate.estimate_of(host, pending.service)
-    pause_estimate.add_sample(observed, pending.ahead_s, gap_s)
-    pending.ahead_s = server_load.queued_prefill_s(target, now)
+    pause_estimate.add_sample(observed, pending.queued_prefill_s, gap_s)
+    pending.queued_prefill_s = server_load.queued_prefill_s(target, now)
 
 
 def ended(host, event, now):
@@ -89,15 +90,16 @@
     target = host.servers.get(attempt.sid)
     _record_success(host, target, attempt, now)
     ending.finish(host, pending)
-    return [ending.log_line("served", pending.request, turn=attempt.turn,
+    return [ending.log_line("served", pending.request,
+                            turn=attempt.attempt_number,
                             server=attempt.sid,
-                            took_s=round(now - pending.at, 3),
+                            took_s=round(now - pending.arrived_at, 3),
                             pause_s=round(pending.pause_s, 3),
                             gap_s=pending.route.gap_s)]
 
 
 def _record_success(host, target, attempt, now):
-    quarantine.note_completed(host, attempt.incarnation, attempt.at)
+    quarantine.note_completed(host, attempt.incarnation, attempt.sent_at)
     if target is not None:
         health.record_success(target, now)
 
@@ -110,32 +112,35 @@
     target = host.servers.get(attempt.sid)
     ending.close_attempt(host, pending, attempt)
     pending.may_have_run = True
-    usage.count_begun(host, pending, attempt.at)
+    usage.count_begun(host, pending, attempt.sent_at)
     if event.status < SERVER_ERROR:
         return _forward(host, pending, attempt, target, event, now)
     if target is not None:
         health.record_failure(target, now)
-    pending.fallback = attempt.turn
+    pending.fallback = attempt.attempt_number
     if ending.active_attempts(pending):
         return []
-    if pending.passing is None and retrying.may_send_again(host, pending, now):
-        return [ending.log_line("failed", pending.request, turn=attempt.turn,
+    if pending.forwarded_attempt is None and retrying.may_send_again(
+            host, pending, now):
+        return [ending.log_line("failed", pending.request,
+                                turn=attempt.attempt_number,
                                 server=attempt.sid, status=event.status)
                 ] + sending.send(host, pending, now)
     return ending.give_up(host, pending, f"server failed {event.status}", now)
 
 
 def _forward(host, pending, attempt, target, event, now):
-    if pending.passing is not None:
+    if pending.forwarded_attempt is not None:
         return ending.give_up(host, pending, "resume was refused", now)
     if target is not None:
         server_load.note_load(target, event.load, now)
     _record_success(host, target, attempt, now)
     out = ending.cancel_others(host, pending, attempt)
-    out.append(effects.ForwardResponse(pending.key, attempt.turn))
-    out.append(ending.log_line("served", pending.request, turn=attempt.turn,
-                               server=attempt.sid, status=event.status,
-                               took_s=round(now - pending.at, 3)))
+    out.append(effects.ForwardResponse(pending.key, attempt.attempt_number))
+    out.append(
+        ending.log_line("served", pending.request, turn=attempt.attempt_number,
+                        server=attempt.sid, status=event.status,
+                        took_s=round(now - pending.arrived_at, 3)))
     ending.finish(host, pending)
     return out
 
@@ -147,10 +152,11 @@
         return []
     ending.close_attempt(host, pending, attempt)
     _record_failure(host, pending, attempt, event, now)
-    line = ending.log_line("broken", pending.request, turn=attempt.turn,
+    line = ending.log_line("broken", pending.request,
+                           turn=attempt.attempt_number,
                            server=attempt.sid, outcome=event.outcome.value,
                            detail=event.detail,
-                           passing=pending.passing is not None)
+                           passing=pending.forwarded_attempt is not None)
     if ending.active_attempts(pending):
         return [line]
     if _may_retry(host, pending, event.outcome, now):
@@ -162,7 +168,7 @@
     if outcome in NOT_REACHED:
         return pending.connect_attempts < MAX_CONNECT_ATTEMPTS
     if outcome is model.Outcome.NOT_RUN and not pending.may_have_run:
-        return (pending.sent < pending.route.tries
+        return (pending.servers_used < pending.route.max_servers
                 and retry_budget.may_retry(host, pending.service, now))
     return retrying.may_send_again(host, pending, now)
 
@@ -173,27 +179,27 @@
     digest = pending.request.digest
     match event.outcome:
         case model.Outcome.UNREACHABLE | model.Outcome.REFUSED:
-            pending.sent -= 1
-            attempt.fresh_tokens = -1
+            pending.servers_used -= 1
+            attempt.uncached_tokens = -1
             quarantine.record_server_down(host, attempt.sid, now)
             if event.outcome is model.Outcome.REFUSED:
-                host.refusing.add(attempt.sid)
+                host.refused_servers.add(attempt.sid)
             if target is not None:
-                target.unreached = True
+                target.unreachable = True
                 health.record_connection_failure(target, now)
         case model.Outcome.MISDIRECTED:
-            attempt.fresh_tokens = -1
-            pending.sent -= 1
+            attempt.uncached_tokens = -1
+            pending.servers_used -= 1
             if target is not None:
-                target.misdirects = True
+                target.address_reused = True
         case model.Outcome.NOT_RUN:
             if target is not None:
                 _back_off(target, now)
         case _:
             pending.may_have_run = True
             if pending.route.kind is not model.Kind.STREAM:
-                usage.count_begun(host, pending, attempt.at)
-            if event.torn:
+                usage.count_begun(host, pending, attempt.sent_at)
+            if event.disconnected:
                 quarantine.note_disconnect(host, digest, attempt, now)
             if target is not None:
                 health.record_connection_failure(target, now)
@@ -201,5 +207,5 @@
 
 def _back_off(target, now):
     """Back off from a server that sheds load, whatever its known load."""
-    target.heard_at = now
+    target.last_seen_at = now
     target.suspect_until = max(target.suspect_until, now + SHED_BACKOFF_S)
--- a/crocuskeel/core/entry/backoff.py
+++ b/crocuskeel/core/entry/backoff.py
@@ -18,22 +18,22 @@
 def note_backoff(host, attempt, backoff_s, now):
     """Note that the refusal of an attempt asks for a back-off."""
     until = now + min(backoff_s, MAX_BACKOFF_S)
-    if until <= host.rests.get(attempt.incarnation, now):
+    if until <= host.backoff_until.get(attempt.incarnation, now):
         return []
-    host.rests[attempt.incarnation] = until
+    host.backoff_until[attempt.incarnation] = until
     return [effects.LogEvent("server_rests", {
         "server": attempt.sid, "rest_s": backoff_s})]
 
 
 def remaining_s(host, server, now):
     """Return the seconds until a server's back-off ends."""
-    if not host.rests:
+    if not host.backoff_until:
         return 0.0
-    return max(0.0, host.rests.get(server.incarnation, now) - now)
+    return max(0.0, host.backoff_until.get(server.incarnation, now) - now)
 
 
 def forget(host, now):
     """Forget back-offs that have ended."""
-    for incarnation, until in list(host.rests.items()):
+    for incarnation, until in list(host.backoff_until.items()):
         if until <= now:
-            del host.rests[incarnation]
+            del host.backoff_until[incarnation]
--- a/crocuskeel/core/entry/candidates.py
+++ b/crocuskeel/core/entry/candidates.py
@@ -55,4 +55,4 @@
 
 
 def _point(state):
-    return state.point
+    return state.ring_position
--- a/crocuskeel/core/entry/class_minimums.py
+++ b/crocuskeel/core/entry/class_minimums.py
@@ -54,7 +54,7 @@
     at: float = 0.0
     underserved_since: float | None = None
 
-    def share(self):
+    def admitted_share(self):
         """Return the share of its requests that were admitted."""
         return min(1.0, self.sent / self.arrived) if self.arrived else 1.0
 
@@ -73,12 +73,12 @@
 
 def note_sent(host, pending, now):
     """Count a request that is sent to an engine for the first time."""
-    if pending.request.prompt is not None and not pending.sent:
+    if pending.request.prompt is not None and not pending.servers_used:
         _class_stats(host, pending, now).sent += 1.0
 
 
 def _class_stats(host, pending, now):
-    classes = host.served.setdefault(pending.service, {})
+    classes = host.class_stats.setdefault(pending.service, {})
     stats = classes.setdefault(pending.route.name, ClassStats(
         pending.route.priority, at=now))
     _decay(stats, now)
@@ -100,7 +100,7 @@
     own = _class_stats(host, pending, now)
     if own.arrived < MIN_ARRIVED:
         return False
-    classes = host.served[pending.service].values()
+    classes = host.class_stats[pending.service].values()
     for each in classes:
         _decay(each, now)
     arrived = sum(each.arrived for each in classes)
@@ -119,17 +119,17 @@
     guaranteed share as the end, the few requests that the guarantee admits
     would reach it, and the class would wait for UNDERSERVED_S after each.
     """
-    if own.share() >= RECOVERED_SHARE * service_share:
+    if own.admitted_share() >= RECOVERED_SHARE * service_share:
         own.underserved_since = None
     elif own.underserved_since is None:
         own.underserved_since = now
     return (own.underserved_since is not None
             and now >= own.underserved_since + UNDERSERVED_S
-            and own.share() < GUARANTEED_SHARE * service_share)
+            and own.admitted_share() < GUARANTEED_SHARE * service_share)
 
 
 def _excludes(other, own, tokens):
     """Say whether a more urgent class is refused and has smaller requests."""
     return (other.priority < own.priority
-            and 1.0 - other.share() > REFUSED_SHARE
+            and 1.0 - other.admitted_share() > REFUSED_SHARE
             and tokens > LARGER_SIZE_FACTOR * other.mean_tokens())
--- a/crocuskeel/core/entry/cost.py
+++ b/crocuskeel/core/entry/cost.py
@@ -135,7 +135,7 @@
     else:
         cost_s = _engine_cost_s(host, state, prompt, now)
     cost_s *= state.slowness
-    if state.server.domain != host.me.domain:
+    if state.server.domain != host.self_peer.domain:
         cost_s += CROSS_DOMAIN_S
     failing = health.current_failure_rate(state, now)
     if pending.route.kind is model.Kind.STREAM:
@@ -143,7 +143,7 @@
         cost_s += LATE_STREAM_S * failing
     else:
         cost_s += FAILING_S * failing ** 2
-    cost_s += max(0.0, state.cold_until - now)
+    cost_s += max(0.0, state.warm_at - now)
     # Random tie-break: hosts must not all choose the same of equal servers.
     return cost_s + 0.001 * host.rng.random()
 
--- a/crocuskeel/core/entry/duties.py
+++ b/crocuskeel/core/entry/duties.py
@@ -26,7 +26,8 @@
     """Initialize the state of the duties, if there are any."""
     if host.cfg.duties:
         host.duties = states.new_duties(
-            duty_lease.config(host.me.name, host.cfg.lease_s), host.rng, now)
+            duty_lease.config(host.self_peer.name, host.cfg.lease_s), host.rng,
+            now)
 
 
 def peer_state_received(host, event, now):
@@ -44,7 +45,7 @@
     duties = host.duties
     if duties is None:
         return []
-    clock.add_reading(duties.offsets, host.me.name, wall, now)
+    clock.add_reading(duties.offsets, host.self_peer.name, wall, now)
     out = usage.send_counts(host, now)
     if duty_lease.is_holder(duties):
         out += _update_record(host, now)
@@ -58,12 +59,12 @@
     """Decide the ended windows and put the record into the next renewal."""
     duties = host.duties
     wall = clock.wall_time(duties.offsets, now)
-    lease = duties.candidate.lease
+    lease = duties.lease_state.lease
     lines = []
     if REPORT in host.cfg.duties:
-        for window in reporting.decide(duties, host.cfg.report_s, wall):
+        for window in reporting.decide(duties, host.cfg.report_window_s, wall):
             lease.due_at = now
-            counts = duties.book.decided[window]
+            counts = duties.handover.decided[window]
             lines.append(effects.LogEvent("window_decided", {
                 "window": window, "requests": sum(counts.values()),
                 "workspaces": len(counts), "hosts": sum(
@@ -81,7 +82,7 @@
     if REPORT in host.cfg.duties:
         wall = clock.wall_time(duties.offsets, now)
         report = reporting.due(
-            duties, host.cfg.report_s, host.cfg.report_due_s, wall,
+            duties, host.cfg.report_window_s, host.cfg.report_lag_s, wall,
             _failed_window(duties))
         if report is not None and _may_start(duties, report, now):
             calls.append(report)
@@ -126,7 +127,7 @@
     """Return the fraction of its time that an engine is in use."""
     running = server_load.running_requests(state,
                                            now) / max(1, state.server.slots)
-    return min(1.0, max(state.busy, running))
+    return min(1.0, max(state.prefill_share, running))
 
 
 def _count_engines(engines):
@@ -147,7 +148,7 @@
         failures = latest.failures
     duties.calls[call.subject] = states.DutyCall(
         call, in_progress=True, failures=failures)
-    lease = duties.candidate.lease
+    lease = duties.lease_state.lease
     until = duty_lease.acts_until(duties)
     line = effects.LogEvent("duty_sent", {
         "duty": call.subject[0], "fence": lease.fence, **_log_fields(call)})
--- a/crocuskeel/core/entry/duty_lease.py
+++ b/crocuskeel/core/entry/duty_lease.py
@@ -55,40 +55,40 @@
 
 def is_holder(duties):
     """Return whether this host holds the lease, as far as it knows."""
-    return duties.candidate.lease.holding and not duties.releasing
+    return duties.lease_state.lease.holding and not duties.releasing
 
 
 def may_act(duties, now):
     """Return whether this host may do the duties now."""
-    return is_holder(duties) and leases.fresh(duties.candidate, now)
+    return is_holder(duties) and leases.fresh(duties.lease_state, now)
 
 
 def acts_until(duties):
     """Return the time by which a call made now must have ended."""
-    return leases.ends_at(duties.candidate)
+    return leases.ends_at(duties.lease_state)
 
 
 def lease_record(duties):
     """Return the record that this holder hands over to the next one."""
-    return handovers.write(duties.book, duties.tables)
+    return handovers.write(duties.handover, duties.tables)
 
 
 def step(host, now):
     """Renew the lease, or try to acquire it when it is this host's turn."""
     duties = host.duties
-    out = leases.notice_clock(duties.candidate, now)
-    lease = duties.candidate.lease
-    if duties.candidate.stopping and not lease.unsettled:
+    out = leases.notice_clock(duties.lease_state, now)
+    lease = duties.lease_state.lease
+    if duties.lease_state.stopping and not lease.unsettled:
         return _log_records(out + _release(duties, now))
     if lease.holding or lease.unsettled or _is_its_turn(host, now):
-        out += leases.step(duties.candidate, now)
+        out += leases.step(duties.lease_state, now)
     return _log_records(out)
 
 
 def _is_its_turn(host, now):
     """Return whether this host should read the lease, and acquire it."""
     duties = host.duties
-    candidate = duties.candidate
+    candidate = duties.lease_state
     if now < candidate.cooldown_until and candidate.lease.seen_version >= 0:
         return False
     position = _position(host, now)
@@ -106,9 +106,9 @@
 def _position(host, now):
     """Return this host's position among those that may hold the lease."""
     names = [peer.name for peer in fleet.serving_hosts(host, now)]
-    if host.me.name not in names:
+    if host.self_peer.name not in names:
         return None
-    return names.index(host.me.name)
+    return names.index(host.self_peer.name)
 
 
 def lease_read(host, event, now):
@@ -128,7 +128,7 @@
     duties = host.duties
     if duties is None:
         return []
-    candidate = duties.candidate
+    candidate = duties.lease_state
     out = leases.notice_clock(candidate, now)
     fence = candidate.lease.fence
     out += handler(candidate, event, now)
@@ -143,13 +143,13 @@
 
 def _holder_changed(duties, now):
     """Take over the last holder's record, or drop this holder's state."""
-    lease = duties.candidate.lease
+    lease = duties.lease_state.lease
     duties.calls = {}
-    duties.book = handovers.HandoverState()
+    duties.handover = handovers.HandoverState()
     if not lease.holding:
         return []
     try:
-        duties.book, tables = handovers.read(lease.record)
+        duties.handover, tables = handovers.read(lease.record)
     except ValueError as exc:
         return [effects.LogEvent("bad_record", {"why": str(exc)})]
     for name, boot, rows in tables:
@@ -159,7 +159,7 @@
 
 def _update_leader(duties, now):
     """Record what this host itself knows of the lease, for other hosts."""
-    candidate = duties.candidate
+    candidate = duties.lease_state
     lease = candidate.lease
     if lease.holding:
         leader = states.Leader(
@@ -182,20 +182,20 @@
     """Update the state from another host's state.Leader."""
     if leader.version > duties.leader.version:
         _set_leader(duties, leader, now)
-        leases.note_version(duties.candidate, leader.version, now)
+        leases.note_version(duties.lease_state, leader.version, now)
 
 
 def stop(host, now):
     """Release the lease and acquire it no more: the host is stopping."""
     if host.duties is None:
         return []
-    host.duties.candidate.stopping = True
+    host.duties.lease_state.stopping = True
     return step(host, now)
 
 
 def _release(duties, now):
     """Release the lease once no call of a duty is in progress."""
-    candidate = duties.candidate
+    candidate = duties.lease_state
     lease = candidate.lease
     if duties.releasing or lease.open_call or not leases.fresh(
             candidate, now):
@@ -211,7 +211,7 @@
     """Record that the lease is free if the release took effect."""
     if event.status is lease_events.Status.WRITTEN:
         duties.leader = states.Leader(event.version)
-    duties.candidate.lease = leadership.Lease()
+    duties.lease_state.lease = leadership.Lease()
     return [effects.LogEvent("lease_released", {
         "status": event.status.value, "version": event.version})]
 
--- a/crocuskeel/core/entry/ending.py
+++ b/crocuskeel/core/entry/ending.py
@@ -21,43 +21,43 @@
 
 def active_attempts(pending):
     """Return the attempts in progress."""
-    return [attempt for attempt in pending.tries if not attempt.over]
+    return [attempt for attempt in pending.attempts if not attempt.ended]
 
 
-def give_up(host, pending, reason, now, retry_s=BUSY_RETRY_S):
+def give_up(host, pending, reason, now, retry_delay_s=BUSY_RETRY_S):
     """Finish a request with a server's error response or one of our own.
 
-    ``retry_s`` is the retry delay that is given if it has not run.
+    ``retry_delay_s`` is the retry delay that is given if it has not run.
     """
     finish(host, pending)
     line = log_line("gave_up", pending.request, why=reason,
-                    ran=pending.may_have_run, tries=len(pending.tries),
-                    after_s=round(now - pending.at, 3))
-    if pending.passing is not None:
+                    ran=pending.may_have_run, tries=len(pending.attempts),
+                    after_s=round(now - pending.arrived_at, 3))
+    if pending.forwarded_attempt is not None:
         return [effects.AbortStream(pending.key, reason), line]
     if pending.fallback is not None:
         return [effects.ForwardResponse(pending.key, pending.fallback), line]
     if not pending.may_have_run:
-        left = pending.ends_at - now
-        return [refuse(pending.key, left, reason, retry_s), line]
+        left = pending.deadline_at - now
+        return [refuse(pending.key, left, reason, retry_delay_s), line]
     status = BAD_GATEWAY
-    if now >= pending.ends_at:
+    if now >= pending.deadline_at:
         status = GATEWAY_TIMEOUT
     return [effects.Answer(pending.key, status, reason), line]
 
 
-def refuse(key, left_s, reason, retry_s):
+def refuse(key, left_s, reason, retry_delay_s):
     """Respond that a request has not run, with a retry delay."""
     if left_s is not None:
-        retry_s = max(0.0, min(retry_s, left_s * MAX_RETRY_SHARE))
-    return effects.Answer(key, UNAVAILABLE, reason, retry_s)
+        retry_delay_s = max(0.0, min(retry_delay_s, left_s * MAX_RETRY_SHARE))
+    return effects.Answer(key, UNAVAILABLE, reason, retry_delay_s)
 
 
 def cancel_all(host, pending):
     """Cancel all attempts of a request."""
     out = []
     for attempt in active_attempts(pending):
-        out.append(effects.Cancel(pending.key, attempt.turn))
+        out.append(effects.Cancel(pending.key, attempt.attempt_number))
         # The request was sent, so its server may have run it.
         pending.may_have_run = True
         close_attempt(host, pending, attempt)
@@ -70,7 +70,7 @@
     for attempt in active_attempts(pending):
         if attempt is winner:
             continue
-        out.append(effects.Cancel(pending.key, attempt.turn))
+        out.append(effects.Cancel(pending.key, attempt.attempt_number))
         close_attempt(host, pending, attempt)
     return out
 
@@ -78,22 +78,23 @@
 def find_attempt(host, event):
     """Return the request of an event, and its attempt if in progress."""
     pending = host.pending.get(event.key)
-    if pending is None or event.turn >= len(pending.tries):
+    if pending is None or event.attempt_number >= len(pending.attempts):
         return pending, None
-    attempt = pending.tries[event.turn]
-    if attempt.over:
+    attempt = pending.attempts[event.attempt_number]
+    if attempt.ended:
         return pending, None
     return pending, attempt
 
 
 def close_attempt(host, pending, attempt):
     """Mark an attempt as over and remove it from its server's load."""
-    attempt.over = True
+    attempt.ended = True
     target = host.servers.get(attempt.sid)
     if target is None:
         return
-    if target.mine.pop((pending.key, attempt.turn), None) is not None:
-        target.memory -= attempt.memory
+    if target.own_attempts.pop((pending.key, attempt.attempt_number),
+                               None) is not None:
+        target.memory_tokens -= attempt.memory_tokens
         if pending.route.kind is model.Kind.STREAM:
             prefill_pauses.note_stream_ended(target, pending.route)
     mark_load_changed(host, pending, target)
@@ -102,7 +103,7 @@
 def mark_load_changed(host, pending, target):
     """Have an engine's changed load sent to other hosts."""
     if pending.request.prompt is not None:
-        host.changed.add(target.server.sid)
+        host.changed_loads.add(target.server.sid)
 
 
 def finish(host, pending):
--- a/crocuskeel/core/entry/events.py
+++ b/crocuskeel/core/entry/events.py
@@ -1,7 +1,7 @@
 """Events that an entry host handles.
 
-``key`` numbers a request at this host, ``turn`` one of its attempts at
-backend servers.
+``key`` numbers a request at this host, ``attempt_number`` one of its
+attempts at backend servers.
 """
 
 import dataclasses
@@ -77,7 +77,7 @@
     """
 
     key: int
-    turn: int
+    attempt_number: int
     hints: model.Hints
 
 
@@ -89,7 +89,7 @@
     """
 
     key: int
-    turn: int
+    attempt_number: int
     load: tuple | None
 
 
@@ -98,7 +98,7 @@
     """More of a stream was received."""
 
     key: int
-    turn: int
+    attempt_number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
     """A stream that was forwarded to the caller is complete."""
 
     key: int
-    turn: int
+    attempt_number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -114,24 +114,24 @@
     """A complete response that isn't a stream was received."""
 
     key: int
-    turn: int
+    attempt_number: int
     status: int
     load: tuple | None
-    stamped: bool
+    has_stamp_header: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptFailed:
     """An attempt ended without a response; ``detail`` is for the log.
 
-    ``torn``: the server's connection ended, as it does in a crash.
+    ``disconnected``: the server's connection ended, as it does in a crash.
     """
 
     key: int
-    turn: int
+    attempt_number: int
     outcome: model.Outcome
     detail: str = ""
-    torn: bool = False
+    disconnected: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -207,16 +207,16 @@
     """The state of another host, received as a datagram.
 
     ``reads_store``: it reads the store itself, successfully.
-    ``informed_s``: maximum age of its information from the store, s.
-    ``carriers`` names serving hosts that it knows to be ready.
+    ``store_data_age_s``: maximum age of its information from the store, s.
+    ``serving_hosts`` names serving hosts that it knows to be ready.
     ``wall`` is its wall clock time, s since 1970, None if it has no
-    duties; ``leader`` is the holder of the duties' lease. ``wanted``: how
-    many hosts that serve callers are needed. ``rate_limits``
-    and ``servers_leaving`` are as in PeerHintsReceived.
+    duties; ``leader`` is the holder of the duties' lease. ``serving_demand``:
+    how many hosts that serve callers are needed. ``rate_limits`` and
+    ``servers_leaving`` are as in PeerHintsReceived.
 
-    ``crashed`` holds (digest, incarnation) for each request during which
-    a server crashed; ``loads`` is as in PeerLoadsReceived, and ``parts`` holds
-    the (server id, part, tokens) that it recently sent to servers.
+    ``crashes`` holds (digest, incarnation) for each request during which
+    a server crashed; ``loads`` is as in PeerLoadsReceived, and ``parts``
+    holds the (server id, part, tokens) that it recently sent to servers.
     """
 
     peer: model.Peer
@@ -224,15 +224,15 @@
     leaving: bool
     catalog_revision: int
     servers_revision: int
-    crashed: tuple = ()
+    crashes: tuple = ()
     loads: tuple = ()
     parts: tuple = ()
     reads_store: bool = False
-    carriers: tuple = ()
-    informed_s: float = math.inf
+    serving_hosts: tuple = ()
+    store_data_age_s: float = math.inf
     wall: float | None = None
     leader: state.Leader = state.Leader()
-    wanted: serving.ServingDemand = serving.ServingDemand(0, 0.0)
+    serving_demand: serving.ServingDemand = serving.ServingDemand(0, 0.0)
     rate_limits: tuple = ()
     servers_leaving: tuple = ()
 
--- a/crocuskeel/core/entry/fleet.py
+++ b/crocuskeel/core/entry/fleet.py
@@ -51,21 +51,21 @@
 
     The same list object is returned until the serving hosts change.
     """
-    if now >= host.carriers_until:
+    if now >= host.serving_hosts_until:
         serving = _serving_hosts(host, now)
-        if serving != host.carriers:
-            host.carriers = serving
-        host.carriers_until = now + SERVING_CACHE_S
-    return host.carriers
+        if serving != host.serving_hosts:
+            host.serving_hosts = serving
+        host.serving_hosts_until = now + SERVING_CACHE_S
+    return host.serving_hosts
 
 
 def invalidate_serving_hosts(host):
     """Invalidate the cache after a host joined or announced to leave."""
-    host.carriers_until = 0.0
+    host.serving_hosts_until = 0.0
 
 
 def _serving_hosts(host, now):
-    live = [host.me] if host.stop_at is None else []
+    live = [host.self_peer] if host.stop_at is None else []
     live += [known.peer for known in host.peers.values()
              if _may_serve(known, now)]
     live.sort(key=lambda peer: (
@@ -79,18 +79,19 @@
 
 
 def _may_serve(known, now):
-    last_sign_at = max(known.heard_at, known.vouched_at)
+    last_sign_at = max(known.last_seen_at, known.confirmed_ready_at)
     return not known.leaving and now - last_sign_at <= PEER_TIMEOUT_S
 
 
 def is_serving_host(host, now):
     """Return whether this host is a serving host."""
-    return any(peer.name == host.me.name for peer in serving_hosts(host, now))
+    return any(peer.name == host.self_peer.name
+               for peer in serving_hosts(host, now))
 
 
 def is_peer_ready(known, now):
     """Return whether a peer that this host hears directly is ready."""
-    return known.ready and now - known.heard_at <= PEER_TIMEOUT_S
+    return known.ready and now - known.last_seen_at <= PEER_TIMEOUT_S
 
 
 def is_large(host):
@@ -106,14 +107,14 @@
         return True
     limit = (SERVING_READER_TIMEOUT_S if is_serving_host(host, now)
              else READER_TIMEOUT_S)
-    return min(_report_age_s(host, now), now - host.seen_at) > limit
+    return min(_report_age_s(host, now), now - host.peers_read_at) > limit
 
 
 def _is_among_readers(host, now):
     """Return whether fewer than READERS serving hosts before this one read."""
     readers = 0
     for peer in serving_hosts(host, now):
-        if peer.name == host.me.name:
+        if peer.name == host.self_peer.name:
             return True
         readers += host.peers[peer.name].reads_store
         if readers >= READERS:
@@ -130,7 +131,7 @@
     permanently: 84 hosts, with 79 calls a second in normal operation. With
     reports through other hosts three hosts read it, with 3.6 calls.
     """
-    return now - host.told_at
+    return now - host.informed_at
 
 
 def store_data_age_s(host, now):
@@ -140,7 +141,7 @@
     least from when it learned of that. Otherwise it would keep other hosts
     from reading the store themselves.
     """
-    if host.store_lost_at is None and host.servers_known and (
+    if host.store_down_since is None and host.servers_loaded and (
             reads_store(host, now)):
         return 0.0
     age = _report_age_s(host, now)
@@ -152,7 +153,7 @@
 
 def is_ready(host):
     """Return whether this host can serve callers."""
-    return (host.catalog is not None and host.servers_known
+    return (host.catalog is not None and host.servers_loaded
             and host.stop_at is None)
 
 
@@ -160,16 +161,16 @@
     """Return the caller-facing addresses of usable serving hosts."""
     reachable = []
     for peer in serving_hosts(host, now):
-        if peer.name == host.me.name:
+        if peer.name == host.self_peer.name:
             usable = is_ready(host)
         else:
             known = host.peers[peer.name]
             usable = (is_peer_ready(known, now)
-                      or now - known.vouched_at <= PEER_TIMEOUT_S)
+                      or now - known.confirmed_ready_at <= PEER_TIMEOUT_S)
         if usable:
-            reachable.append((peer.name, peer.front))
+            reachable.append((peer.name, peer.public_address))
     if len(reachable) > MAX_ADDRESSES:
         # Each host omits different ones, so that all get callers.
         reachable.sort(key=lambda row: routing.cached_unit_hash(
-            host.me.name, row[0]))
+            host.self_peer.name, row[0]))
     return [front for _, front in reachable[:MAX_ADDRESSES]]
--- a/crocuskeel/core/entry/gossip.py
+++ b/crocuskeel/core/entry/gossip.py
@@ -66,18 +66,18 @@
     interval = 0.0 if is_serving else CONTACT_INTERVAL_S
     for peer in contacts:
         known = host.peers[peer.name]
-        if now >= known.told_at + interval - 0.01:
-            known.told_at = now
+        if now >= known.last_sent_at + interval - 0.01:
+            known.last_sent_at = now
             out.append(effects.SendToPeer(peer, state))
     return out
 
 
 def broadcast_change(host, now):
     """Send the state to all contacts at once, as newer data is known."""
-    if now < host.told_news_at + MIN_CHANGE_INTERVAL_S:
+    if now < host.state_pushed_at + MIN_CHANGE_INTERVAL_S:
         # The next periodic state includes it.
         return []
-    host.told_news_at = now
+    host.state_pushed_at = now
     return _broadcast_state(host, now)
 
 
@@ -94,7 +94,7 @@
 def broadcast_hints(host, now):
     """Send the hints in servers' answers to all contacts at once."""
     update = events.PeerHintsReceived(
-        host.me.name, _sample_rows(host, ratelimits.rows(host, now)),
+        host.self_peer.name, _sample_rows(host, ratelimits.rows(host, now)),
         _sample_rows(host, draining.rows(host)))
     return [effects.SendToPeer(peer, update) for peer in _contacts(host, now)]
 
@@ -118,12 +118,12 @@
     each other's requests only with the next periodic state would all send
     to the same idle engine.
     """
-    due_at = host.told_load_at + _load_update_interval_s(host, now)
+    due_at = host.loads_sent_at + _load_update_interval_s(host, now)
     if now >= due_at:
         return _send_loads(host, now)
-    if host.load_is_due:
+    if host.loads_scheduled:
         return []
-    host.load_is_due = True
+    host.loads_scheduled = True
     return [effects.ScheduleLoadsDue(due_at)]
 
 
@@ -140,39 +140,39 @@
 
 def send_load_update(host, event, now):
     """Send the load changes since the last update."""
-    host.load_is_due = False
+    host.loads_scheduled = False
     return _send_loads(host, now)
 
 
 def _send_loads(host, now):
-    host.told_load_at = now
-    changed, host.changed = host.changed, set()
-    refusing, host.refusing = tuple(host.refusing), set()
+    host.loads_sent_at = now
+    changed, host.changed_loads = host.changed_loads, set()
+    refusing, host.refused_servers = tuple(host.refused_servers), set()
     rows = tuple(_load_row(host.servers[sid], now) for sid in changed
                  if sid in host.servers)
-    if host.me is None or not (rows or refusing):
+    if host.self_peer is None or not (rows or refusing):
         return []
-    update = events.PeerLoadsReceived(host.me.name, rows, refusing)
+    update = events.PeerLoadsReceived(host.self_peer.name, rows, refusing)
     return [effects.SendToPeer(peer, update) for peer in _contacts(host, now)]
 
 
 def reply(host, known, now):
     """Send the state to a host that is no contact of this one."""
-    if now < known.told_at + CONTACT_INTERVAL_S / 2:
+    if now < known.last_sent_at + CONTACT_INTERVAL_S / 2:
         return []
     if known.peer.name in {peer.name for peer in _contacts(host, now)}:
         return []
-    known.told_at = now
+    known.last_sent_at = now
     return [effects.SendToPeer(known.peer, _state(host, now, False))]
 
 
 def _contacts(host, now):
     """Return the peers that this host sends its state to unasked."""
     serving = fleet.serving_hosts(host, now)
-    others = [peer for peer in serving if peer.name != host.me.name]
+    others = [peer for peer in serving if peer.name != host.self_peer.name]
     if len(others) == len(serving):
         others.sort(key=lambda peer: routing.cached_unit_hash(
-            host.me.name, peer.name))
+            host.self_peer.name, peer.name))
         return others[:CONTACT_COUNT]
     if len(others) > MAX_FANOUT:
         return host.rng.sample(others, MAX_FANOUT)
@@ -183,28 +183,28 @@
     """Return silent peers that may be back and would be contacts then."""
     min_capacity = min((peer.capacity for peer in contacts), default=0.0)
     silent = [known.peer for known in host.peers.values()
-              if now - known.heard_at > fleet.PEER_TIMEOUT_S
-              and now - known.vouched_at > fleet.PEER_TIMEOUT_S
+              if now - known.last_seen_at > fleet.PEER_TIMEOUT_S
+              and now - known.confirmed_ready_at > fleet.PEER_TIMEOUT_S
               and known.peer.capacity >= min_capacity
-              and now >= known.told_at + SILENT_RETRY_S]
+              and now >= known.last_sent_at + SILENT_RETRY_S]
     return host.rng.sample(silent, min(len(silent), MAX_SILENT_RETRIES))
 
 
 def _state(host, now, with_loads):
     """Return this host's state, ``with_loads`` and prompt parts or not."""
-    reads = fleet.reads_store(host, now) and host.store_lost_at is None
+    reads = fleet.reads_store(host, now) and host.store_down_since is None
     return events.PeerStateReceived(
-        peer=host.me, ready=fleet.is_ready(host),
+        peer=host.self_peer, ready=fleet.is_ready(host),
         leaving=host.stop_at is not None,
         catalog_revision=host.catalog.revision if host.catalog else 0,
         servers_revision=host.servers_revision,
-        crashed=quarantine.recent_crashes(host, now, CRASH_REPEAT_S),
+        crashes=quarantine.recent_crashes(host, now, CRASH_REPEAT_S),
         loads=_load_rows(host, now) if with_loads else (),
         parts=_recent_parts(host, now) if with_loads else (),
-        reads_store=reads and host.servers_known,
-        carriers=_ready_serving_hosts(host, now),
-        informed_s=fleet.store_data_age_s(host, now),
-        wanted=serving.advertised(host, now),
+        reads_store=reads and host.servers_loaded,
+        serving_hosts=_ready_serving_hosts(host, now),
+        store_data_age_s=fleet.store_data_age_s(host, now),
+        serving_demand=serving.advertised(host, now),
         rate_limits=_sample_rows(host, ratelimits.rows(host, now)),
         servers_leaving=_sample_rows(host, draining.rows(host)),
         **_duty_fields(host, now))
@@ -214,7 +214,8 @@
     duties = host.duties
     if duties is None:
         return {}
-    return {"wall": clock.own_wall_time(duties.offsets, host.me.name, now),
+    return {"wall": clock.own_wall_time(duties.offsets, host.self_peer.name,
+                                        now),
             "leader": duties.leader}
 
 
@@ -229,7 +230,7 @@
     if not fleet.is_large(host) or not fleet.is_serving_host(host, now):
         return ()
     return tuple(peer.name for peer in fleet.serving_hosts(host, now)
-                 if peer.name != host.me.name
+                 if peer.name != host.self_peer.name
                  and fleet.is_peer_ready(host.peers[peer.name], now))
 
 
@@ -245,24 +246,26 @@
     since = now - server_load.REPORT_HEARD_S
     if len(fleet.serving_hosts(host, now)) > MAX_FANOUT + 1:
         since = math.inf
-    reported = [state for state in map(host.servers.get, host.working)
-                if state.mine or state.heard_at > since]
+    reported = [state for state in map(host.servers.get, host.active_servers)
+                if state.own_attempts or state.last_seen_at > since]
     if len(reported) > MAX_ROWS:
-        reported.sort(key=lambda state: (not state.mine, -state.heard_at))
+        reported.sort(
+            key=lambda state: (not state.own_attempts, -state.last_seen_at))
     return tuple(_load_row(state, now) for state in reported[:MAX_ROWS])
 
 
 def _load_row(state, now):
-    tokens = state.mine.values()
-    return (state.server.sid, len(state.mine), sum(tokens),
+    tokens = state.own_attempts.values()
+    return (state.server.sid, len(state.own_attempts), sum(tokens),
             sum(count > 0 for count in tokens),
-            int(min(server_load.REPORT_HEARD_S, now - state.heard_at) * 1000),
+            int(min(server_load.REPORT_HEARD_S,
+                    now - state.last_seen_at) * 1000),
             tuple((*kind, streams)
-                  for kind, streams in state.gaps.items()),
-            state.memory)
+                  for kind, streams in state.streams_by_gap.items()),
+            state.memory_tokens)
 
 
 def _recent_parts(host, now):
-    while host.placed and host.placed[0][0] < now - PARTS_REPEAT_S:
-        host.placed.popleft()
-    return tuple({row[1:]: None for row in host.placed})
+    while host.recent_parts and host.recent_parts[0][0] < now - PARTS_REPEAT_S:
+        host.recent_parts.popleft()
+    return tuple({row[1:]: None for row in host.recent_parts})
--- a/crocuskeel/core/entry/health.py
+++ b/crocuskeel/core/entry/health.py
@@ -28,16 +28,16 @@
 
 def note_activity(state, now):
     """Record any sign of life."""
-    state.heard_at = now
+    state.last_seen_at = now
 
 
 def record_success(state, now):
     """Record a successful response."""
     _record_outcome(state, 0.0, now)
     note_activity(state, now)
-    state.strikes = 0
+    state.failure_count = 0
     state.suspect_until = 0.0
-    state.unreached = False
+    state.unreachable = False
 
 
 def record_failure(state, now):
@@ -52,8 +52,8 @@
     if state.suspect_until > now:
         # Failures of requests that were in progress add no information.
         return
-    duration_s = min(MAX_SUSPECT_S, MIN_SUSPECT_S * 2 ** state.strikes)
-    state.strikes += 1
+    duration_s = min(MAX_SUSPECT_S, MIN_SUSPECT_S * 2 ** state.failure_count)
+    state.failure_count += 1
     state.suspect_until = now + duration_s
 
 
@@ -65,10 +65,11 @@
 
 def current_failure_rate(state, now):
     """Return the expected failure rate of a server."""
-    return state.failing * math.exp((state.judged_at - now) / FAILURE_DECAY_S)
+    return state.failure_rate * math.exp(
+        (state.failure_rate_at - now) / FAILURE_DECAY_S)
 
 
 def _record_outcome(state, failure, now):
-    state.failing = current_failure_rate(state, now)
-    state.failing += OUTCOME_WEIGHT * (failure - state.failing)
-    state.judged_at = now
+    state.failure_rate = current_failure_rate(state, now)
+    state.failure_rate += OUTCOME_WEIGHT * (failure - state.failure_rate)
+    state.failure_rate_at = now
--- a/crocuskeel/core/entry/model.py
+++ b/crocuskeel/core/entry/model.py
@@ -39,12 +39,12 @@
 class Prompt:
     """A prompt; ``parts`` holds (id, tokens) in order.
 
-    ``output`` is the maximum number of output tokens.
+    ``max_output_tokens`` is the maximum number of output tokens.
     """
 
     parts: tuple
     tokens: int
-    output: int
+    max_output_tokens: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,8 +69,8 @@
 class Route:
     """A class of requests; times in seconds, ``priority`` 0 is highest.
 
-    ``split`` holds (service, weight). ``tries`` is the maximum number of
-    servers that one request may be sent to. ``gap_s`` is the longest
+    ``split`` holds (service, weight). ``max_servers`` is the maximum
+    number of servers that one request may be sent to. ``gap_s`` is the longest
     pause between events for which a stream counts as on time.
     """
 
@@ -80,8 +80,8 @@
     kind: Kind
     split: tuple
     timeout_s: float
-    goal_s: float
-    tries: int
+    target_s: float
+    max_servers: int
     priority: int
     public: bool
     resumable: bool
@@ -118,8 +118,8 @@
     ``spot_price`` of it. None if there are no spot engines.
     """
 
-    least: int
-    most: int
+    min_engines: int
+    max_engines: int
     boot_s: float
     prices: dict
     spot_price: float | None = None
@@ -127,13 +127,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service; ``connections`` is the limit per server, 0 if unlimited.
+    """A service; ``max_connections`` per server, 0 if unlimited.
 
     ``scaling`` is None where no engines can be ordered.
     """
 
     name: str
-    connections: int
+    max_connections: int
     engine: EngineSpec | None
     scaling: Scaling | None = None
 
@@ -150,9 +150,9 @@
 class Limits:
     """Limits on what a caller may send, in bytes and seconds."""
 
-    head_bytes: int
+    header_bytes: int
     body_bytes: int
-    head_s: float
+    header_s: float
     idle_s: float
 
 
@@ -176,10 +176,10 @@
 class Server:
     """A registered backend server.
 
-    ``cold_s`` is the remaining time of its warm-up. ``born`` is its start
-    time in Unix milliseconds, None if it doesn't report it; it tells the
-    incarnations of one server apart. ``spot``: the server is cheaper, and
-    the platform may reclaim it at short notice.
+    ``warmup_left_s`` is the remaining time of its warm-up. ``started_ms``
+    is its start time in Unix milliseconds, None if it doesn't report it; it
+    tells the incarnations of one server apart. ``spot``: the server is
+    cheaper, and the platform may reclaim it at short notice.
     """
 
     sid: str
@@ -188,14 +188,14 @@
     domain: str
     slots: int
     draining: bool
-    cold_s: float = 0.0
-    born: int | None = None
+    warmup_left_s: float = 0.0
+    started_ms: int | None = None
     spot: bool = False
 
     @property
     def incarnation(self):
         """The identifier of this incarnation of the server."""
-        return f"{self.sid}/{self.born}"
+        return f"{self.sid}/{self.started_ms}"
 
 
 def server_id(incarnation):
@@ -209,18 +209,18 @@
 
     ``rate_limit``: requests a second from all hosts together, None if
     the server sets no limit. ``leaving``: the server will shut down.
-    ``rest_s``: for how long the server asks this host to send nothing,
+    ``backoff_s``: for how long the server asks this host to send nothing,
     s; None if it doesn't ask for that.
     """
 
     rate_limit: float | None = None
     leaving: bool = False
-    rest_s: float | None = None
+    backoff_s: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peer:
-    """An entry host; ``front`` is its address for callers.
+    """An entry host; ``public_address`` is for callers.
 
     ``boot`` tells the incarnations of one host apart; ``capacity`` is its
     share of processor time, in cores.
@@ -229,7 +229,7 @@
     name: str
     boot: int
     domain: str
-    front: str
+    public_address: str
     control: tuple
     gossip: tuple
     capacity: float
--- a/crocuskeel/core/entry/pause_estimate.py
+++ b/crocuskeel/core/entry/pause_estimate.py
@@ -26,13 +26,13 @@
 class PauseEstimate:
     """Estimated pause of a stream during continuous prefill, s."""
 
-    gap_s: float = 0.0
+    pause_s: float = 0.0
     samples: int = 0
 
 
 def estimate_of(host, service):
     """Return the PauseEstimate of a service's engines."""
-    return host.paces.setdefault(service, PauseEstimate())
+    return host.stream_pauses.setdefault(service, PauseEstimate())
 
 
 def add_sample(estimate, ahead_s, gap_s):
@@ -46,17 +46,17 @@
     Streaming for Estimating Quantiles, 2013).
     """
     if (not gap_s <= ahead_s * PREFILL_TIME_ERROR
-            or ahead_s < PREFILL_TIME_ERROR * estimate.gap_s):
+            or ahead_s < PREFILL_TIME_ERROR * estimate.pause_s):
         return
     estimate.samples += 1
     if estimate.samples <= MIN_SAMPLES:
         # The longest of the first samples: updated in steps from the first
         # one on, the estimate of a new host was too low for five seconds.
-        estimate.gap_s = max(estimate.gap_s, gap_s)
-    elif gap_s > estimate.gap_s:
-        estimate.gap_s *= 1 + STEP * QUANTILE
+        estimate.pause_s = max(estimate.pause_s, gap_s)
+    elif gap_s > estimate.pause_s:
+        estimate.pause_s *= 1 + STEP * QUANTILE
     else:
-        estimate.gap_s *= 1 - STEP * (1 - QUANTILE)
+        estimate.pause_s *= 1 - STEP * (1 - QUANTILE)
 
 
 def may_exceed(estimate, gap_s):
@@ -67,4 +67,4 @@
     """
     if estimate.samples < MIN_SAMPLES:
         return True
-    return estimate.gap_s * LONGEST_PAUSE_FACTOR > gap_s
+    return estimate.pause_s * LONGEST_PAUSE_FACTOR > gap_s
--- a/crocuskeel/core/entry/peers.py
+++ b/crocuskeel/core/entry/peers.py
@@ -25,10 +25,10 @@
 
 def handle_peer_list(host, event, now):
     """Add hosts that the store lists; they count as just heard."""
-    host.seen_at = now
+    host.peers_read_at = now
     fleet.invalidate_serving_hosts(host)
     for peer in event.peers:
-        if peer.name != host.me.name:
+        if peer.name != host.self_peer.name:
             host.peers.setdefault(peer.name, states.PeerState(peer, now))
     return gossip.send_state(host, now)
 
@@ -36,7 +36,7 @@
 def handle_peer_state(host, event, now):
     """Handle the state of another host."""
     peer = event.peer
-    if peer.name == host.me.name:
+    if peer.name == host.self_peer.name:
         return []
     out = []
     known = host.peers.get(peer.name)
@@ -45,7 +45,7 @@
         host.peers[peer.name] = known
         fleet.invalidate_serving_hosts(host)
         out.append(effects.LogEvent("peer_up", {"peer": peer.name}))
-    known.heard_at = now
+    known.last_seen_at = now
     known.ready = event.ready
     if known.leaving != event.leaving:
         known.leaving = event.leaving
@@ -53,11 +53,11 @@
     known.catalog_revision = event.catalog_revision
     known.servers_revision = event.servers_revision
     known.reads_store = event.reads_store
-    host.told_at = max(
-        host.told_at, now - event.informed_s - fleet.HOP_DELAY_S)
-    serving.merge(host, event.wanted, now)
+    host.informed_at = max(
+        host.informed_at, now - event.store_data_age_s - fleet.HOP_DELAY_S)
+    serving.merge(host, event.serving_demand, now)
     duties.peer_state_received(host, event, now)
-    for digest, incarnation in event.crashed:
+    for digest, incarnation in event.crashes:
         quarantine.record_crash(host, digest, incarnation, now)
     _apply_loads(host, event, now)
     _apply_serving_hosts(host, event, now)
@@ -75,7 +75,7 @@
         state = host.servers.get(sid)
         # A host that is cut off from a server sees it refuse connections,
         # too. A host with requests there detects a crash by itself.
-        if state is not None and not state.mine:
+        if state is not None and not state.own_attempts:
             health.record_connection_failure(state, now)
     return []
 
@@ -99,10 +99,11 @@
         if state is None:
             continue
         server_load.note_work(host, state)
-        state.others.put(name, count, tokens, reading, now, gaps, memory)
+        state.peer_loads.update(name, count, tokens, reading, now, gaps,
+                                memory)
         prefill_pauses.note_prefill(
             state, server_load.queued_prefill_s(state, now), now)
-        state.heard_at = max(state.heard_at, now - silent_ms / 1000)
+        state.last_seen_at = max(state.last_seen_at, now - silent_ms / 1000)
 
 
 def _engine_memory(host, service):
@@ -111,10 +112,10 @@
 
 
 def _apply_serving_hosts(host, event, now):
-    for name in event.carriers:
+    for name in event.serving_hosts:
         known = host.peers.get(name)
         if known is not None:
-            known.vouched_at = now
+            known.confirmed_ready_at = now
 
 
 def _fetch_if_behind(host, known, now):
@@ -122,14 +123,14 @@
     since = _behind_since(host, known, now)
     if since is None:
         return []
-    if known.catalog_revision == 0 or now < host.fetch_at:
+    if known.catalog_revision == 0 or now < host.next_fetch_at:
         return []
-    reads = fleet.reads_store(host, now) and host.store_lost_at is None
+    reads = fleet.reads_store(host, now) and host.store_down_since is None
     if reads and host.catalog and now < since + STORE_DELAY_S:
         # The store is expected to report the change shortly. The wait is
         # bounded, as it doesn't if this host's watch is stalled.
         return []
-    host.fetch_at = now + FETCH_INTERVAL_S
+    host.next_fetch_at = now + FETCH_INTERVAL_S
     return [effects.FetchCatalog(known.peer)]
 
 
--- a/crocuskeel/core/entry/prefill_pauses.py
+++ b/crocuskeel/core/entry/prefill_pauses.py
@@ -34,12 +34,12 @@
 
 def note_stream_sent(state, route):
     """Count a stream that was sent to an engine."""
-    change_count(state.gaps, _group(route), 1)
+    change_count(state.streams_by_gap, _group(route), 1)
 
 
 def note_stream_ended(state, route):
     """Remove a stream that has ended from the counts."""
-    change_count(state.gaps, _group(route), -1)
+    change_count(state.streams_by_gap, _group(route), -1)
 
 
 def _group(route):
@@ -57,15 +57,16 @@
 
 def note_prefill(state, ahead_s, now):
     """Note that an engine has queued prompts to prefill for ``ahead_s``."""
-    state.loud = max(ahead_s, expected_pause_s(state, now))
-    state.loud_at = now
+    state.expected_pause_s = max(ahead_s, expected_pause_s(state, now))
+    state.expected_pause_at = now
 
 
 def expected_pause_s(state, now):
     """Return the expected pause of an engine's streams, s."""
-    if not state.loud:
+    if not state.expected_pause_s:
         return 0.0
-    return state.loud * math.exp((state.loud_at - now) / PAUSE_DECAY_S)
+    return state.expected_pause_s * math.exp(
+        (state.expected_pause_at - now) / PAUSE_DECAY_S)
 
 
 def late_streams(state, estimate, ahead_s, prefill_s, least_urgent=math.inf):
@@ -77,7 +78,7 @@
     urgent one.
     """
     total = 0.0
-    for gaps in (state.gaps, state.others.gaps):
+    for gaps in (state.streams_by_gap, state.peer_loads.streams_by_gap):
         for (priority, gap_ms), streams in gaps.items():
             gap_s = gap_ms / 1000
             if priority > least_urgent or not pause_estimate.may_exceed(
--- a/crocuskeel/core/entry/prefix_cache.py
+++ b/crocuskeel/core/entry/prefix_cache.py
@@ -71,7 +71,7 @@
     prompt = pending.request.prompt
     if prompt is None:
         return
-    pending.elsewhere = max(
+    pending.cached_elsewhere_tokens = max(
         (_ready_tokens(state, prompt, now) for state in states), default=0)
 
 
@@ -98,7 +98,7 @@
     engine = engine_config(host, pending.service)
     if engine is None or not engine.fetch_token_s:
         return 0
-    tokens = pending.elsewhere - cached
+    tokens = pending.cached_elsewhere_tokens - cached
     if tokens <= 0:
         return 0
     saved_s = tokens * (1 / PREFILL_TOKENS_PER_S - engine.fetch_token_s)
@@ -136,7 +136,8 @@
     if not fetchable_tokens(host, pending, cached_tokens(target, prompt)):
         return None
     sources = [state for state in states if state is not target
-               and _ready_tokens(state, prompt, now) == pending.elsewhere]
+               and _ready_tokens(state, prompt,
+                                 now) == pending.cached_elsewhere_tokens]
     same_domain = [state for state in sources
                    if state.server.domain == target.server.domain]
     return host.rng.choice(same_domain or sources) if sources else None
@@ -149,7 +150,7 @@
     """
     for part, tokens in prompt.parts[:-1]:
         if part not in state.parts:
-            host.placed.append((now, state.server.sid, part, tokens))
+            host.recent_parts.append((now, state.server.sid, part, tokens))
     for part, tokens in prompt.parts:
         add_part(state, part, tokens, memory, prefilled_at)
 
--- a/crocuskeel/core/entry/quarantine.py
+++ b/crocuskeel/core/entry/quarantine.py
@@ -27,9 +27,10 @@
 
 def note_disconnect(host, digest, attempt, now):
     """Record that a server ended the connection of a request."""
-    host.torn = [row for row in host.torn if row[0] > now - CRASH_CONFIRM_S]
-    host.torn.append((now, attempt.sid, attempt.incarnation, digest))
-    together = {row[3] for row in host.torn
+    host.disconnects = [row for row in host.disconnects
+                        if row[0] > now - CRASH_CONFIRM_S]
+    host.disconnects.append((now, attempt.sid, attempt.incarnation, digest))
+    together = {row[3] for row in host.disconnects
                 if row[2] == attempt.incarnation
                 and row[0] > now - CRASH_SPREAD_S}
     if len(together) > 1:
@@ -42,7 +43,7 @@
     The server can't be reached, another host reports that it refuses
     connections, its entry vanished without notice, or it reports a restart.
     """
-    for at, torn_sid, incarnation, digest in host.torn:
+    for at, torn_sid, incarnation, digest in host.disconnects:
         if torn_sid == sid and at > now - CRASH_CONFIRM_S:
             record_crash(host, digest, incarnation, now)
 
@@ -53,18 +54,18 @@
     Connections lost there since then were not due to a crash, which would
     have ended that request as well.
     """
-    host.torn = [row for row in host.torn
-                 if row[2] != incarnation or row[0] < since]
-    for incarnations in host.crashed.values():
+    host.disconnects = [row for row in host.disconnects
+                        if row[2] != incarnation or row[0] < since]
+    for incarnations in host.crashes.values():
         if incarnation in incarnations and incarnations[incarnation] >= since:
             del incarnations[incarnation]
 
 
 def record_crash(host, digest, incarnation, now):
     """Record that a server crashed under a request, here or elsewhere."""
-    if digest not in host.crashed and len(host.crashed) >= MAX_DIGESTS:
-        host.crashed.pop(next(iter(host.crashed)))
-    host.crashed.setdefault(digest, {})[incarnation] = now
+    if digest not in host.crashes and len(host.crashes) >= MAX_DIGESTS:
+        host.crashes.pop(next(iter(host.crashes)))
+    host.crashes.setdefault(digest, {})[incarnation] = now
 
 
 def is_quarantined(host, digest, now):
@@ -74,7 +75,7 @@
 
 def time_left_s(host, digest, now):
     """Return the time left of a request's quarantine, s."""
-    times = sorted(host.crashed.get(digest, {}).values(), reverse=True)
+    times = sorted(host.crashes.get(digest, {}).values(), reverse=True)
     if len(times) < CRASH_LIMIT:
         return 0.0
     return max(0.0, times[CRASH_LIMIT - 1] + QUARANTINE_S - now)
@@ -87,6 +88,6 @@
     request and so prove that it has not crashed.
     """
     return tuple((digest, incarnation)
-                 for digest, incarnations in host.crashed.items()
+                 for digest, incarnations in host.crashes.items()
                  for incarnation, at in incarnations.items()
                  if now - span_s < at <= now - CRASH_SPREAD_S)
--- a/crocuskeel/core/entry/ratelimits.py
+++ b/crocuskeel/core/entry/ratelimits.py
@@ -64,7 +64,7 @@
     if rate is not None:
         return _update(host, attempt.incarnation, rate, now, now)
     # The response may have been delayed since before the limit was set.
-    return _update(host, attempt.incarnation, None, attempt.at, now)
+    return _update(host, attempt.incarnation, None, attempt.sent_at, now)
 
 
 def merge(host, received, now):
@@ -188,6 +188,6 @@
         sharing = heapq.nsmallest(
             int(burst), sharing,
             key=lambda peer: routing.cached_unit_hash(peer.name, sid))
-    if not any(peer.name == host.me.name for peer in sharing):
+    if not any(peer.name == host.self_peer.name for peer in sharing):
         return 0.0, 0.0
     return rate / len(sharing), burst / len(sharing)
--- a/crocuskeel/core/entry/reducer.py
+++ b/crocuskeel/core/entry/reducer.py
@@ -23,7 +23,7 @@
 
 
 def _started(host, event, now):
-    host.me = event.me
+    host.self_peer = event.me
     duties.begin(host, now)
     return []
 
@@ -85,6 +85,6 @@
     if handler is None:
         raise exceptions.UnknownEvent(type(event).__name__)
     out = handler(host, event, now)
-    if host.changed or host.refusing:
+    if host.changed_loads or host.refused_servers:
         out += gossip.schedule_load_update(host, now)
     return out
--- a/crocuskeel/core/entry/registry.py
+++ b/crocuskeel/core/entry/registry.py
@@ -44,7 +44,7 @@
 
 def servers_listed(host, event, now):
     """Apply the full list; missing servers left or their entries expired."""
-    host.servers_known = True
+    host.servers_loaded = True
     listed = {server.sid for server in event.servers}
     listed.update(event.unreadable)
     missing = tuple(sid for sid in host.servers if sid not in listed)
@@ -122,7 +122,7 @@
     known.server = server
     known.lapses_at = None
     if former != server:
-        known.misdirects = False
+        known.address_reused = False
     if former.draining == server.draining:
         return []
     return [effects.LogEvent("server_state", {
@@ -138,7 +138,7 @@
     if host.catalog and server.service not in host.catalog.services:
         return
     for state in addresses.get(server.address, ()):
-        state.misdirects = True
+        state.address_reused = True
 
 
 def _by_address(host):
@@ -155,10 +155,10 @@
 
 def _own_grace_ends(host, removed, now):
     """Return the ends of grace periods of entries that may have expired."""
-    if host.store_lost_at is not None:
+    if host.store_down_since is not None:
         ends_at = math.inf
     elif _store_returned_recently(host, now):
-        ends_at = host.store_back_at + GRACE_S
+        ends_at = host.store_up_since + GRACE_S
     else:
         ends_at = now + GRACE_S
     return dict.fromkeys(_expired_ids(host, removed, now), ends_at)
@@ -168,7 +168,7 @@
     removed_states = [
         host.servers[sid] for sid in removed if sid in host.servers
         and not draining.is_draining(host, host.servers[sid].server)]
-    if host.store_lost_at is not None or (
+    if host.store_down_since is not None or (
             _store_returned_recently(host, now)):
         return {state.server.sid for state in removed_states}
     expired = set()
@@ -182,7 +182,7 @@
 
 
 def _store_returned_recently(host, now):
-    returned_at = host.store_back_at
+    returned_at = host.store_up_since
     return returned_at is not None and now < returned_at + GRACE_S
 
 
@@ -199,7 +199,7 @@
 
 def _delete(host, sid):
     host.servers.pop(sid, None)
-    host.working.pop(sid, None)
+    host.active_servers.pop(sid, None)
     host.lapsing.pop(sid, None)
 
 
@@ -225,9 +225,9 @@
 
 def store_lost(host, event, now):
     """Record that the store does not answer."""
-    if host.store_lost_at is not None:
+    if host.store_down_since is not None:
         return []
-    host.store_lost_at = now
+    host.store_down_since = now
     for state in _expired_servers(host):
         # It can't register again until the store is back.
         state.lapses_at = math.inf
@@ -236,10 +236,10 @@
 
 def store_back(host, event, now):
     """Record that the store answers again."""
-    if host.store_lost_at is None:
+    if host.store_down_since is None:
         return []
-    outage_s = now - host.store_lost_at
-    host.store_back_at = now
+    outage_s = now - host.store_down_since
+    host.store_up_since = now
     _end_store_outage(host, now)
     return [effects.LogEvent("store_back", {"away_s": round(outage_s, 2)})]
 
@@ -250,13 +250,13 @@
     A host that kept waiting for a store that it no longer calls would never
     drop servers that left.
     """
-    if host.store_lost_at is None:
+    if host.store_down_since is None:
         return []
     _end_store_outage(host, now)
     return [effects.LogEvent("store_left", {})]
 
 
 def _end_store_outage(host, now):
-    host.store_lost_at = None
+    host.store_down_since = None
     for state in _expired_servers(host):
         state.lapses_at = min(state.lapses_at, now + GRACE_S)
--- a/crocuskeel/core/entry/requests.py
+++ b/crocuskeel/core/entry/requests.py
@@ -26,7 +26,7 @@
 def request_arrived(host, event, now):
     """Resolve the route of a request and send it, or refuse it."""
     request = event.request
-    if host.catalog is None or not host.servers_known:
+    if host.catalog is None or not host.servers_loaded:
         return [ending.refuse(event.key, request.deadline_s, "starting",
                               STARTING_RETRY_S)]
     resolved = routing.resolve(host.catalog, request)
@@ -48,11 +48,11 @@
     The retry delay may exceed the caller's time limit: a retry before the
     quarantine ends would only be refused again.
     """
-    retry_s = quarantine.time_left_s(host, event.request.digest, now)
+    retry_delay_s = quarantine.time_left_s(host, event.request.digest, now)
     return [effects.Answer(event.key, ending.UNAVAILABLE, "quarantined",
-                           retry_s),
+                           retry_delay_s),
             ending.log_line("quarantined", event.request,
-                            ends_in_s=round(retry_s, 1))]
+                            ends_in_s=round(retry_delay_s, 1))]
 
 
 def _register(host, event, destination, now):
@@ -64,8 +64,8 @@
     pending = states.RequestState(
         key=event.key, request=request, route=destination.route,
         service=destination.service, workspace=destination.workspace,
-        priority=destination.priority, at=now,
-        ends_at=now + left - TIMEOUT_ANSWER_LEAD_S)
+        priority=destination.priority, arrived_at=now,
+        deadline_at=now + left - TIMEOUT_ANSWER_LEAD_S)
     host.pending[event.key] = pending
     retry_budget.note_request(host, destination.service, now)
     class_minimums.note_arrived(host, pending, now)
@@ -77,7 +77,7 @@
     pending = host.pending.get(event.key)
     if pending is None:
         return []
-    if now >= pending.ends_at:
+    if now >= pending.deadline_at:
         return _time_out(host, pending, now)
     if not ending.active_attempts(pending):
         # It is queued on this host until a server has capacity.
@@ -93,7 +93,7 @@
 
 
 def _hedge(host, pending, now):
-    timeout = [effects.SetRequestTimer(pending.key, pending.ends_at)]
+    timeout = [effects.SetRequestTimer(pending.key, pending.deadline_at)]
     if not retrying.may_send_again(host, pending, now):
         return timeout
     return sending.send(host, pending, now)
@@ -111,16 +111,17 @@
     target = host.servers.get(attempt.sid)
     if attempt.opened:
         limit_s = retrying.stall_limit_s(pending) - 0.001
-        silent = now - pending.progress_at >= limit_s
+        silent = now - pending.last_event_at >= limit_s
     else:
         silent = target is None or server_load.is_silent(target, now)
     if not silent or not retrying.may_send_again(host, pending, now):
         return [effects.SetRequestTimer(pending.key,
                                         retrying.next_check(pending, now))]
     out = ending.cancel_all(host, pending)
-    out.append(ending.log_line("moved", pending.request, turn=attempt.turn,
-                               server=attempt.sid,
-                               started=pending.passing is not None))
+    out.append(
+        ending.log_line("moved", pending.request, turn=attempt.attempt_number,
+                        server=attempt.sid,
+                        started=pending.forwarded_attempt is not None))
     if target is not None:
         health.record_connection_failure(target, now)
     return out + sending.send(host, pending, now)
@@ -134,6 +135,6 @@
     out = ending.cancel_all(host, pending)
     ending.finish(host, pending)
     out.append(ending.log_line("caller_left", pending.request,
-                               after_s=round(now - pending.at, 3),
-                               passing=pending.passing is not None))
+                               after_s=round(now - pending.arrived_at, 3),
+                               passing=pending.forwarded_attempt is not None))
     return out
--- a/crocuskeel/core/entry/response_hints.py
+++ b/crocuskeel/core/entry/response_hints.py
@@ -20,8 +20,8 @@
         out += draining.note_response(host, attempt, now)
     if out:
         out += gossip.broadcast_hints(host, now)
-    if received.rest_s is not None:
-        out += backoff.note_backoff(host, attempt, received.rest_s, now)
+    if received.backoff_s is not None:
+        out += backoff.note_backoff(host, attempt, received.backoff_s, now)
     return out
 
 
--- a/crocuskeel/core/entry/restarting.py
+++ b/crocuskeel/core/entry/restarting.py
@@ -25,8 +25,8 @@
 
 def is_restart(former, server):
     """Return whether an entry is of another process than the former one."""
-    return (server.born is not None and former.born is not None
-            and server.born != former.born)
+    return (server.started_ms is not None and former.started_ms is not None
+            and server.started_ms != former.started_ms)
 
 
 def restarted_servers(host, changed):
@@ -42,14 +42,14 @@
     former = host.servers[server.sid]
     state = states.new_server(server, now)
     # Requests in progress count until they end.
-    state.mine = former.mine
-    state.gaps = former.gaps
-    state.memory = former.memory
-    state.asked_at = now if former.mine else 0.0
+    state.own_attempts = former.own_attempts
+    state.streams_by_gap = former.streams_by_gap
+    state.memory_tokens = former.memory_tokens
+    state.busy_since = now if former.own_attempts else 0.0
     host.servers[server.sid] = state
     return [effects.LogEvent("server_restarted", {
-        "server": server.sid, "born": server.born,
-        "mine": len(former.mine)})]
+        "server": server.sid, "born": server.started_ms,
+        "mine": len(former.own_attempts)})]
 
 
 def end_orphaned_attempts(host, servers, now):
@@ -57,9 +57,10 @@
     out = []
     for server in servers:
         for pending, attempt in _orphaned_attempts(host, server, now):
-            out.append(effects.Cancel(pending.key, attempt.turn))
+            out.append(effects.Cancel(pending.key, attempt.attempt_number))
             out += attempts.broken(host, events.AttemptFailed(
-                pending.key, attempt.turn, model.Outcome.DISCONNECTED,
+                pending.key, attempt.attempt_number,
+                model.Outcome.DISCONNECTED,
                 "server restarted"), now)
     return out
 
@@ -67,12 +68,12 @@
 def _orphaned_attempts(host, server, now):
     state = host.servers[server.sid]
     orphaned = []
-    for key, turn in state.mine:
+    for key, attempt_number in state.own_attempts:
         pending = host.pending[key]
-        attempt = pending.tries[turn]
-        active_at = attempt.at
+        attempt = pending.attempts[attempt_number]
+        active_at = attempt.sent_at
         if attempt.opened:
-            active_at = max(active_at, pending.progress_at)
+            active_at = max(active_at, pending.last_event_at)
         if (attempt.incarnation != server.incarnation
                 and active_at <= now - ENTRY_DELAY_S):
             orphaned.append((pending, attempt))
--- a/crocuskeel/core/entry/retrying.py
+++ b/crocuskeel/core/entry/retrying.py
@@ -28,16 +28,16 @@
 def next_check(pending, now):
     """Return when to check the request again."""
     if not pending.route.repeatable:
-        return pending.ends_at
-    if pending.tries[-1].opened:
+        return pending.deadline_at
+    if pending.attempts[-1].opened:
         due = max(now + RECHECK_S,
-                  pending.progress_at + stall_limit_s(pending))
-        return min(pending.ends_at, due)
+                  pending.last_event_at + stall_limit_s(pending))
+        return min(pending.deadline_at, due)
     share = HEDGE_SHARE
     if pending.route.kind is model.Kind.STREAM:
         share = MOVE_SHARE
-    due = pending.tries[-1].at + share * pending.route.goal_s
-    return min(pending.ends_at, max(due, now + RECHECK_S))
+    due = pending.attempts[-1].sent_at + share * pending.route.target_s
+    return min(pending.deadline_at, max(due, now + RECHECK_S))
 
 
 def stall_limit_s(pending):
@@ -49,13 +49,13 @@
     """Return whether this request may be sent to one more server."""
     if not pending.route.repeatable:
         return False
-    if pending.ends_at - now < MIN_SEND_S:
+    if pending.deadline_at - now < MIN_SEND_S:
         return False
-    if _servers_used(host, pending) >= pending.route.tries:
+    if _servers_used(host, pending) >= pending.route.max_servers:
         return False
     if quarantine.is_quarantined(host, pending.request.digest, now):
         return False
-    tried = {attempt.sid for attempt in pending.tries}
+    tried = {attempt.sid for attempt in pending.attempts}
     if not _has_untried_server(host, pending.service, tried, now):
         return False
     return retry_budget.may_retry(host, pending.service, now)
@@ -63,10 +63,10 @@
 
 def _servers_used(host, pending):
     """Return how many servers a request was sent to, but for lost ones."""
-    lost = sum(1 for attempt in pending.tries
-               if attempt.over and attempt.fresh_tokens >= 0
+    lost = sum(1 for attempt in pending.attempts
+               if attempt.ended and attempt.uncached_tokens >= 0
                and _is_lost(host, attempt.sid))
-    return pending.sent - lost
+    return pending.servers_used - lost
 
 
 def _is_lost(host, sid):
@@ -77,7 +77,7 @@
     a third server where two are allowed.
     """
     target = host.servers.get(sid)
-    return target is not None and target.unreached
+    return target is not None and target.unreachable
 
 
 def _has_untried_server(host, service, tried, now):
--- a/crocuskeel/core/entry/sending.py
+++ b/crocuskeel/core/entry/sending.py
@@ -22,14 +22,14 @@
 
 def send(host, pending, now):
     """Send a request to the best server among those not ruled out."""
-    left = pending.ends_at - now
+    left = pending.deadline_at - now
     if left < retrying.MIN_SEND_S:
         return ending.give_up(host, pending, "time is up", now)
     pending.candidates = candidates.pick(host, pending)
     pending.rank = admission.rank(host, pending, now)
     prefix_cache.note_fetchable(
         pending, server_choice.fetch_sources(host, pending, now), now)
-    tried = {attempt.sid for attempt in pending.tries}
+    tried = {attempt.sid for attempt in pending.attempts}
     target = server_choice.choose(host, pending, tried, now)
     if target is None:
         return _wait_for_server(host, pending, tried, now)
@@ -41,9 +41,10 @@
             return _shed(host, pending, full, now)
     attempt, source = _start_attempt(host, pending, target, now)
     order = effects.SendRequest(
-        pending.key, attempt.turn, target.server, left, pending.priority,
+        pending.key, attempt.attempt_number, target.server, left,
+        pending.priority,
         pending.workspace, pending.route.kind is model.Kind.STREAM,
-        resume=pending.passing is not None,
+        resume=pending.forwarded_attempt is not None,
         fetch_from=source.server.address if source else None)
     return [order, _sent_line(host, pending, target, attempt, source, now),
             effects.SetRequestTimer(pending.key,
@@ -52,27 +53,28 @@
 
 def _sent_line(host, pending, target, attempt, source, now):
     """Return the log line of an attempt, with the inputs of the choice."""
-    report_age_s = min(99, now - target.load_at)
+    report_age_s = min(99, now - target.reported_at)
     return ending.log_line(
-        "sent", pending.request, turn=attempt.turn,
+        "sent", pending.request, turn=attempt.attempt_number,
         server=target.server.sid, service=pending.service,
-        mine=len(target.mine),
+        mine=len(target.own_attempts),
         running=server_load.running_requests(target, now),
-        ahead=server_load.queued_tokens(target, now), said=target.load,
-        said_age_s=round(report_age_s, 1), fresh=attempt.fresh_tokens,
+        ahead=server_load.queued_tokens(target, now),
+        said=target.reported_load,
+        said_age_s=round(report_age_s, 1), fresh=attempt.uncached_tokens,
         spill=attempt.reread_tokens, fetch=attempt.fetched_tokens,
         source=source.server.sid if source else "",
         route=pending.route.name, rank=pending.rank,
         priority=pending.priority,
         loud_s=round(prefill_pauses.expected_pause_s(target, now), 3),
-        left_s=round(pending.ends_at - now, 2),
+        left_s=round(pending.deadline_at - now, 2),
         version=host.catalog.version)
 
 
 def _hold(host, pending, now):
     """Hold a request at this host until a server has room."""
     host.held.add(pending.key)
-    due_at = min(pending.ends_at, admission.next_check(host, now))
+    due_at = min(pending.deadline_at, admission.next_check(host, now))
     return [effects.SetRequestTimer(pending.key, due_at)]
 
 
@@ -96,8 +98,8 @@
     free_s = server_choice.available_in_s(host, pending, (), now)
     if not free_s:
         return ending.BUSY_RETRY_S
-    retry_s = admission.retry_delay_s(host, pending, now)
-    return max(retry_s, free_s) if free_s < math.inf else retry_s
+    retry_delay_s = admission.retry_delay_s(host, pending, now)
+    return max(retry_delay_s, free_s) if free_s < math.inf else retry_delay_s
 
 
 def _other_server(host, pending, now):
@@ -131,19 +133,19 @@
     line = ending.log_line("shed", pending.request, server=target.server.sid,
                            route=pending.route.name, rank=pending.rank,
                            priority=pending.priority,
-                           busy=round(target.busy, 2),
+                           busy=round(target.prefill_share, 2),
                            running=server_load.running_requests(target, now),
                            ahead=server_load.queued_tokens(target, now),
                            reading=server_load.queued_prompts(target, now),
                            back=admission.is_callers_retry(pending))
     ending.finish(host, pending)
-    retry_s = admission.retry_delay_s(host, pending, now)
-    return [ending.refuse(pending.key, pending.ends_at - now, "overload",
-                          retry_s), line]
+    retry_delay_s = admission.retry_delay_s(host, pending, now)
+    return [ending.refuse(pending.key, pending.deadline_at - now, "overload",
+                          retry_delay_s), line]
 
 
 def _start_attempt(host, pending, target, now):
-    attempt = states.Attempt(len(pending.tries), target.server.sid,
+    attempt = states.Attempt(len(pending.attempts), target.server.sid,
                              target.server.incarnation, now)
     source = None
     if pending.request.prompt is not None:
@@ -151,19 +153,20 @@
     host.held.discard(pending.key)
     ratelimits.consume_token(host, target.server, now)
     class_minimums.note_sent(host, pending, now)
-    pending.tries.append(attempt)
-    pending.sent += 1
+    pending.attempts.append(attempt)
+    pending.servers_used += 1
     pending.connect_attempts += 1
-    if not target.mine:
-        target.asked_at = now
+    if not target.own_attempts:
+        target.busy_since = now
     server_load.note_work(host, target)
-    target.mine[pending.key, attempt.turn] = attempt.fresh_tokens
+    target.own_attempts[pending.key,
+                        attempt.attempt_number] = attempt.uncached_tokens
     if pending.route.kind is model.Kind.STREAM:
         prefill_pauses.note_stream_sent(target, pending.route)
         prefill_pauses.note_prefill(
             target, server_load.queued_prefill_s(target, now), now)
     ending.mark_load_changed(host, pending, target)
-    if pending.sent > 1:
+    if pending.servers_used > 1:
         retry_budget.note_retry(host, pending.service, now)
     return attempt, source
 
@@ -178,17 +181,18 @@
                                        server_choice.fetch_sources(
                                            host, pending, now), now)
     held = prefix_cache.cached_tokens(target, prompt)
-    attempt.fresh_tokens = prefix_cache.prefill_tokens(host, target, pending)
+    attempt.uncached_tokens = prefix_cache.prefill_tokens(host, target,
+                                                          pending)
     attempt.fetched_tokens = prefix_cache.fetchable_tokens(host, pending, held)
     attempt.reread_tokens = max(
-        0, pending.elsewhere - held - attempt.fetched_tokens)
-    attempt.memory = prompt.tokens + prompt.output
-    target.memory += attempt.memory
+        0, pending.cached_elsewhere_tokens - held - attempt.fetched_tokens)
+    attempt.memory_tokens = prompt.tokens + prompt.max_output_tokens
+    target.memory_tokens += attempt.memory_tokens
     engine = prefix_cache.engine_config(host, pending.service)
     if engine is not None:
         read_at = now + server_load.queued_prefill_s(
             target, now) + server_load.prefill_s(
-            target, attempt.fresh_tokens)
+            target, attempt.uncached_tokens)
         prefix_cache.note_cached(host, target, prompt, engine.memory, now,
                                  read_at)
     return source
--- a/crocuskeel/core/entry/server_choice.py
+++ b/crocuskeel/core/entry/server_choice.py
@@ -94,7 +94,7 @@
     The rest of a rate limit goes to the most urgent queued request first.
     """
     usable = _usable(host, pending, now)
-    if not host.rate_limits and not host.rests:
+    if not host.rate_limits and not host.backoff_until:
         return usable
     preceded = _has_more_urgent(host, pending)
     return [state for state in usable if is_available(host, state, now)
@@ -113,16 +113,16 @@
     limit = _connections(host, pending.service)
     return [state for state in pending.candidates
             if not (draining.is_draining(host, state.server)
-                    or state.misdirects)
+                    or state.address_reused)
             and server_load.running_requests(state, now) < limit]
 
 
 def _connections(host, service):
     """Return how many requests a server may have in progress at a time."""
     known = host.catalog.services.get(service)
-    if known is None or not known.connections:
+    if known is None or not known.max_connections:
         return math.inf
-    return known.connections * CONNECTIONS_SHARE
+    return known.max_connections * CONNECTIONS_SHARE
 
 
 def _is_eligible(state, strict, exclude, now):
--- a/crocuskeel/core/entry/server_load.py
+++ b/crocuskeel/core/entry/server_load.py
@@ -31,17 +31,17 @@
     The connections of a hung or unreachable server stay open. A server that
     works sends events to some host, or prefills the prompts it was sent.
     """
-    if not state.mine:
+    if not state.own_attempts:
         return False
     limit = SILENT_S + PREFILL_SLOWDOWN * (
         queued_tokens(state, now) / prefix_cache.PREFILL_TOKENS_PER_S)
-    return now - max(state.heard_at, state.asked_at) > limit
+    return now - max(state.last_seen_at, state.busy_since) > limit
 
 
 def queued_tokens(state, now):
     """Return the tokens of all hosts that are queued for prefill."""
-    state.others.expire(now)
-    return state.others.tokens + sum(state.mine.values())
+    state.peer_loads.expire(now)
+    return state.peer_loads.queued_tokens + sum(state.own_attempts.values())
 
 
 def queued_prefill_s(state, now):
@@ -56,14 +56,14 @@
 
 def queued_prompts(state, now):
     """Return the number of prompts that an engine has yet to prefill."""
-    state.others.expire(now)
-    return state.others.reading + sum(
-        tokens > 0 for tokens in state.mine.values())
+    state.peer_loads.expire(now)
+    return state.peer_loads.queued_prompts + sum(
+        tokens > 0 for tokens in state.own_attempts.values())
 
 
 def note_work(host, state):
     """Note that a server has work, or that a host reported on it."""
-    host.working[state.server.sid] = None
+    host.active_servers[state.server.sid] = None
 
 
 def sample_prefill(host, now):
@@ -72,25 +72,25 @@
     Only engines with work are sampled: the cost of an idle host must not
     grow with the number of servers.
     """
-    for sid in list(host.working):
+    for sid in list(host.active_servers):
         state = host.servers[sid]
         busy = queued_tokens(state, now) > 0
-        state.busy += BUSY_WEIGHT * (busy - state.busy)
+        state.prefill_share += BUSY_WEIGHT * (busy - state.prefill_share)
         if _is_idle(state, now):
-            state.busy = 0.0
-            del host.working[sid]
+            state.prefill_share = 0.0
+            del host.active_servers[sid]
 
 
 def _is_idle(state, now):
-    return (not state.mine and not state.others.rows
-            and state.busy < MIN_BUSY
-            and state.heard_at < now - REPORT_HEARD_S)
+    return (not state.own_attempts and not state.peer_loads.rows
+            and state.prefill_share < MIN_BUSY
+            and state.last_seen_at < now - REPORT_HEARD_S)
 
 
 def running_requests(state, now):
     """Return the number of requests of all hosts at a server."""
-    state.others.expire(now)
-    return len(state.mine) + state.others.running
+    state.peer_loads.expire(now)
+    return len(state.own_attempts) + state.peer_loads.request_count
 
 
 def usable_slots(state, now):
@@ -104,19 +104,19 @@
     steady load on 70 engines 22 requests were preempted without the
     reserve, none with it.
     """
-    state.others.expire(now)
-    return max(1, state.server.slots - len(state.others.rows))
+    state.peer_loads.expire(now)
+    return max(1, state.server.slots - len(state.peer_loads.rows))
 
 
 def reserved_memory(state, now):
     """Return the tokens that an engine's requests may come to use."""
-    state.others.expire(now)
-    return state.memory + state.others.memory
+    state.peer_loads.expire(now)
+    return state.memory_tokens + state.peer_loads.memory_tokens
 
 
 def note_load(state, load, now):
     """Note the load that a server reports itself."""
     if load is not None:
         active, waiting, _ = load
-        state.load = active + waiting
-        state.load_at = now
+        state.reported_load = active + waiting
+        state.reported_at = now
--- a/crocuskeel/core/entry/serving.py
+++ b/crocuskeel/core/entry/serving.py
@@ -42,11 +42,12 @@
 class ServingDemand:
     """The number of serving hosts that a host found necessary, and when.
 
-    In a datagram ``at`` is the age, s; in a host's state it is the time.
+    In a datagram ``measured_at`` is the age, s; in a host's state it is the
+    time.
     """
 
-    carriers: int
-    at: float
+    serving_hosts: int
+    measured_at: float
 
 
 NO_DEMAND = ServingDemand(0, -math.inf)
@@ -54,13 +55,13 @@
 
 def serving_host_limit(host, now):
     """Return the maximum number of serving hosts."""
-    return max(BASE_SERVING_HOSTS, _current(host, now).carriers)
+    return max(BASE_SERVING_HOSTS, _current(host, now).serving_hosts)
 
 
 def _current(host, now):
-    if now > host.wanted.at + DEMAND_TTL_S:
+    if now > host.serving_demand.measured_at + DEMAND_TTL_S:
         return NO_DEMAND
-    return host.wanted
+    return host.serving_demand
 
 
 def note_own_demand(host, serving, now):
@@ -76,14 +77,16 @@
 def merge(host, wanted, now):
     """Merge the number that another host sent."""
     _replace_if_larger(
-        host, ServingDemand(wanted.carriers, now - wanted.at - HOP_DELAY_S),
+        host, ServingDemand(wanted.serving_hosts,
+                            now - wanted.measured_at - HOP_DELAY_S),
         now)
 
 
 def _replace_if_larger(host, wanted, now):
     known = _current(host, now)
-    if (wanted.carriers, wanted.at) > (known.carriers, known.at):
-        host.wanted = wanted
+    if (wanted.serving_hosts, wanted.measured_at) > (known.serving_hosts,
+                                                     known.measured_at):
+        host.serving_demand = wanted
 
 
 def advertised(host, now):
@@ -91,4 +94,4 @@
     known = _current(host, now)
     if known is NO_DEMAND:
         return ServingDemand(0, 0.0)
-    return ServingDemand(known.carriers, now - known.at)
+    return ServingDemand(known.serving_hosts, now - known.measured_at)
--- a/crocuskeel/core/entry/state.py
+++ b/crocuskeel/core/entry/state.py
@@ -27,7 +27,7 @@
 
     grace_s: float = 8.0
     # Time within which an accepted configuration has to be in force.
-    apply_s: float = 2.0
+    config_apply_s: float = 2.0
     repeat_share: float = 0.2
     repeat_window_s: float = 10.0
     repeat_slack: float = 50.0
@@ -38,33 +38,33 @@
     lease_s: float = 3.0
     # Length of the windows for which usage is reported, and how long after
     # its window a report is due.
-    report_s: float = 5.0
-    report_due_s: float = 10.0
+    report_window_s: float = 5.0
+    report_lag_s: float = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
     """One attempt to have a server run a request.
 
-    ``fresh_tokens`` is how many tokens of the prompt the server had to
+    ``uncached_tokens`` is how many tokens of the prompt the server had to
     read, or -1 once the request is known not to have reached it.
     """
 
-    turn: int
+    attempt_number: int
     sid: str
     # Incarnation of the server that it was sent to.
     incarnation: str
-    at: float
-    fresh_tokens: int = 0
+    sent_at: float
+    uncached_tokens: int = 0
     # Shared tokens that are read again although another server holds them.
     reread_tokens: int = 0
     # Shared tokens that the server was told to fetch from another one.
     fetched_tokens: int = 0
     # Upper bound of the tokens that it occupies in its engine's memory.
-    memory: int = 0
+    memory_tokens: int = 0
     # The first event has arrived; pauses are measured from then on.
     opened: bool = False
-    over: bool = False
+    ended: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -77,28 +77,28 @@
     service: str
     workspace: str
     priority: int
-    at: float
-    ends_at: float
-    tries: list = dataclasses.field(default_factory=list)
+    arrived_at: float
+    deadline_at: float
+    attempts: list = dataclasses.field(default_factory=list)
     # Number of servers that may have run it, and of attempts to reach one.
-    sent: int = 0
+    servers_used: int = 0
     connect_attempts: int = 0
     may_have_run: bool = False
     # The attempt whose response is forwarded to the caller, and when its
     # stream last made progress.
-    passing: int | None = None
-    progress_at: float = 0.0
+    forwarded_attempt: int | None = None
+    last_event_at: float = 0.0
     # The longest pause between two events so far, s.
     pause_s: float = 0.0
     # Time to read the prompts queued at its engine as of its last event, s.
-    ahead_s: float = 0.0
+    queued_prefill_s: float = 0.0
     # The servers considered at its latest placement, and the rank by which
     # it was admitted.
     candidates: list = dataclasses.field(default_factory=list)
     rank: int = 0
     # The largest number of its prompt's shared tokens that one engine has
     # read.
-    elsewhere: int = 0
+    cached_elsewhere_tokens: int = 0
     # Whether it is included in the usage counts.
     usage_counted: bool = False
     # The attempt that got an error response, which is forwarded if no other
@@ -110,45 +110,47 @@
 class ServerState:
     """A backend server and what this host has observed of it.
 
-    ``mine`` maps the (key, turn) of this host's attempts to the tokens
-    still to be read; ``others`` holds the loads reported by other hosts.
+    ``own_attempts`` maps the (key, number) of this host's attempts to the
+    tokens still to be read; ``peer_loads`` holds the loads reported by
+    other hosts.
     ``parts`` holds the prompt parts sent there by any host, least
     recently used first.
     """
 
     server: model.Server
     # Position on the hash ring that all hosts share, in [0, 1).
-    point: float = 0.0
-    mine: dict = dataclasses.field(default_factory=dict)
-    others: loads.PeerLoads = dataclasses.field(
+    ring_position: float = 0.0
+    own_attempts: dict = dataclasses.field(default_factory=dict)
+    peer_loads: loads.PeerLoads = dataclasses.field(
         default_factory=loads.PeerLoads)
     # Number of requests there according to its own latest report.
-    load: int = 0
-    load_at: float = 0.0
-    failing: float = 0.0
-    judged_at: float = 0.0
+    reported_load: int = 0
+    reported_at: float = 0.0
+    failure_rate: float = 0.0
+    failure_rate_at: float = 0.0
     slowness: float = 1.0
-    heard_at: float = 0.0
+    last_seen_at: float = 0.0
     # Share of the last few seconds in which it had prompts to read.
-    busy: float = 0.0
+    prefill_share: float = 0.0
     # Prompt tokens and maximum output tokens of this host's requests there.
-    memory: int = 0
+    memory_tokens: int = 0
     # Number of this host's streams by (priority, allowed pause in ms).
-    gaps: dict = dataclasses.field(default_factory=dict)
-    # The longest pause caused by reading prompts, s, as of ``loud_at``.
-    loud: float = 0.0
-    loud_at: float = 0.0
+    streams_by_gap: dict = dataclasses.field(default_factory=dict)
+    # The longest pause caused by reading prompts, s, as of
+    # ``expected_pause_at``.
+    expected_pause_s: float = 0.0
+    expected_pause_at: float = 0.0
     # Since when this host has continuously had a request there.
-    asked_at: float = 0.0
+    busy_since: float = 0.0
     suspect_until: float = 0.0
-    strikes: int = 0
-    unreached: bool = False
+    failure_count: int = 0
+    unreachable: bool = False
     # Another server responded at its address.
-    misdirects: bool = False
+    address_reused: bool = False
     parts: dict = dataclasses.field(
         default_factory=collections.OrderedDict)
     parts_tokens: int = 0
-    cold_until: float = 0.0
+    warm_at: float = 0.0
     # Set while its store entry, which lapsed in an outage, may still come
     # back.
     lapses_at: float | None = None
@@ -159,15 +161,15 @@
     """Another entry host, as of its latest message."""
 
     peer: model.Peer
-    heard_at: float
+    last_seen_at: float
     ready: bool = False
     leaving: bool = False
     catalog_revision: int = 0
     servers_revision: int = 0
     reads_store: bool = False
-    told_at: float = 0.0
+    last_sent_at: float = 0.0
     # When a third host last reported this one as ready.
-    vouched_at: float = 0.0
+    confirmed_ready_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -176,7 +178,7 @@
 
     cfg: Settings
     rng: random.Random
-    me: model.Peer | None = None
+    self_peer: model.Peer | None = None
     catalog: model.Catalog | None = None
     servers: dict = dataclasses.field(default_factory=dict)
     by_service: dict = dataclasses.field(default_factory=dict)
@@ -189,53 +191,53 @@
     # By incarnation of a server: (server id, since when it is known to be
     # shutting down), and until when it asked this host to send nothing.
     leaving: dict = dataclasses.field(default_factory=dict)
-    rests: dict = dataclasses.field(default_factory=dict)
+    backoff_until: dict = dataclasses.field(default_factory=dict)
     # Ids of servers that have work or were heard of recently.
-    working: dict = dataclasses.field(default_factory=dict)
-    servers_known: bool = False
+    active_servers: dict = dataclasses.field(default_factory=dict)
+    servers_loaded: bool = False
     servers_revision: int = 0
     pending: dict = dataclasses.field(default_factory=dict)
     # By service: the pauses of streams observed at its engines.
-    paces: dict = dataclasses.field(default_factory=dict)
+    stream_pauses: dict = dataclasses.field(default_factory=dict)
     peers: dict = dataclasses.field(default_factory=dict)
     # Hosts that serve callers; the list is recomputed at
-    # ``carriers_until``.
-    carriers: list = dataclasses.field(default_factory=list)
-    carriers_until: float = 0.0
+    # ``serving_hosts_until``.
+    serving_hosts: list = dataclasses.field(default_factory=list)
+    serving_hosts_until: float = 0.0
     # How many serving hosts are needed, as these report it.
-    wanted: serving.ServingDemand = serving.NO_DEMAND
+    serving_demand: serving.ServingDemand = serving.NO_DEMAND
     # Time as of which the newest information from a store reader is valid.
-    told_at: float = -math.inf
+    informed_at: float = -math.inf
     # When the list of hosts was read.
-    seen_at: float = 0.0
+    peers_read_at: float = 0.0
     # By service: times of requests and of repeats within the window.
     arrivals: dict = dataclasses.field(default_factory=dict)
     repeats: dict = dataclasses.field(default_factory=dict)
     # Quarantine: disconnected attempts that are not yet known to be due to
     # a crash, and crashes by request digest.
-    torn: list = dataclasses.field(default_factory=list)
-    crashed: dict = dataclasses.field(default_factory=dict)
-    store_lost_at: float | None = None
-    store_back_at: float | None = None
-    fetch_at: float = 0.0
+    disconnects: list = dataclasses.field(default_factory=list)
+    crashes: dict = dataclasses.field(default_factory=dict)
+    store_down_since: float | None = None
+    store_up_since: float | None = None
+    next_fetch_at: float = 0.0
     # Since when a peer knows a newer configuration or list of servers.
     catalog_behind_at: float | None = None
     servers_behind_at: float | None = None
     # Engines whose changed load was not yet sent to other hosts.
-    changed: set = dataclasses.field(default_factory=set)
+    changed_loads: set = dataclasses.field(default_factory=set)
     # When loads were last sent, and whether the next sending is scheduled.
-    told_load_at: float = 0.0
-    load_is_due: bool = False
+    loads_sent_at: float = 0.0
+    loads_scheduled: bool = False
     # When other hosts were last notified of newer configuration or servers.
-    told_news_at: float = 0.0
+    state_pushed_at: float = 0.0
     # Servers that refused a connection, not yet reported to other hosts.
-    refusing: set = dataclasses.field(default_factory=set)
+    refused_servers: set = dataclasses.field(default_factory=set)
     # By service and class: requests that recently arrived and were admitted.
-    served: dict = dataclasses.field(default_factory=dict)
+    class_stats: dict = dataclasses.field(default_factory=dict)
     # Requests held here until a server has room.
     held: set = dataclasses.field(default_factory=set)
     # Recently sent (server id, part, tokens), each with its time.
-    placed: collections.deque = dataclasses.field(
+    recent_parts: collections.deque = dataclasses.field(
         default_factory=collections.deque)
     # State of the duties for the platform; None if there are none.
     duties: state.Duties | None = None
@@ -253,6 +255,6 @@
 
 def new_server(server, now):
     """Return the state of a newly discovered server."""
-    return ServerState(server=server, heard_at=now,
-                       point=routing.unit_hash(server.sid, "ring"),
-                       cold_until=now + server.cold_s)
+    return ServerState(server=server, last_seen_at=now,
+                       ring_position=routing.unit_hash(server.sid, "ring"),
+                       warm_at=now + server.warmup_left_s)
--- a/crocuskeel/core/entry/usage.py
+++ b/crocuskeel/core/entry/usage.py
@@ -22,7 +22,7 @@
     if wall is None:
         return
     pending.usage_counted = True
-    window = int(wall // host.cfg.report_s)
+    window = int(wall // host.cfg.report_window_s)
     counting.count_request(duties.table, window, pending.workspace)
     duties.counted_at[window] = at
     if len(duties.counted_at) > counting.WINDOWS_KEPT:
@@ -37,7 +37,7 @@
 def send_counts(host, now):
     """Send the recently changed counts of this host to the holder."""
     duties = host.duties
-    duties.tables[host.me.name, host.me.boot] = duties.table
+    duties.tables[host.self_peer.name, host.self_peer.boot] = duties.table
     peer = _recipient(host, now)
     if peer is None:
         return []
@@ -54,7 +54,7 @@
     if not rows:
         return []
     return [effects.SendToPeer(peer, model.Usage(
-        host.me.name, host.me.boot, rows))]
+        host.self_peer.name, host.self_peer.boot, rows))]
 
 
 def _recipient(host, now):
@@ -65,7 +65,7 @@
     hosts serve callers.
     """
     leader = host.duties.leader.host
-    if leader != host.me.name:
+    if leader != host.self_peer.name:
         holder = host.peers.get(leader)
         return holder.peer if holder is not None else None
     others = [peer for peer in fleet.serving_hosts(host, now)
--- a/crocuskeel/gateway/callers.py
+++ b/crocuskeel/gateway/callers.py
@@ -23,8 +23,8 @@
 class Exchange:
     """One request of a caller and its answer.
 
-    ``attempts`` maps a turn to its attempt at a server. ``last_event`` is
-    the id of the last event that was sent to the caller.
+    ``attempts`` maps the number of an attempt at a server to it.
+    ``last_event_id`` is that of the last event that was sent to the caller.
     """
 
     __slots__ = ("attempts", "begun", "body", "conn", "head", "key",
@@ -89,7 +89,7 @@
         self.listener = listener
         self.limits = handler.limits()
         self.h11 = h11.Connection(
-            h11.SERVER, max_incomplete_event_size=self.limits.head_bytes)
+            h11.SERVER, max_incomplete_event_size=self.limits.header_bytes)
         self.exchange = None
         self.lingering = False
         self.timer = None
@@ -123,7 +123,7 @@
                 self.transport.abortConnection()
                 return
         elif self.request is None:
-            self._set_timer(self.limits.head_s, self._head_timed_out)
+            self._set_timer(self.limits.header_s, self._head_timed_out)
         self.h11.receive_data(data)
         self._process_events()
 
--- a/crocuskeel/gateway/gossip.py
+++ b/crocuskeel/gateway/gossip.py
@@ -36,7 +36,8 @@
     return msgpack.packb((
         *_previous_fields(event), event.wall,
         (event.leader.version, event.leader.host, event.leader.fence),
-        (event.wanted.carriers, event.wanted.at), event.rate_limits,
+        (event.serving_demand.serving_hosts, event.serving_demand.measured_at),
+        event.rate_limits,
         event.servers_leaving))
 
 
@@ -55,11 +56,11 @@
 def _previous_fields(event):
     peer = event.peer
     return (
-        (peer.name, peer.boot, peer.domain, peer.front, peer.control,
+        (peer.name, peer.boot, peer.domain, peer.public_address, peer.control,
          peer.gossip, peer.capacity),
         event.ready, event.leaving, event.catalog_revision,
-        event.servers_revision, event.crashed, event.loads, event.parts,
-        event.reads_store, event.carriers, event.informed_s)
+        event.servers_revision, event.crashes, event.loads, event.parts,
+        event.reads_store, event.serving_hosts, event.store_data_age_s)
 
 
 def decode(data):
--- a/crocuskeel/gateway/loop.py
+++ b/crocuskeel/gateway/loop.py
@@ -105,21 +105,21 @@
 def _send_request(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
-        exchange.attempts[effect.turn] = servers.start_attempt(
+        exchange.attempts[effect.attempt_number] = servers.start_attempt(
             gateway, exchange, effect)
 
 
 def _cancel(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
-        exchange.attempts[effect.turn].cancel()
+        exchange.attempts[effect.attempt_number].cancel()
 
 
 def _forward_response(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
-    exchange.attempts[effect.turn].pass_on()
+    exchange.attempts[effect.attempt_number].pass_on()
     if exchange.over:
         gateway.forget(exchange)
 
@@ -128,14 +128,14 @@
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
-    _answer(exchange, effect.status, effect.reason, effect.retry_s)
+    _answer(exchange, effect.status, effect.reason, effect.retry_delay_s)
     gateway.forget(exchange)
 
 
-def _answer(exchange, status, reason, retry_s):
+def _answer(exchange, status, reason, retry_delay_s):
     headers = [JSON_HEADER]
-    if retry_s is not None:
-        headers.append((b"Retry-After", b"%.3f" % retry_s))
+    if retry_delay_s is not None:
+        headers.append((b"Retry-After", b"%.3f" % retry_delay_s))
     exchange.answer(status, headers,
                     json.dumps({"error": reason}).encode())
 
--- a/crocuskeel/gateway/metrics.py
+++ b/crocuskeel/gateway/metrics.py
@@ -29,8 +29,8 @@
         samples = core.CounterMetricFamily(
             "crocuskeel_reading_pauses",
             "Pauses from which it is estimated.", labels=["service"])
-        for service, seen in self.host.paces.items():
-            pause.add_metric([service], seen.gap_s)
+        for service, seen in self.host.stream_pauses.items():
+            pause.add_metric([service], seen.pause_s)
             samples.add_metric([service], seen.samples)
         yield pause
         yield samples
@@ -48,10 +48,11 @@
             "crocuskeel_let_in_share",
             "Share of a class's requests that went to an engine lately.",
             labels=["service", "route", "priority"])
-        for service, classes in self.host.served.items():
+        for service, classes in self.host.class_stats.items():
             for route, seen in classes.items():
                 shares.add_metric(
-                    [service, route, str(seen.priority)], seen.share())
+                    [service, route, str(seen.priority)],
+                    seen.admitted_share())
         yield shares
 
 
@@ -66,7 +67,7 @@
         duties = self.host.duties
         if duties is None:
             return
-        lease = duties.candidate.lease
+        lease = duties.lease_state.lease
         yield core.GaugeMetricFamily(
             "crocuskeel_holds_duties",
             "1 if this host holds the lease of the duties.",
@@ -78,12 +79,12 @@
         yield core.GaugeMetricFamily(
             "crocuskeel_windows_unreported",
             "Windows that were decided and are not reported yet.",
-            value=len(duties.book.decided))
+            value=len(duties.handover.decided))
         engines = core.GaugeMetricFamily(
             "crocuskeel_engines_asked",
             "Engines that this host asked for as the holder.",
             labels=["service", "domain", "kind"])
-        for subject, count in duties.book.asked.items():
+        for subject, count in duties.handover.asked.items():
             _, service, domain, spot = subject
             engines.add_metric(
                 [service, domain, "spot" if spot else "regular"], count)
--- a/crocuskeel/gateway/servers.py
+++ b/crocuskeel/gateway/servers.py
@@ -31,7 +31,7 @@
     def __init__(self, gateway, exchange, send):
         self.gateway = gateway
         self.exchange = exchange
-        self.turn = send.turn
+        self.attempt_number = send.attempt_number
         self.send = send
         self.connection = None
         self.head = None
@@ -62,7 +62,7 @@
     def failed(self, failure, detail):
         """Report a failed connection."""
         self._report(OUTCOMES[failure], detail,
-                     torn=failure is connections.Failure.DISCONNECTED)
+                     disconnected=failure is connections.Failure.DISCONNECTED)
 
     def head_received(self, status, headers):
         """Classify an answer by its head."""
@@ -70,7 +70,7 @@
         verdict = self.gateway.codec.classify(self.exchange.request, head)
         if verdict in AUTHENTIC_VERDICTS:
             self.gateway.feed(events.HintsReceived(
-                self.exchange.key, self.turn,
+                self.exchange.key, self.attempt_number,
                 self.gateway.codec.hints(head)))
         match verdict:
             case header_codec.Verdict.NOT_RUN:
@@ -122,13 +122,13 @@
         if not self.opened:
             self.opened = True
             self.gateway.feed(events.StreamOpened(
-                self.exchange.key, self.turn,
+                self.exchange.key, self.attempt_number,
                 self.gateway.codec.load(self.head)))
             return
         if self.forwarding:
             self._flush()
         self.gateway.feed(
-            events.StreamProgressed(self.exchange.key, self.turn))
+            events.StreamProgressed(self.exchange.key, self.attempt_number))
 
     def _flush(self):
         data, self.events = b"".join(self.events), []
@@ -141,7 +141,7 @@
         if self.splitter is None:
             self.connection.close()
             self.gateway.feed(events.ResponseReceived(
-                self.exchange.key, self.turn, self.head.status,
+                self.exchange.key, self.attempt_number, self.head.status,
                 self.gateway.codec.load(self.head),
                 self.gateway.codec.stamped(self.head)))
             return
@@ -149,7 +149,8 @@
             self._fail(model.Outcome.MALFORMED, "stream ended within an event")
             return
         self.connection.close()
-        self.gateway.feed(events.StreamEnded(self.exchange.key, self.turn))
+        self.gateway.feed(
+            events.StreamEnded(self.exchange.key, self.attempt_number))
         self.exchange.end()
         self.gateway.forget(self.exchange)
 
@@ -172,9 +173,10 @@
         self.connection.close()
         self._report(outcome, detail)
 
-    def _report(self, outcome, detail, torn=False):
+    def _report(self, outcome, detail, disconnected=False):
         self.gateway.feed(events.AttemptFailed(
-            self.exchange.key, self.turn, outcome, detail, torn))
+            self.exchange.key, self.attempt_number, outcome, detail,
+            disconnected))
 
 
 def start_attempt(gateway, exchange, send):
--- a/crocuskeel/platform/boot.py
+++ b/crocuskeel/platform/boot.py
@@ -135,8 +135,8 @@
     default = entry.Settings()
     return entry.Settings(
         grace_s=reader.number("Bounds.GraceS", default.grace_s),
-        apply_s=reader.number(
-            "Bounds.ConfigApplyMs", default.apply_s * 1000) / 1000,
+        config_apply_s=reader.number(
+            "Bounds.ConfigApplyMs", default.config_apply_s * 1000) / 1000,
         repeat_share=reader.number(
             "Bounds.BudgetRatio", default.repeat_share),
         repeat_window_s=reader.number(
@@ -148,6 +148,7 @@
         duties=duties,
         lease_s=reader.number(
             "Bounds.LeaseMs", default.lease_s * 1000) / 1000,
-        report_s=reader.number("Bounds.ReportWindowS", default.report_s),
-        report_due_s=reader.number(
-            "Bounds.UsageLagS", default.report_due_s))
+        report_window_s=reader.number("Bounds.ReportWindowS",
+                                      default.report_window_s),
+        report_lag_s=reader.number(
+            "Bounds.UsageLagS", default.report_lag_s))
--- a/crocuskeel/platform/objects.py
+++ b/crocuskeel/platform/objects.py
@@ -69,8 +69,8 @@
         kind=model.Kind(row["Kind"]),
         split=split or ((row["Service"], 1),),
         timeout_s=timeout_s,
-        goal_s=row.get("GoalMs", row["TimeoutMs"]) / 1000,
-        tries=max(1, row.get("Attempts", 1)),
+        target_s=row.get("GoalMs", row["TimeoutMs"]) / 1000,
+        max_servers=max(1, row.get("Attempts", 1)),
         priority=row.get("Priority", 0),
         public=bool(row.get("Public")),
         resumable=bool(row.get("Resumable")),
@@ -94,7 +94,8 @@
     if not row:
         return None
     return model.Scaling(
-        least=row["Min"], most=row["Max"], boot_s=row["BootTimeoutS"],
+        min_engines=row["Min"], max_engines=row["Max"],
+        boot_s=row["BootTimeoutS"],
         prices=dict(row.get("ZonePrices") or {}),
         # Missing or 0: the service has no spot engines.
         spot_price=row.get("SpotPrice") or None)
@@ -119,9 +120,9 @@
 
 def _limits(row):
     return model.Limits(
-        head_bytes=row.get("MaxHeaderBytes", 16384),
+        header_bytes=row.get("MaxHeaderBytes", 16384),
         body_bytes=row.get("MaxBodyBytes", 4 << 20),
-        head_s=row.get("HeaderTimeoutMs", 3000) / 1000,
+        header_s=row.get("HeaderTimeoutMs", 3000) / 1000,
         idle_s=row.get("IdleTimeoutMs", 15000) / 1000)
 
 
@@ -150,7 +151,7 @@
         domain=spec["Zone"], slots=spec["Slots"],
         draining=(spec["State"] == DRAINING
                   or bool(obj["Meta"].get("Deleting"))),
-        cold_s=spec["ColdLeftMs"] / 1000, born=spec.get("born"),
+        warmup_left_s=spec["ColdLeftMs"] / 1000, started_ms=spec.get("born"),
         spot=spec.get("Spot") is True)
 
 
@@ -198,7 +199,7 @@
 
 def peer_spec(me):
     """Return the entry that a host writes to the store."""
-    return {"Zone": me.domain, "Front": me.front,
+    return {"Zone": me.domain, "Front": me.public_address,
             "Control": list(me.control), "Gossip": list(me.gossip),
             "Cores": me.capacity}
 
--- a/crocuskeel/platform/store_watcher.py
+++ b/crocuskeel/platform/store_watcher.py
@@ -198,16 +198,16 @@
 
     def _watch_span_s(self):
         host = self.gateway.host
-        if host.store_lost_at is not None:
+        if host.store_down_since is not None:
             return PROBE_WATCH_S
-        return min(WATCH_MAX_S, host.cfg.apply_s)
+        return min(WATCH_MAX_S, host.cfg.config_apply_s)
 
     def _report_lost(self, why):
         self.gateway.feed(events.StoreUnavailable(why))
 
     def _store_answered(self, kind):
         kind.answered_at = self.reactor.seconds()
-        if self.gateway.host.store_lost_at is None:
+        if self.gateway.host.store_down_since is None:
             return
         self.gateway.feed(events.StoreAvailable())
         # After a network partition the other watch may wait on a dead
@@ -307,7 +307,7 @@
 
     async def _register(self):
         """Register this host, then read the list of hosts once."""
-        own_peer = self.gateway.host.me
+        own_peer = self.gateway.host.self_peer
         failures = 0
         while True:
             try:
--- a/emulator/engine.py
+++ b/emulator/engine.py
@@ -179,7 +179,7 @@
         self._make_room()
 
     def _make_room(self):
-        used = sum(run.prompt.output for run in self.running)
+        used = sum(run.prompt.max_output_tokens for run in self.running)
         while self.parts and self.parts_tokens + used > self.cfg.memory:
             _, dropped = self.parts.popitem(last=False)
             self.parts_tokens -= dropped
--- a/emulator/hosts.py
+++ b/emulator/hosts.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Asked:
-    """A request at this host; ``runs`` are its attempts by turn."""
+    """A request at this host; ``runs`` are its attempts by number."""
 
     caller: object
     request: model.Request
@@ -36,41 +36,44 @@
 class _Listener:
     """Tells a host what becomes of one attempt, a way later."""
 
-    def __init__(self, host, key, turn, server):
+    def __init__(self, host, key, attempt_number, server):
         self.host = host
         self.key = key
-        self.turn = turn
+        self.attempt_number = attempt_number
         self.server = server
 
     def opened(self, run):
         """The first event was made."""
         self._tell_hints()
         self._tell(
-            events.StreamOpened(self.key, self.turn, self.server.load()))
+            events.StreamOpened(self.key, self.attempt_number,
+                                self.server.load()))
 
     def progressed(self, run):
         """One more event was made."""
-        self._tell(events.StreamProgressed(self.key, self.turn))
+        self._tell(events.StreamProgressed(self.key, self.attempt_number))
 
     def ended(self, run):
         """The answer is whole."""
         if run.prompt is not None:
-            self._tell(events.StreamEnded(self.key, self.turn))
+            self._tell(events.StreamEnded(self.key, self.attempt_number))
             return
         self._tell_hints()
         self._tell(events.ResponseReceived(
-            self.key, self.turn, 200, self.server.load(), True))
+            self.key, self.attempt_number, 200, self.server.load(), True))
 
     def broken(self, run):
         """The connection ended."""
         self._tell(events.AttemptFailed(
-            self.key, self.turn, model.Outcome.DISCONNECTED, "reset", True))
+            self.key, self.attempt_number, model.Outcome.DISCONNECTED, "reset",
+            True))
 
     def fails(self, outcome):
         """The attempt ends without having run."""
         if outcome is model.Outcome.NOT_RUN:
             self._tell_hints()
-        self._tell(events.AttemptFailed(self.key, self.turn, outcome))
+        self._tell(
+            events.AttemptFailed(self.key, self.attempt_number, outcome))
 
     def _tell_hints(self):
         found = self.server.hints()
@@ -79,9 +82,9 @@
             self.server.told.setdefault(name, now)
         if found.leaving:
             self.server.told_leaving.setdefault(name, now)
-        if found.rest_s is not None:
-            self.server.rests.append((now, name, found.rest_s))
-        self._tell(events.HintsReceived(self.key, self.turn, found))
+        if found.backoff_s is not None:
+            self.server.rests.append((now, name, found.backoff_s))
+        self._tell(events.HintsReceived(self.key, self.attempt_number, found))
 
     def _tell(self, event):
         self.host.world.clock.after(
@@ -172,7 +175,7 @@
         """Let the caller have an event of the stream that it gets."""
         if isinstance(event, events.StreamProgressed):
             asked = self.asked[event.key]
-            if asked.passing == event.turn:
+            if asked.passing == event.attempt_number:
                 asked.caller.event()
 
     def feed(self, event):
@@ -195,7 +198,7 @@
 def _send(host, effect):
     asked = host.asked[effect.key]
     server = host.world.servers.get(effect.server.sid)
-    listener = _Listener(host, effect.key, effect.turn, server)
+    listener = _Listener(host, effect.key, effect.attempt_number, server)
     if server is None or server.down:
         listener.fails(model.Outcome.REFUSED)
         return
@@ -204,7 +207,7 @@
     run = engines.Run(listener, prompt, kind.events, effect.priority)
     if effect.resume:
         run.events -= asked.caller.events
-    asked.runs[effect.turn] = server, run
+    asked.runs[effect.attempt_number] = server, run
     source = None
     if effect.fetch_from is not None:
         source = host.world.servers.get(effect.fetch_from[0])
@@ -227,7 +230,7 @@
 
 
 def _cancel(host, effect):
-    found = host.asked[effect.key].runs.get(effect.turn)
+    found = host.asked[effect.key].runs.get(effect.attempt_number)
     if found is not None:
         server, run = found
         host.world.clock.after(host.world.way_s, server.cancel, run)
@@ -235,7 +238,7 @@
 
 def _pass_on(host, effect):
     asked = host.asked[effect.key]
-    asked.passing = effect.turn
+    asked.passing = effect.attempt_number
     if asked.request.prompt is not None:
         asked.caller.event()
         return
@@ -244,7 +247,7 @@
 
 
 def _answer(host, effect):
-    host.asked[effect.key].caller.refused(effect.status, effect.retry_s)
+    host.asked[effect.key].caller.refused(effect.status, effect.retry_delay_s)
     host.forget(effect.key)
 
 
--- a/tests/duties/test_capacity.py
+++ b/tests/duties/test_capacity.py
@@ -48,7 +48,7 @@
         planned = _plan(
             SCALING, domains(spot=0, asked=12), need=30, mean_need=12)
         for name in NAMES:
-            self.assertLessEqual(planned[name, True] + 12, SCALING.most)
+            self.assertLessEqual(planned[name, True] + 12, SCALING.max_engines)
 
     def test_the_mean_load_survives_the_loss_of_a_domain(self):
         # All spot engines of a domain are reclaimed within seconds. The
@@ -63,7 +63,7 @@
                     lost = max(planned[name, True] for name in names)
                     left = (total(planned, True) + total(planned, False)
                             - lost)
-                    places = SCALING.most * len(names)
+                    places = SCALING.max_engines * len(names)
                     self.assertGreaterEqual(
                         left, min(mean_need, places - lost))
 
--- a/tests/duties/world.py
+++ b/tests/duties/world.py
@@ -92,7 +92,7 @@
         host.dead = False
         host.core = entry.new_host(
             entry.Settings(duties=DUTIES, lease_s=LEASE_S,
-                           report_s=REPORT_S),
+                           report_window_s=REPORT_S),
             random.Random(self.rng.random()))
         host.tick_at = self.now + self.rng.random() * TICK_S
         peers = tuple(support.peer(each.name, each.boot)
@@ -326,7 +326,8 @@
 
 def scaling(**kwargs):
     """Return a scaling of engines in three failure domains."""
-    values = {"least": 1, "most": 20, "boot_s": 4.0, "spot_price": 0.2,
+    values = {"min_engines": 1, "max_engines": 20, "boot_s": 4.0,
+              "spot_price": 0.2,
               "prices": {"perth-a": 0.8, "perth-b": 1.2, "bunbury": 1.0}}
     return model.Scaling(**{**values, **kwargs})
 
--- a/tests/entry/support.py
+++ b/tests/entry/support.py
@@ -16,8 +16,8 @@
     """Return a route with prefix /NAME/ to service ``plain``."""
     values = {
         "name": name, "host": HOST, "prefix": f"/{name}/", "kind": kind,
-        "split": (("plain", 1),), "timeout_s": 2.0, "goal_s": 0.4,
-        "tries": 2, "priority": 2, "public": False, "resumable": False,
+        "split": (("plain", 1),), "timeout_s": 2.0, "target_s": 0.4,
+        "max_servers": 2, "priority": 2, "public": False, "resumable": False,
         "gap_s": 0.4}
     return model.Route(**{**values, **kwargs})
 
@@ -25,7 +25,7 @@
 def stream(name="advice", **kwargs):
     """Return a resumable stream route to model engines."""
     values = {"kind": model.Kind.STREAM, "split": (("engines", 1),),
-              "timeout_s": 8.0, "goal_s": 1.2, "resumable": True,
+              "timeout_s": 8.0, "target_s": 1.2, "resumable": True,
               "priority": 0}
     return route(name, **{**values, **kwargs})
 
@@ -76,8 +76,8 @@
     return states.RequestState(
         key=1, request=caller_request, route=route,
         service=route.split[0][0],
-        workspace="hire", priority=route.priority, at=now,
-        ends_at=now + route.timeout_s)
+        workspace="hire", priority=route.priority, arrived_at=now,
+        deadline_at=now + route.timeout_s)
 
 
 class Driver:
--- a/tests/entry/test_candidates.py
+++ b/tests/entry/test_candidates.py
@@ -70,7 +70,7 @@
         driver = _driver(MANY)
         preferred = _preferred(driver)
         for sid in preferred:
-            driver.host.servers[sid].others.put(
+            driver.host.servers[sid].peer_loads.update(
                 "host-1", 64, 500_000, 64, driver.now)
         out = driver.arrive(path="/advice/1", prompt=support.prompt("tide"))
         (send,) = support.effects_of(out, effects.SendRequest)
@@ -93,16 +93,16 @@
         # Each of 300 hosts processed 3,000 idle servers three times a
         # second, and reported them to twelve peers.
         driver = _driver(MANY)
-        self.assertEqual({}, driver.host.working)
+        self.assertEqual({}, driver.host.active_servers)
         driver.feed(events.PeerLoadsReceived(
             "host-1", (("e7", 1, 9_000, 1, 0, (), 9_000),)))
         driver.feed(events.Ticked(), 0.3)
-        self.assertEqual(["e7"], list(driver.host.working))
-        self.assertGreater(driver.host.servers["e7"].busy, 0)
+        self.assertEqual(["e7"], list(driver.host.active_servers))
+        self.assertGreater(driver.host.servers["e7"].prefill_share, 0)
         for _ in range(40):
             driver.feed(events.Ticked(), 0.3)
-        self.assertEqual({}, driver.host.working)
-        self.assertEqual(0, driver.host.servers["e7"].busy)
+        self.assertEqual({}, driver.host.active_servers)
+        self.assertEqual(0, driver.host.servers["e7"].prefill_share)
 
     def test_server_removed_with_work_is_forgotten(self):
         driver = _driver(3)
@@ -110,4 +110,4 @@
             "host-1", (("e1", 1, 9_000, 1, 0, (), 9_000),)))
         driver.feed(events.ServersChanged((), ("e1",), 6))
         driver.feed(events.Ticked(), 0.3)
-        self.assertEqual({}, driver.host.working)
+        self.assertEqual({}, driver.host.active_servers)
--- a/tests/entry/test_class_minimums.py
+++ b/tests/entry/test_class_minimums.py
@@ -41,7 +41,7 @@
         self._arrive(TOP, *top)
         pending = self._arrive(LOW, *low)
         class_minimums.is_below_minimum(self.host, pending, support.NOW)
-        for stats in self.host.served["engines"].values():
+        for stats in self.host.class_stats["engines"].values():
             stats.at += after_s
         return class_minimums.is_below_minimum(
             self.host, pending, support.NOW + after_s)
--- a/tests/entry/test_health.py
+++ b/tests/entry/test_health.py
@@ -20,7 +20,7 @@
         self.host = self.driver.host
 
     def _sid(self, key):
-        return self.host.pending[key].tries[-1].sid
+        return self.host.pending[key].attempts[-1].sid
 
     def test_other_hosts_are_notified_immediately(self):
         # After eight engines crashed, each of six hosts detected it by its
@@ -58,10 +58,10 @@
             self.assertNotEqual(sid, self._sid(key))
         # Another host's list contains the unchanged entry once more.
         self.driver.feed(events.ServersListed(PAIR, 9, ()))
-        self.assertTrue(self.host.servers[sid].misdirects)
+        self.assertTrue(self.host.servers[sid].address_reused)
         self.driver.feed(events.ServersChanged(
             (support.server(sid, slots=9),), (), 10))
-        self.assertFalse(self.host.servers[sid].misdirects)
+        self.assertFalse(self.host.servers[sid].address_reused)
 
     def test_a_new_entry_with_an_address_marks_the_old_one(self):
         # A crashed engine returned under a new id before its old entry
@@ -70,5 +70,5 @@
         old = support.server("s1", address=("10.0.0.1", 99))
         self.driver.feed(events.ServersChanged((old,), (), 8))
         self.driver.feed(events.ServersChanged((new,), (), 9))
-        self.assertTrue(self.host.servers["s1"].misdirects)
-        self.assertFalse(self.host.servers["s3"].misdirects)
+        self.assertTrue(self.host.servers["s1"].address_reused)
+        self.assertFalse(self.host.servers["s3"].address_reused)
--- a/tests/entry/test_pause_estimate.py
+++ b/tests/entry/test_pause_estimate.py
@@ -65,11 +65,12 @@
         driver.arrive(path="/advice/1", prompt=support.prompt())
         driver.feed(events.StreamOpened(1, 0, None), 0.5)
         state = driver.host.servers["e1"]
-        state.others.put("host-1", 1, 20_000, 1, driver.now)
+        state.peer_loads.update("host-1", 1, 20_000, 1, driver.now)
         driver.feed(events.StreamProgressed(1, 0), 0.01)
         driver.feed(events.StreamProgressed(1, 0), 0.2)
-        self.assertEqual(1, driver.host.paces["engines"].samples)
-        self.assertAlmostEqual(0.2, driver.host.paces["engines"].gap_s)
+        self.assertEqual(1, driver.host.stream_pauses["engines"].samples)
+        self.assertAlmostEqual(0.2,
+                               driver.host.stream_pauses["engines"].pause_s)
 
 
 if __name__ == "__main__":
--- a/tests/entry/test_peers.py
+++ b/tests/entry/test_peers.py
@@ -20,7 +20,7 @@
     values.update(kwargs)
     # A reader's data comes from the store; the age of others' is unknown.
     values.setdefault(
-        "informed_s", 0.0 if values["reads_store"] else math.inf)
+        "store_data_age_s", 0.0 if values["reads_store"] else math.inf)
     return events.PeerStateReceived(support.peer(name, boot, capacity),
                                     **values)
 
--- a/tests/entry/test_prefill_pauses.py
+++ b/tests/entry/test_prefill_pauses.py
@@ -10,8 +10,8 @@
 from tests.entry import support
 
 ENGINES = tuple(support.server(f"e{n}", "engines") for n in range(4))
-CHAT = support.stream("chat", priority=0, goal_s=0.3, gap_s=0.2)
-DRAFT = support.stream("draft", priority=2, goal_s=2.0, gap_s=0.8)
+CHAT = support.stream("chat", priority=0, target_s=0.3, gap_s=0.2)
+DRAFT = support.stream("draft", priority=2, target_s=2.0, gap_s=0.8)
 
 
 def _driver(servers=ENGINES):
@@ -55,7 +55,8 @@
         for _ in range(3):
             driver = _driver()
             for state in driver.host.servers.values():
-                state.loud, state.loud_at = 0.15, driver.now
+                state.expected_pause_s, state.expected_pause_at = (
+                    0.15, driver.now)
             chosen.add(_arrive(driver, "chat", 1, 600))
         self.assertEqual(1, len(chosen))
 
@@ -82,11 +83,11 @@
 
     def _chats(self, driver, sids):
         for sid in sids:
-            driver.host.servers[sid].others.put(
+            driver.host.servers[sid].peer_loads.update(
                 "host-1", 5, 0, 0, driver.now, ((0, 200, 5),))
 
     def _busy(self, driver, sid):
-        driver.host.servers[sid].others.put(
+        driver.host.servers[sid].peer_loads.update(
             "host-2", 3, 30_000, 3, driver.now, ((2, 800, 3),))
 
     def test_long_prompt_is_queued_if_it_delays_chats(self):
@@ -119,7 +120,8 @@
     def test_less_urgent_streams_delay_no_prompt(self):
         driver = _driver()
         for state in driver.host.servers.values():
-            state.others.put("host-1", 5, 0, 0, driver.now, ((3, 200, 5),))
+            state.peer_loads.update(
+                "host-1", 5, 0, 0, driver.now, ((3, 200, 5),))
         self.assertIsNotNone(_arrive(driver, "draft", 1, 8_000))
 
 
@@ -129,8 +131,8 @@
     def test_counts_streams_of_all_hosts_by_allowed_pause(self):
         driver = _driver()
         state = driver.host.servers["e0"]
-        state.others.put("host-1", 5, 0, 0, driver.now,
-                         ((0, 200, 3), (2, 800, 2)))
+        state.peer_loads.update("host-1", 5, 0, 0, driver.now,
+                                ((0, 200, 3), (2, 800, 2)))
         self.assertEqual(0.0, prefill_pauses.late_streams(
             state, pause_estimate.PauseEstimate(), 0.0, 0.1))
         self.assertEqual(3.0, prefill_pauses.late_streams(
@@ -145,18 +147,18 @@
         driver = _driver()
         sid = _arrive(driver, "chat", 1, 600)
         state = driver.host.servers[sid]
-        self.assertEqual({(0, 200): 1}, state.gaps)
+        self.assertEqual({(0, 200): 1}, state.streams_by_gap)
         driver.feed(events.StreamOpened(1, 0, None), 0.1)
-        self.assertEqual({(0, 200): 1}, state.gaps)
+        self.assertEqual({(0, 200): 1}, state.streams_by_gap)
         driver.feed(events.StreamEnded(1, 0), 0.1)
-        self.assertEqual({}, state.gaps)
+        self.assertEqual({}, state.streams_by_gap)
 
     def test_reports_of_peers_expire(self):
         driver = _driver()
         state = driver.host.servers["e0"]
-        state.others.put("host-1", 5, 0, 0, driver.now, ((0, 200, 3),))
+        state.peer_loads.update("host-1", 5, 0, 0, driver.now, ((0, 200, 3),))
         server_load.queued_tokens(state, driver.now + 2)
-        self.assertEqual({}, state.others.gaps)
+        self.assertEqual({}, state.peer_loads.streams_by_gap)
 
 
 if __name__ == "__main__":
--- a/tests/entry/test_prefix_cache.py
+++ b/tests/entry/test_prefix_cache.py
@@ -11,7 +11,7 @@
 
 ENGINES = tuple(support.server(
     f"e{n}", "engines", domain=f"perth-{'ab'[n % 2]}") for n in range(4))
-ADVICE = support.stream("advice", priority=0, goal_s=1.2, gap_s=1.0)
+ADVICE = support.stream("advice", priority=0, target_s=1.2, gap_s=1.0)
 # An engine sends 200,000 tokens a second and prefills some 40,000.
 FETCH_TOKEN_S = 5e-6
 SHARED = 13_000
@@ -35,7 +35,7 @@
 
 def _busy(driver, *sids):
     for sid in sids:
-        driver.host.servers[sid].others.put(
+        driver.host.servers[sid].peer_loads.update(
             "host-1", 2, 20_000, 2, driver.now)
 
 
@@ -67,7 +67,7 @@
         # at half of their prefill speed.
         driver = _driver()
         _cache(driver, "e1", tokens=4 * SHARED)
-        driver.host.servers["e1"].others.put(
+        driver.host.servers["e1"].peer_loads.update(
             "host-1", 7, 1_000, 7, driver.now)
         (sent,) = support.effects_of(driver.feed(events.RequestReceived(
             1, support.request("/advice/1", prompt=support.prompt(
@@ -90,7 +90,7 @@
     def test_no_fetch_that_is_as_slow_as_prefill(self):
         driver = _driver(fetch_token_s=1 / prefix_cache.PREFILL_TOKENS_PER_S)
         _cache(driver, "e1")
-        driver.host.servers["e1"].others.put(
+        driver.host.servers["e1"].peer_loads.update(
             "host-1", 9, 90_000, 9, driver.now)
         self.assertIsNone(_send(driver).fetch_from)
 
@@ -120,11 +120,11 @@
 
     def test_no_fetch_from_a_restarted_engine(self):
         driver = _driver()
-        old = dataclasses.replace(ENGINES[1], born=1)
+        old = dataclasses.replace(ENGINES[1], started_ms=1)
         driver.feed(events.ServersChanged((old,), (), 6))
         _cache(driver, "e1")
         driver.feed(events.ServersChanged(
-            (dataclasses.replace(old, born=2),), (), 7))
+            (dataclasses.replace(old, started_ms=2),), (), 7))
         self.assertIsNone(_send(driver).fetch_from)
 
     def test_part_in_prefill_is_not_fetched(self):
@@ -159,7 +159,7 @@
         _cache(driver, "e1")
         _busy(driver, "e1")
         sent = _send(driver)
-        (tokens,) = driver.host.servers[sent.server.sid].mine.values()
+        (tokens,) = driver.host.servers[sent.server.sid].own_attempts.values()
         self.assertEqual(
             500 + SHARED * FETCH_TOKEN_S * prefix_cache.PREFILL_TOKENS_PER_S,
             tokens)
--- a/tests/entry/test_ratelimits.py
+++ b/tests/entry/test_ratelimits.py
@@ -141,7 +141,7 @@
             support.route(), support.stream(),
             support.route("brief", kind=model.Kind.STREAM,
                           split=(("engines", 1),), timeout_s=8.0,
-                          goal_s=2.0, priority=2),
+                          target_s=2.0, priority=2),
             servers=(support.server("s1"), support.server("e1", "engines"),
                      support.server("e2", "engines")))
         self.host = self.driver.host
@@ -181,7 +181,7 @@
         self._set_rate(0.5)
         (answer,) = support.effects_of(self.driver.arrive(1), effects.Answer)
         self.assertEqual(503, answer.status)
-        self.assertGreater(answer.retry_s, 0.1)
+        self.assertGreater(answer.retry_delay_s, 0.1)
         self.assertEqual({}, self.host.pending)
 
     def test_held_if_a_rate_limit_soon_allows_it(self):
@@ -252,11 +252,11 @@
 
     def test_a_restarted_server_is_not_limited(self):
         self.driver.feed(events.ServersChanged(
-            (support.server("s1", born=1),), (), 6))
+            (support.server("s1", started_ms=1),), (), 6))
         self._set_rate(0.1)
         self.assertEqual([], self._send_request())
         self.driver.feed(events.ServersChanged(
-            (support.server("s1", born=2),), (), 7))
+            (support.server("s1", started_ms=2),), (), 7))
         self.assertEqual(["s1"], self._send_request())
 
     def test_an_entry_that_expired_and_returned_is_still_limited(self):
--- a/tests/entry/test_registry.py
+++ b/tests/entry/test_registry.py
@@ -89,7 +89,7 @@
         self.driver.feed(events.StoreUnavailable("refused"))
         self._remove("s1")
         self.driver.feed(events.StoreReadingStopped(), 1.0)
-        self.assertIsNone(self.host.store_lost_at)
+        self.assertIsNone(self.host.store_down_since)
         self.driver.feed(events.Ticked(), 1.7)
         self.assertNotIn("s1", self.host.servers)
 
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -10,15 +10,15 @@
 PAIR = (support.server("s1"), support.server("s2"))
 ENGINES = (support.server("e1", "engines"),
            support.server("e2", "engines"))
-UNSAFE = support.route(kind=model.Kind.UNSAFE, tries=2)
+UNSAFE = support.route(kind=model.Kind.UNSAFE, max_servers=2)
 SAFE = support.route()
-CALL = support.route(goal_s=0.4)
+CALL = support.route(target_s=0.4)
 STREAM = support.stream()
-ONCE = support.stream(resumable=False, tries=1)
+ONCE = support.stream(resumable=False, max_servers=1)
 
 
-def _broken(outcome, turn=0, torn=False):
-    return events.AttemptFailed(1, turn, outcome, "", torn)
+def _broken(outcome, attempt_number=0, disconnected=False):
+    return events.AttemptFailed(1, attempt_number, outcome, "", disconnected)
 
 
 class PlainTest(unittest.TestCase):
@@ -51,13 +51,13 @@
                                  [answer.status for answer in answers])
 
     def test_refusal_names_a_retry_delay(self):
-        route = support.route(kind=model.Kind.UNSAFE, tries=1)
+        route = support.route(kind=model.Kind.UNSAFE, max_servers=1)
         driver = support.Driver(route, servers=PAIR)
         driver.arrive(deadline_s=0.6)
         out = driver.feed(_broken(model.Outcome.NOT_RUN), 0.01)
         (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
-        self.assertLessEqual(answer.retry_s, 0.2)
+        self.assertLessEqual(answer.retry_delay_s, 0.2)
 
     def test_server_error_is_passed_on_if_the_retry_fails_too(self):
         driver = support.Driver(SAFE, servers=PAIR)
@@ -77,7 +77,7 @@
         self.assertEqual([effects.Cancel(1, 0)],
                          support.effects_of(out, effects.Cancel))
         (answer,) = support.effects_of(out, effects.Answer)
-        self.assertEqual((504, None), (answer.status, answer.retry_s))
+        self.assertEqual((504, None), (answer.status, answer.retry_delay_s))
 
     def test_slow_call_is_hedged(self):
         driver = support.Driver(CALL, servers=PAIR)
@@ -111,7 +111,7 @@
                          support.effects_of(out, effects.Cancel))
         self.assertEqual([], driver.feed(events.ResponseReceived(
             1, 0, 200, None, True)))
-        self.assertEqual({}, driver.host.servers["s1"].mine)
+        self.assertEqual({}, driver.host.servers["s1"].own_attempts)
 
     def test_host_without_configuration_answers_503(self):
         # Callers would take 401 or 404 from a host that just started as
@@ -119,7 +119,7 @@
         driver = support.Driver()
         (answer,) = support.effects_of(driver.arrive(), effects.Answer)
         self.assertEqual(503, answer.status)
-        self.assertGreater(answer.retry_s, 0)
+        self.assertGreater(answer.retry_delay_s, 0)
 
 
 class StreamTest(unittest.TestCase):
@@ -130,7 +130,8 @@
         first = support.effects_of(driver.arrive(
             path="/advice/1", prompt=support.prompt()), effects.SendRequest)[0]
         driver.feed(events.StreamOpened(1, 0, None), 0.1)
-        out = driver.feed(_broken(model.Outcome.DISCONNECTED, torn=True), 0.1)
+        out = driver.feed(
+            _broken(model.Outcome.DISCONNECTED, disconnected=True), 0.1)
         (again,) = support.effects_of(out, effects.SendRequest)
         self.assertTrue(again.resume)
         self.assertNotEqual(first.server.sid, again.server.sid)
@@ -159,7 +160,7 @@
         # for silent and moves the stream. 0.1 s later it moved it again,
         # before the new engine could prefill the prompt, and the request
         # ran on more servers than its route allows.
-        driver = support.Driver(support.stream(tries=3), servers=(
+        driver = support.Driver(support.stream(max_servers=3), servers=(
             *ENGINES, support.server("e3", "engines")))
         driver.arrive(path="/advice/1", prompt=support.prompt(),
                       deadline_s=8.0)
@@ -193,8 +194,8 @@
 
     def _load(self, driver, reading, tokens):
         for state in driver.host.servers.values():
-            state.others.put("host-1", reading, tokens, reading,
-                             driver.now)
+            state.peer_loads.update("host-1", reading, tokens, reading,
+                                    driver.now)
 
     def test_broken_stream_is_queued_for_capacity(self):
         # An engine crashes under load: hundreds of streams resumed at once,
@@ -204,7 +205,8 @@
         driver.arrive(path="/advice/1", prompt=support.prompt())
         driver.feed(events.StreamOpened(1, 0, None), 0.1)
         self._load(driver, 9, 90_000)
-        out = driver.feed(_broken(model.Outcome.DISCONNECTED, torn=True), 0.01)
+        out = driver.feed(
+            _broken(model.Outcome.DISCONNECTED, disconnected=True), 0.01)
         self.assertEqual([], support.effects_of(out, effects.SendRequest))
         (timer,) = support.effects_of(out, effects.SetRequestTimer)
         self._load(driver, 0, 0)
@@ -226,7 +228,7 @@
         out = driver.feed(events.TimerFired(1))
         (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
-        self.assertIsNotNone(answer.retry_s)
+        self.assertIsNotNone(answer.retry_delay_s)
 
     def _moved_after(self, heard_until):
         """Wait 5 s for a first event; return when the stream is moved.
@@ -236,11 +238,11 @@
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt(),
                       deadline_s=8.0)
-        sid = driver.host.pending[1].tries[0].sid
-        timer = driver.host.pending[1].at + 0.5
+        sid = driver.host.pending[1].attempts[0].sid
+        timer = driver.host.pending[1].arrived_at + 0.5
         while timer < support.NOW + 5:
             heard = min(timer, support.NOW + heard_until)
-            driver.host.servers[sid].heard_at = heard
+            driver.host.servers[sid].last_seen_at = heard
             driver.now = timer
             out = driver.feed(events.TimerFired(1))
             if support.effects_of(out, effects.Cancel):
@@ -262,10 +264,10 @@
     def test_silent_engine_gets_no_more_requests(self):
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt())
-        silent = driver.host.pending[1].tries[0].sid
+        silent = driver.host.pending[1].attempts[0].sid
         driver.now += 2.0
         driver.arrive(2, path="/advice/1", prompt=support.prompt())
-        self.assertNotEqual(silent, driver.host.pending[2].tries[0].sid)
+        self.assertNotEqual(silent, driver.host.pending[2].attempts[0].sid)
 
 
 class QuarantineTest(unittest.TestCase):
@@ -274,7 +276,7 @@
     def _crash(self, driver, key, digest):
         driver.feed(
             events.RequestReceived(key, support.request(digest=digest)))
-        sid = driver.host.pending[key].tries[0].sid
+        sid = driver.host.pending[key].attempts[0].sid
         driver.feed(events.AttemptFailed(
             key, 0, model.Outcome.DISCONNECTED, "reset", True))
         driver.feed(events.CallerDisconnected(key))
@@ -282,7 +284,7 @@
         driver.feed(
             events.RequestReceived(key + 1, support.request(digest="x")))
         pending = driver.host.pending[key + 1]
-        pending.tries[0].sid = sid
+        pending.attempts[0].sid = sid
         driver.feed(events.AttemptFailed(
             key + 1, 0, model.Outcome.UNREACHABLE, "refused"))
         driver.feed(events.CallerDisconnected(key + 1))
@@ -308,7 +310,7 @@
         self.assertEqual(503, answer.status)
         # It has not run, so its caller gets a retry delay, which lasts
         # until the quarantine ends.
-        self.assertTrue(55.0 < answer.retry_s <= 60.0)
+        self.assertTrue(55.0 < answer.retry_delay_s <= 60.0)
 
     def test_other_signs_of_a_crashed_server(self):
         # The host whose request crashed a server sends nothing there again
@@ -324,7 +326,7 @@
             for key in (1, 2):
                 driver.feed(events.RequestReceived(
                     key, support.request(digest="poison")))
-                sid = driver.host.pending[key].tries[0].sid
+                sid = driver.host.pending[key].attempts[0].sid
                 driver.feed(events.AttemptFailed(
                     key, 0, model.Outcome.DISCONNECTED, "reset", True))
                 driver.feed(sign(sid), 1.2)
@@ -341,7 +343,7 @@
                 driver.feed(events.RequestReceived(
                     key + number, support.request(digest=digest)))
                 pending = driver.host.pending[key + number]
-                pending.tries[0].sid = sid
+                pending.attempts[0].sid = sid
             for number in (0, 1):
                 driver.feed(events.AttemptFailed(
                     key + number, 0, model.Outcome.DISCONNECTED, "reset",
@@ -358,7 +360,7 @@
         for key in (1, 2):
             driver.feed(
                 events.RequestReceived(key, support.request(digest="d")))
-            sid = driver.host.pending[key].tries[0].sid
+            sid = driver.host.pending[key].attempts[0].sid
             driver.feed(events.AttemptFailed(
                 key, 0, model.Outcome.DISCONNECTED, "reset", True))
             entry = support.server(sid, draining=True)
--- a/tests/entry/test_response_hints.py
+++ b/tests/entry/test_response_hints.py
@@ -151,10 +151,10 @@
 
     def test_another_incarnation_is_not_draining(self):
         self.driver.feed(events.ServersChanged(
-            (support.server("s1", born=1),), (), 6))
+            (support.server("s1", started_ms=1),), (), 6))
         self._report_draining()
         self.driver.feed(events.ServersChanged(
-            (support.server("s1", born=2),), (), 7))
+            (support.server("s1", started_ms=2),), (), 7))
         self.assertEqual({"s1", "s2"}, self._used_servers())
 
     def test_a_stream_continues_there_but_is_not_resumed_there(self):
@@ -174,7 +174,7 @@
 
     def test_a_stream_is_not_moved_if_all_other_servers_drain(self):
         self.driver.arrive(1, path="/advice/1", prompt=support.prompt())
-        target = self.host.pending[1].tries[0].sid
+        target = self.host.pending[1].attempts[0].sid
         self.driver.feed(events.StreamOpened(1, 0, None), 0.2)
         self._report_draining("e2" if target == "e1" else "e1")
         out = self.driver.feed(events.TimerFired(1), 2.0)
@@ -185,7 +185,7 @@
             self._report_draining(sid)
         (answer,) = support.effects_of(self.driver.arrive(1), effects.Answer)
         self.assertEqual(503, answer.status)
-        self.assertGreater(answer.retry_s, 0.0)
+        self.assertGreater(answer.retry_delay_s, 0.0)
 
     def test_it_is_removed_long_after_the_server_is_gone(self):
         self._report_draining()
@@ -206,12 +206,12 @@
         self.host = self.driver.host
         self.keys = itertools.count(10)
 
-    def _refuse(self, key, turn=0, backoff_s=3.0):
+    def _refuse(self, key, attempt_number=0, backoff_s=3.0):
         """Have the server of an attempt refuse it; return the effects."""
         self.driver.feed(events.HintsReceived(
-            key, turn, model.Hints(rest_s=backoff_s)))
+            key, attempt_number, model.Hints(backoff_s=backoff_s)))
         return self.driver.feed(events.AttemptFailed(
-            key, turn, model.Outcome.NOT_RUN, "503"))
+            key, attempt_number, model.Outcome.NOT_RUN, "503"))
 
     def _send_request(self):
         key = next(self.keys)
@@ -257,29 +257,29 @@
     def test_refused_with_the_backoff_time_if_all_asked_for_it(self):
         key, (sid,) = self._send_request()
         self._refuse(key)
-        out = self._refuse(key, turn=1)
+        out = self._refuse(key, attempt_number=1)
         (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
         (answer,) = support.effects_of(
             self.driver.feed(events.RequestReceived(1, support.request(
                 deadline_s=30.0))), effects.Answer)
         # At most a third of the remaining time: a caller waits no longer.
-        self.assertAlmostEqual(0.65, answer.retry_s, places=2)
+        self.assertAlmostEqual(0.65, answer.retry_delay_s, places=2)
 
     def test_callers_retry_no_sooner_than_the_backoff_ends(self):
         driver = support.Driver(
-            support.route(timeout_s=60.0, goal_s=0.4),
+            support.route(timeout_s=60.0, target_s=0.4),
             servers=(support.server("s1"),))
         driver.arrive(1, deadline_s=60.0)
-        driver.feed(events.HintsReceived(1, 0, model.Hints(rest_s=12.0)))
+        driver.feed(events.HintsReceived(1, 0, model.Hints(backoff_s=12.0)))
         (answer,) = support.effects_of(driver.feed(events.AttemptFailed(
             1, 0, model.Outcome.NOT_RUN, "503")), effects.Answer)
-        self.assertGreaterEqual(answer.retry_s, 12.0)
+        self.assertGreaterEqual(answer.retry_delay_s, 12.0)
 
     def test_a_request_waits_for_a_backoff_that_ends_soon(self):
         key, _ = self._send_request()
         self._refuse(key, backoff_s=0.1)
-        out = self._refuse(key, turn=1, backoff_s=0.1)
+        out = self._refuse(key, attempt_number=1, backoff_s=0.1)
         key = next(self.keys)
         out = self.driver.arrive(key)
         self.assertEqual([effects.SetRequestTimer], list(map(type, out)))
@@ -292,7 +292,7 @@
         self.assertIn(backing_off, {
             sid for _ in range(20) for sid in self._send_request()[1]})
         self.driver.feed(events.Ticked())
-        self.assertEqual({}, self.host.rests)
+        self.assertEqual({}, self.host.backoff_until)
 
 
 class LogTest(unittest.TestCase):
@@ -302,8 +302,8 @@
         driver = support.Driver(
             support.route(), servers=(support.server("s1"),))
         found = (model.Hints(), model.Hints(leaving=True),
-                 model.Hints(leaving=True, rest_s=3.0),
-                 model.Hints(rest_s=2.0), model.Hints(rest_s=4.0))
+                 model.Hints(leaving=True, backoff_s=3.0),
+                 model.Hints(backoff_s=2.0), model.Hints(backoff_s=4.0))
         for key in range(len(found)):
             driver.arrive(key)
         lines = []
--- a/tests/entry/test_restart.py
+++ b/tests/entry/test_restart.py
@@ -11,12 +11,12 @@
 from crocuskeel.core.entry import server_load
 from tests.entry import support
 
-CHAT = support.stream("chat", resumable=False, tries=1)
+CHAT = support.stream("chat", resumable=False, max_servers=1)
 ADVICE = support.stream()
 
 
 def _engine(sid="e0", born=1_000, **kwargs):
-    return support.server(sid, "engines", born=born, **kwargs)
+    return support.server(sid, "engines", started_ms=born, **kwargs)
 
 
 class RestartTest(unittest.TestCase):
@@ -40,15 +40,15 @@
         # which its former process was.
         state = self._state()
         prefix_cache.add_part(state, "shared", 13_000, 5e5, 0)
-        state.slowness, state.failing, state.strikes = 5.0, 0.9, 3
+        state.slowness, state.failure_rate, state.failure_count = 5.0, 0.9, 3
         state.suspect_until = self.driver.now + 4
-        state.others.put("host-1", 9, 90_000, 9, self.driver.now)
+        state.peer_loads.update("host-1", 9, 90_000, 9, self.driver.now)
         prefill_pauses.note_prefill(state, 0.5, self.driver.now)
         out = self._restart()
         state = self._state()
         self.assertEqual({}, dict(state.parts))
         self.assertEqual((1.0, 0.0, 0), (
-            state.slowness, state.failing, state.strikes))
+            state.slowness, state.failure_rate, state.failure_count))
         self.assertEqual(0.0, state.suspect_until)
         self.assertEqual(0, server_load.queued_tokens(state, self.driver.now))
         self.assertEqual(
@@ -60,7 +60,7 @@
     def test_a_changed_entry_alone_is_no_restart(self):
         prefix_cache.add_part(self._state(), "shared", 13_000, 5e5, 0)
         self.driver.feed(events.ServersChanged(
-            (_engine(cold_s=1.0),), (), 6))
+            (_engine(warmup_left_s=1.0),), (), 6))
         self.assertIn("shared", self._state().parts)
 
     def test_a_first_reported_start_time_is_no_restart(self):
@@ -93,7 +93,7 @@
         self.assertEqual(1, len(support.effects_of(out, effects.Cancel)))
         self.assertEqual(1, len(support.effects_of(out, effects.AbortStream)))
         self.assertEqual({}, self.driver.host.pending)
-        self.assertEqual({}, self._state().mine)
+        self.assertEqual({}, self._state().own_attempts)
 
     def test_a_request_without_a_first_event_may_have_run(self):
         self.driver.feed(events.ServersChanged((), ("e1",), 6))
@@ -108,7 +108,7 @@
             state.suspect_until = 0.0
         self.driver.arrive(path="/advice/1", prompt=support.prompt(),
                            deadline_s=8.0)
-        (attempt,) = self.driver.host.pending[1].tries
+        (attempt,) = self.driver.host.pending[1].attempts
         former = self.driver.host.servers[attempt.sid].server
         other = "e1" if former.sid == "e0" else "e0"
         out = self.driver.feed(events.ServersChanged(
@@ -126,8 +126,8 @@
         out = self._restart(after=0.2)
         self.assertEqual([], support.effects_of(out, effects.Cancel))
         self.driver.feed(events.StreamEnded(1, 0), 0.1)
-        self.assertEqual({}, self._state().mine)
-        self.assertEqual({}, self._state().gaps)
+        self.assertEqual({}, self._state().own_attempts)
+        self.assertEqual({}, self._state().streams_by_gap)
 
     def test_two_crashes_of_one_server_count_as_two(self):
         # A request crashed its engine, which restarted under the same id
@@ -136,9 +136,9 @@
         for turn, born in ((1, 9_000), (2, 17_000)):
             self.driver.arrive(turn, path="/chat/1", rid=f"r{turn}",
                                prompt=support.prompt())
-            (attempt,) = self.driver.host.pending[turn].tries
+            (attempt,) = self.driver.host.pending[turn].attempts
             self.driver.feed(events.AttemptFailed(
-                turn, 0, model.Outcome.DISCONNECTED, torn=True), 0.1)
+                turn, 0, model.Outcome.DISCONNECTED, disconnected=True), 0.1)
             self.driver.feed(events.ServersChanged(
                 (_engine(attempt.sid, born=born),), (), 5 + turn), 1.0)
             self.driver.host.servers["e1"].suspect_until = 1e9
--- a/tests/entry/test_retrying.py
+++ b/tests/entry/test_retrying.py
@@ -12,8 +12,9 @@
                 for number in range(1, 4))
 
 
-def _broken(turn=0):
-    return events.AttemptFailed(1, turn, model.Outcome.DISCONNECTED, "", False)
+def _broken(attempt_number=0):
+    return events.AttemptFailed(1, attempt_number, model.Outcome.DISCONNECTED,
+                                "", False)
 
 
 class RepeatingTest(unittest.TestCase):
@@ -24,7 +25,7 @@
         driver = support.Driver(STREAM, servers=ENGINES)
         driver.arrive(path="/advice/1", prompt=support.prompt(),
                       deadline_s=8.0)
-        first = driver.host.pending[1].tries[0].sid
+        first = driver.host.pending[1].attempts[0].sid
         driver.feed(events.StreamOpened(1, 0, None), 0.1)
         out = driver.feed(_broken(), 0.5)
         self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
@@ -43,6 +44,6 @@
         # Two engines crash under a stream, and the first one refuses
         # connections since then: a third engine may finish the stream.
         driver, first = self._resume_at_second_server()
-        driver.host.servers[first].unreached = True
+        driver.host.servers[first].unreachable = True
         out = driver.feed(_broken(1), 0.5)
         self.assertEqual(1, len(support.effects_of(out, effects.SendRequest)))
--- a/tests/entry/test_server_choice.py
+++ b/tests/entry/test_server_choice.py
@@ -12,8 +12,8 @@
 from tests.entry import support
 
 ENGINES = tuple(support.server(f"e{n}", "engines") for n in range(4))
-TOP = support.stream("top", priority=0, goal_s=1.2)
-LOW = support.stream("low", priority=2, goal_s=2.0)
+TOP = support.stream("top", priority=0, target_s=1.2)
+LOW = support.stream("low", priority=2, target_s=2.0)
 
 
 def _driver(**kwargs):
@@ -51,15 +51,15 @@
         driver = _driver()
         caching = driver.host.servers["e2"]
         prefix_cache.add_part(caching, "tide", 13_000, 5e5, 0)
-        caching.others.put("host-1", 4, 40_000, 4, driver.now)
+        caching.peer_loads.update("host-1", 4, 40_000, 4, driver.now)
         self.assertEqual("e2", _choose(driver, support.prompt("tide")))
-        caching.others.put("host-1", 9, 90_000, 9, driver.now)
+        caching.peer_loads.update("host-1", 9, 90_000, 9, driver.now)
         self.assertNotEqual("e2", _choose(driver, support.prompt("tide")))
 
     def test_old_report_of_a_peer_does_not_count(self):
         driver = _driver()
         state = driver.host.servers["e2"]
-        state.others.put("host-1", 9, 90_000, 9, driver.now - 2)
+        state.peer_loads.update("host-1", 9, 90_000, 9, driver.now - 2)
         self.assertEqual(0, server_load.queued_tokens(state, driver.now))
 
     def test_draining_servers_never_and_suspect_ones_last(self):
@@ -78,15 +78,17 @@
         plain = (support.server("p1"), support.server("p2"))
         driver = support.Driver(support.route(), servers=plain)
         first = driver.host.servers["p1"]
-        first.others.put("host-1", 48, 0, 0, driver.now)
-        first.others.put("host-2", 40, 0, 0, driver.now)
-        driver.host.servers["p2"].others.put("host-1", 80, 0, 0, driver.now)
+        first.peer_loads.update("host-1", 48, 0, 0, driver.now)
+        first.peer_loads.update("host-2", 40, 0, 0, driver.now)
+        driver.host.servers["p2"].peer_loads.update("host-1", 80, 0, 0,
+                                                    driver.now)
         (sent,) = support.effects_of(driver.arrive(), effects.SendRequest)
         self.assertEqual("p2", sent.server.sid)
-        driver.host.servers["p2"].others.put("host-1", 90, 0, 0, driver.now)
+        driver.host.servers["p2"].peer_loads.update("host-1", 90, 0, 0,
+                                                    driver.now)
         (answer,) = support.effects_of(driver.arrive(key=2), effects.Answer)
         self.assertEqual(503, answer.status)
-        self.assertIsNotNone(answer.retry_s)
+        self.assertIsNotNone(answer.retry_delay_s)
 
     def test_parts_beyond_an_engines_memory_are_evicted(self):
         state = _driver().host.servers["e1"]
@@ -102,7 +104,8 @@
     def _load(self, driver, reading, tokens):
         for state in driver.host.servers.values():
             server_load.note_work(driver.host, state)
-            state.others.put("host-1", reading, tokens, reading, driver.now)
+            state.peer_loads.update("host-1", reading, tokens, reading,
+                                    driver.now)
 
     def _arrive(self, driver, name, key=1, **kwargs):
         out = driver.feed(events.RequestReceived(key, support.request(
@@ -131,7 +134,7 @@
         out = driver.feed(events.TimerFired(1))
         (answer,) = support.effects_of(out, effects.Answer)
         self.assertEqual(503, answer.status)
-        self.assertTrue(0.5 < answer.retry_s <= 8.0 / 3)
+        self.assertTrue(0.5 < answer.retry_delay_s <= 8.0 / 3)
         self.assertEqual({}, driver.host.pending)
 
     def test_queued_until_an_engine_has_capacity(self):
@@ -164,10 +167,10 @@
         driver = _driver()
         caching = driver.host.servers["e2"]
         prefix_cache.add_part(caching, "shared", 13_000, 5e5, 0)
-        caching.others.put("host-1", 1, 28_000, 1, driver.now)
+        caching.peer_loads.update("host-1", 1, 28_000, 1, driver.now)
         self.assertEqual(0, len(self._arrive(driver, "low")[0]))
         driver.now += 1.01
-        caching.others.put("host-1", 1, 28_000, 1, driver.now)
+        caching.peer_loads.update("host-1", 1, 28_000, 1, driver.now)
         out = driver.feed(events.TimerFired(1))
         (sent,) = support.effects_of(out, effects.SendRequest)
         self.assertNotEqual("e2", sent.server.sid)
@@ -180,11 +183,11 @@
         dead = driver.host.servers["e0"]
         dead.suspect_until = driver.now + 4
         self._load(driver, 9, 90_000)
-        dead.others.put("host-1", 0, 0, 0, driver.now)
+        dead.peer_loads.update("host-1", 0, 0, 0, driver.now)
         self._arrive(driver, "low")
         driver.now += 1.01
         self._load(driver, 9, 90_000)
-        dead.others.put("host-1", 0, 0, 0, driver.now)
+        dead.peer_loads.update("host-1", 0, 0, 0, driver.now)
         out = driver.feed(events.TimerFired(1))
         self.assertEqual([], support.effects_of(out, effects.SendRequest))
         self.assertEqual(1, len(support.effects_of(out, effects.Answer)))
@@ -194,7 +197,7 @@
         # slower: 551 of 3,700 that had begun timed out.
         driver = _driver()
         for state in driver.host.servers.values():
-            state.busy = 0.9
+            state.prefill_share = 0.9
         self.assertEqual(0, len(self._arrive(driver, "low", 1)[0]))
         self.assertEqual(1, len(self._arrive(driver, "top", 2)[0]))
 
@@ -209,11 +212,11 @@
             caching = driver.host.servers["e2"]
             prefix_cache.add_part(caching, "shared", 13_000, 5e5, 0)
             for state in driver.host.servers.values():
-                state.busy = share
-            caching.others.put("host-1", 1, 28_000, 1, driver.now)
+                state.prefill_share = share
+            caching.peer_loads.update("host-1", 1, 28_000, 1, driver.now)
             self._arrive(driver, "low")
             driver.now += 1.01
-            caching.others.put("host-1", 1, 28_000, 1, driver.now)
+            caching.peer_loads.update("host-1", 1, 28_000, 1, driver.now)
             out = driver.feed(events.TimerFired(1))
             self.assertEqual(sends,
                              len(support.effects_of(out, effects.SendRequest)))
@@ -224,21 +227,21 @@
             self._load(driver, 2, 9_000)
             driver.feed(events.Ticked(), 0.3)
         state = driver.host.servers["e1"]
-        self.assertGreater(state.busy, 0.9)
+        self.assertGreater(state.prefill_share, 0.9)
         for _ in range(20):
             driver.feed(events.Ticked(), 0.3)
-        self.assertLess(state.busy, 0.1)
+        self.assertLess(state.prefill_share, 0.1)
 
     def test_no_prompt_is_sent_where_memory_would_run_out(self):
         # Long prompts are kept on some of the engines. One that runs out of
         # memory preempts running requests and prefills them again.
         driver = _driver()
         for state in driver.host.servers.values():
-            state.others.put("host-1", 20, 0, 0, driver.now,
-                             memory=440_000)
+            state.peer_loads.update("host-1", 20, 0, 0, driver.now,
+                                    memory_tokens=440_000)
         self.assertEqual(0, len(self._arrive(driver, "low", 1)[0]))
-        driver.host.servers["e3"].others.put(
-            "host-1", 20, 0, 0, driver.now, memory=400_000)
+        driver.host.servers["e3"].peer_loads.update(
+            "host-1", 20, 0, 0, driver.now, memory_tokens=400_000)
         out = driver.feed(events.TimerFired(1), 0.1)
         self.assertEqual(
             ["e3"], [sent.server.sid for sent
@@ -248,10 +251,10 @@
         driver = _driver()
         (sent,), _ = self._arrive(driver, "top")
         state = driver.host.servers[sent.server.sid]
-        self.assertEqual(13_700, state.memory)
+        self.assertEqual(13_700, state.memory_tokens)
         driver.feed(events.StreamOpened(1, 0, None), 0.1)
         driver.feed(events.StreamEnded(1, 0), 0.1)
-        self.assertEqual(0, state.memory)
+        self.assertEqual(0, state.memory_tokens)
 
     def test_callers_retry_has_the_same_limits_as_a_new_request(self):
         # A retry is late already. With higher limits than new requests,
@@ -296,6 +299,6 @@
                                      effects.SendToPeer)
         self.assertEqual(
             {sid for pending in driver.host.pending.values()
-             for sid in [pending.tries[0].sid] if pending.key > 1},
+             for sid in [pending.attempts[0].sid] if pending.key > 1},
             {row[0] for row in tell.event.loads})
         self.assertEqual([], driver.feed(events.LoadsDue(), 0.1))
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -63,17 +63,17 @@
         driver = _driver()
         wanted = 2 * serving.BASE_SERVING_HOSTS
         _send_requests(driver, int(2 * serving.TARGET_RATE * WINDOW_S))
-        self.assertTrue(driver.host.me.name in {
+        self.assertTrue(driver.host.self_peer.name in {
             peer.name
             for peer in fleet.serving_hosts(driver.host, driver.now)})
         self.assertAlmostEqual(wanted, _count(driver), delta=2)
 
     def test_a_reported_number_is_valid_for_its_ttl_on_all_hosts(self):
         driver = _driver()
-        _receive_states(driver, wanted=serving.ServingDemand(40, 0.0))
+        _receive_states(driver, serving_demand=serving.ServingDemand(40, 0.0))
         fleet.invalidate_serving_hosts(driver.host)
         self.assertEqual(40, _count(driver))
-        _receive_states(driver, wanted=serving.ServingDemand(30, 0.0))
+        _receive_states(driver, serving_demand=serving.ServingDemand(30, 0.0))
         fleet.invalidate_serving_hosts(driver.host)
         self.assertEqual(40, _count(driver))
         driver.now += serving.DEMAND_TTL_S
@@ -105,11 +105,12 @@
         for number in range(serving_count - 1):
             driver.feed(events.PeerStateReceived(
                 support.peer(f"host-{number}", capacity=0.9), True, False,
-                10, 5, wanted=serving.ServingDemand(serving_count, 0.0)))
+                10, 5, serving_demand=serving.ServingDemand(serving_count,
+                                                            0.0)))
         fleet.invalidate_serving_hosts(driver.host)
         count, due = 0, None
         for _ in range(100):
-            driver.host.changed.add("e1")
+            driver.host.changed_loads.add("e1")
             event = events.PeerLoadsReceived("host-0", ())
             if due is not None and driver.now >= due:
                 event, due = events.LoadsDue(), None
--- a/tests/entry/test_slots.py
+++ b/tests/entry/test_slots.py
@@ -9,7 +9,7 @@
 SLOTS = 24
 ENGINES = tuple(support.server(f"e{n}", "engines", slots=SLOTS)
                 for n in range(12))
-CHAT = support.stream("chat", priority=0, goal_s=0.3, gap_s=0.25)
+CHAT = support.stream("chat", priority=0, target_s=0.3, gap_s=0.25)
 HOSTS = 7
 CHATS = 154
 
@@ -36,17 +36,17 @@
     def _report_loads(self, sends):
         for driver, sid in sends:
             number = self.drivers.index(driver)
-            count = len(driver.host.servers[sid].mine)
+            count = len(driver.host.servers[sid].own_attempts)
             for other in self.drivers:
                 if other is not driver:
-                    other.host.servers[sid].others.put(
+                    other.host.servers[sid].peer_loads.update(
                         f"h{number}", count, 0, 0, other.now)
 
     def _open_all(self):
         """Let all engines finish the prefill of their prompts."""
         for driver in self.drivers:
             for pending in list(driver.host.pending.values()):
-                if pending.tries and not pending.tries[-1].opened:
+                if pending.attempts and not pending.attempts[-1].opened:
                     driver.feed(events.StreamOpened(pending.key, 0, None))
 
     def test_hosts_that_learn_of_requests_with_a_delay(self):
@@ -57,7 +57,8 @@
         # again, and its answer stops for seconds.
         for driver in self.drivers:
             for state in driver.host.servers.values():
-                state.loud, state.loud_at = 0.2, driver.now
+                state.expected_pause_s, state.expected_pause_at = (
+                    0.2, driver.now)
         for _ in range(CHATS // HOSTS):
             sends = []
             for driver in self.drivers:
--- a/tests/entry/test_tiers.py
+++ b/tests/entry/test_tiers.py
@@ -9,8 +9,8 @@
 from crocuskeel.core.entry import prefix_cache
 from tests.entry import support
 
-CHAT = support.stream("chat", priority=0, goal_s=0.3, gap_s=0.25)
-DRAFT = support.stream("draft", priority=2, goal_s=2.0, gap_s=1.0)
+CHAT = support.stream("chat", priority=0, target_s=0.3, gap_s=0.25)
+DRAFT = support.stream("draft", priority=2, target_s=2.0, gap_s=1.0)
 CHAT_PROMPT = model.Prompt((("chats", 170), ("own", 540)), 710, 200)
 DRAFT_PROMPT = model.Prompt((("drafts", 6_300), ("own", 2_900)), 9_200, 100)
 LONG_PROMPT = model.Prompt((("long", 13_000), ("own", 3_000)), 16_000, 100)
@@ -46,14 +46,15 @@
     def _report_loads(self):
         """A peer uses all slots of one engine; the other is in prefill."""
         host, now = self.driver.host, self.driver.now
-        host.servers["full"].others.put("h1", 24, 0, 0, now)
+        host.servers["full"].peer_loads.update("h1", 24, 0, 0, now)
         for prompt in (CHAT_PROMPT, DRAFT_PROMPT, LONG_PROMPT):
             part, tokens = prompt.parts[0]
             prefix_cache.add_part(
                 host.servers["full"], part, tokens, MEMORY, now)
             host.servers["busy"].parts.clear()
         busy = host.servers["busy"]
-        busy.busy, busy.loud, busy.loud_at = 0.8, 0.3, now
+        busy.prefill_share, busy.expected_pause_s, busy.expected_pause_at = (
+            0.8, 0.3, now)
 
     def _arrive(self, route, prompt):
         self.key += 1
--- a/tests/gateway/test_pieces.py
+++ b/tests/gateway/test_pieces.py
@@ -46,11 +46,10 @@
                 events.PeerStateReceived(support.peer(), True, False, 3, 4,
                                          (("d", "s"),), (("s", 1, 2, 1, 30),),
                                          (("s", "p", 9),), True, ("host-2",)),
-                events.PeerStateReceived(support.peer(), True, False, 3, 4,
-                                         wall=1.7e9 + 0.25,
-                                         leader=duties.Leader(9, "host-2", 7),
-                                         wanted=serving.ServingDemand(30,
-                                                                      1.5)),
+                events.PeerStateReceived(
+                    support.peer(), True, False, 3, 4, wall=1.7e9 + 0.25,
+                    leader=duties.Leader(9, "host-2", 7),
+                    serving_demand=serving.ServingDemand(30, 1.5)),
                 duties.Usage("host-1", 4, ((7, (("hire", 3),)),)),
                 events.PeerLoadsReceived("host-1", (("s", 1, 2, 1, 30),),
                                          ("t",))):
@@ -64,7 +63,7 @@
         driver = support.Driver(support.stream(), servers=servers)
         for state in driver.host.servers.values():
             server_load.note_work(driver.host, state)
-        driver.host.servers[servers[-1].sid].mine[1, 0] = 500
+        driver.host.servers[servers[-1].sid].own_attempts[1, 0] = 500
         driver.feed(events.PeersListed((support.peer("other"),)))
         tell = support.effects_of(driver.feed(events.Ticked(), 0.3),
                                   effects.SendToPeer)[0]
--- a/tests/gateway/test_upgrade.py
+++ b/tests/gateway/test_upgrade.py
@@ -52,7 +52,7 @@
         self._receive(gossip.encode_previous(STATE))
         (heard,) = self.received
         self.assertEqual((STATE.peer, STATE.loads, 0.5), (
-            heard.peer, heard.loads, heard.informed_s))
+            heard.peer, heard.loads, heard.store_data_age_s))
         self.assertIsNone(heard.wall)
 
     def test_host_of_the_previous_version_gets_its_format(self):
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -181,7 +181,7 @@
     def test_limits_and_prices(self):
         found = objects.service(self.ROW).scaling
         self.assertEqual((1, 20, 4.0, {"a": 0.85}, 0.18), (
-            found.least, found.most, found.boot_s, found.prices,
+            found.min_engines, found.max_engines, found.boot_s, found.prices,
             found.spot_price))
         self.assertIsNone(objects.service({"Name": "llm"}).scaling)
 
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -78,7 +78,7 @@
             with self.subTest(sent=sent, status=status):
                 found = self.codec.hints(
                     header_codec.Head(sent, status=status))
-                self.assertEqual(expected, (found.leaving, found.rest_s))
+                self.assertEqual(expected, (found.leaving, found.backoff_s))
 
     def test_kv_fetch_header_of_a_caller_is_replaced(self):
         # A caller that names an engine could read another caller's cached
--- a/tests/platform/test_objects.py
+++ b/tests/platform/test_objects.py
@@ -26,11 +26,11 @@
         server = objects.server(_entry())
         self.assertEqual(
             ("i-1", "plain", ("10.0.0.9", 80), 0.25, SPEC["born"]),
-            (server.sid, server.service, server.address, server.cold_s,
-             server.born))
+            (server.sid, server.service, server.address, server.warmup_left_s,
+             server.started_ms))
 
     def test_start_time_is_optional(self):
-        self.assertIsNone(objects.server(_entry(born=...)).born)
+        self.assertIsNone(objects.server(_entry(born=...)).started_ms)
 
     def test_missing_and_invalid_fields(self):
         # One invalid entry, written by another program, stopped a host from
--- a/tests/platform/test_store_outage.py
+++ b/tests/platform/test_store_outage.py
@@ -242,12 +242,12 @@
                 self.store.unresponsive = True
                 self.store.cut()
                 self._advance(rng.uniform(3.0, 6.0))
-                self.assertTrue(all(host.store_lost_at
+                self.assertTrue(all(host.store_down_since
                                     for host in self.hosts))
                 self.store.resume()
                 self._advance(DETECT_S)
                 self.assertEqual([None] * 3, [
-                    host.store_lost_at for host in self.hosts])
+                    host.store_down_since for host in self.hosts])
 
     def test_random_sequences_of_faults_and_changes(self):
         # Random sequences; a change must apply 2 s after it was acknowledged
--- a/tests/platform/test_store_watcher.py
+++ b/tests/platform/test_store_watcher.py
@@ -115,22 +115,23 @@
 
     def test_410_counts_as_an_answer_of_the_store(self):
         self.store.answer("config", exceptions.StoreError(0, "down"))
-        self.assertIsNotNone(self.host.store_lost_at)
+        self.assertIsNotNone(self.host.store_down_since)
         self.store.answer("servers", exceptions.StoreError(410, "gone"))
-        self.assertIsNone(self.host.store_lost_at)
+        self.assertIsNone(self.host.store_down_since)
 
     def test_servers_are_kept_during_an_outage(self):
         for _ in range(5):
             self.store.answer("servers", exceptions.StoreError(0, "down"))
             self.clock.advance(2.0)
-        self.assertIsNotNone(self.host.store_lost_at)
+        self.assertIsNotNone(self.host.store_down_since)
         self.assertEqual(2, len(self.host.servers))
         self.store.answer("servers", stores.Changes((), 9))
-        self.assertIsNone(self.host.store_lost_at)
+        self.assertIsNone(self.host.store_down_since)
 
     def test_watch_timeout_is_limited_by_apply_s(self):
-        self.assertLess(max(self.store.spans), self.host.cfg.apply_s)
-        self.gateway.feed(events.SettingsRead(entry.Settings(apply_s=0.5)))
+        self.assertLess(max(self.store.spans), self.host.cfg.config_apply_s)
+        self.gateway.feed(
+            events.SettingsRead(entry.Settings(config_apply_s=0.5)))
         self.store.answer("servers", stores.Changes((), 9))
         self.assertEqual(0.5, self.store.spans[-1])
 
@@ -255,7 +256,7 @@
         other = _server("s9")
         other["Spec"]["Service"] = "elsewhere"
         self.store.answer("servers", stores.Changes(((other, False),), 6))
-        self.assertFalse(self.host.servers["s1"].misdirects)
+        self.assertFalse(self.host.servers["s1"].address_reused)
 
     def test_only_newer_data_of_a_snapshot_is_applied(self):
         snapshot = self.watcher.snapshot(3)
@@ -327,7 +328,7 @@
 
     def test_snapshot_lists_expiring_servers(self):
         self.gateway.feed(events.StoreAvailable())
-        self.host.store_back_at = self.gateway.now
+        self.host.store_up_since = self.gateway.now
         self.store.answer("servers", stores.Changes(
             ((_server("s2"), True),), 6))
         snapshot = self.watcher.snapshot(3)
@@ -341,10 +342,10 @@
         # The host lost the store, and then others took over the reading. It
         # must not wait forever for a store that it no longer calls.
         self.store.answer("servers", exceptions.StoreError(0, "down"))
-        self.assertIsNotNone(self.host.store_lost_at)
+        self.assertIsNotNone(self.host.store_down_since)
         self.watcher._reads_store = lambda: False
         self.clock.advance(1.0)
-        self.assertIsNone(self.host.store_lost_at)
+        self.assertIsNone(self.host.store_down_since)
 
 
 class ObjectsTest(unittest.TestCase):
