--- a/bench/elastic.py
+++ b/bench/elastic.py
@@ -154,8 +154,7 @@
     """Have as many spot engines as there may be, always."""
     ordering.sample(duties, SERVICE, shares, now, POLICY)
     demand.record_need(duties.demands[SERVICE],
-                       len(DOMAINS) * SCALING.max_engines,
-                       now)
+                       len(DOMAINS) * SCALING.max_engines, now)
     return ordering.due(duties, SERVICE, SCALING, serving, now, POLICY)
 
 
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -50,10 +50,9 @@
         for peer in range(PEERS):
             tokens = 6_000 if (number + peer) % 7 == 0 else 0
             state.peer_loads.update(f"h{peer}", 1, tokens, int(tokens > 0),
-                                    now,
-                                    ((0, GAP_MS, 1),), 600)
-        state.expected_pause_s, state.expected_pause_at = 0.2 * (
-            number % 3), now
+                                    now, ((0, GAP_MS, 1),), 600)
+        state.expected_pause_s, state.expected_pause_at = (
+            0.2 * (number % 3), now)
 
 
 def _request(key):
--- a/crocuskeel/core/duties/demand.py
+++ b/crocuskeel/core/duties/demand.py
@@ -9,7 +9,7 @@
 import collections
 import dataclasses
 
-__all__ = ["Demand", "PEAK_KEPT_S", "peak_need", "new_demand", "record_need",
+__all__ = ["Demand", "PEAK_KEPT_S", "new_demand", "peak_need", "record_need",
            "sample"]
 
 # A peak of the need is kept this long, s. An engine that is removed loses
--- a/crocuskeel/core/duties/state.py
+++ b/crocuskeel/core/duties/state.py
@@ -6,7 +6,7 @@
 from crocuskeel.core.duties import handover as handovers
 from crocuskeel.core import leadership
 
-__all__ = ["Duties", "Leader", "DutyCall", "new_duties"]
+__all__ = ["Duties", "DutyCall", "Leader", "new_duties"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/crocuskeel/core/entry/admission.py
+++ b/crocuskeel/core/entry/admission.py
@@ -19,9 +19,9 @@
 from crocuskeel.core.entry import server_choice
 from crocuskeel.core.entry import server_load
 
-__all__ = ["QUEUE_TIME_SHARE", "admits", "is_callers_retry", "queue_until",
-           "next_check",
-           "may_prefill_again", "rank", "retry_delay_s"]
+__all__ = ["QUEUE_TIME_SHARE", "admits", "is_callers_retry",
+           "may_prefill_again", "next_check", "queue_until", "rank",
+           "retry_delay_s"]
 
 # Over six days of high load goodput was 0.559 with limits on the wait alone,
 # 0.582 with ranks by the workspace's priority, and 0.659 with ranks by the
@@ -81,9 +81,8 @@
     limit = server_load.usable_slots(target, now) * MAX_SLOT_SHARES[rank]
     if server_load.running_requests(target, now) >= limit:
         return False
-    if target.prefill_share > MAX_PREFILL_SHARES[
-            rank] and not is_callers_retry(
-            pending):
+    if (target.prefill_share > MAX_PREFILL_SHARES[rank]
+            and not is_callers_retry(pending)):
         return False
     limit, share = _bounds(pending, rank)
     if server_load.queued_prompts(target, now) >= limit:
--- a/crocuskeel/core/entry/backoff.py
+++ b/crocuskeel/core/entry/backoff.py
@@ -8,7 +8,7 @@
 
 from crocuskeel.core.entry import effects
 
-__all__ = ["note_backoff", "forget", "remaining_s"]
+__all__ = ["forget", "note_backoff", "remaining_s"]
 
 # Longest back-off that is honoured, s: a corrupt number must not take a
 # server out of use for good.
--- a/crocuskeel/core/entry/changelog.py
+++ b/crocuskeel/core/entry/changelog.py
@@ -8,8 +8,8 @@
 
 import dataclasses
 
-__all__ = ["Changes", "ChangeLog", "record_changes", "record_full_list",
-           "changes_since"]
+__all__ = ["ChangeLog", "Changes", "changes_since", "record_changes",
+           "record_full_list"]
 
 # Maximum number of removed servers' ids that are kept, some 200 kB: more than
 # are removed in the minutes that a host may be cut off from all others.
--- a/crocuskeel/core/entry/draining.py
+++ b/crocuskeel/core/entry/draining.py
@@ -9,7 +9,7 @@
 
 from crocuskeel.core.entry import effects
 
-__all__ = ["remove_unlisted", "is_draining", "merge", "note_response", "rows"]
+__all__ = ["is_draining", "merge", "note_response", "remove_unlisted", "rows"]
 
 # A draining server that is no longer listed is kept for this long, s: its
 # entry may have expired and come back.
--- a/crocuskeel/core/entry/effects.py
+++ b/crocuskeel/core/entry/effects.py
@@ -4,11 +4,9 @@
 
 from crocuskeel.core.entry import model
 
-__all__ = ["Answer", "Cancel", "AbortStream", "Exit", "FetchCatalog",
-           "LogEvent",
-           "ForwardResponse", "CloseListener", "SendRequest", "SendDuty",
-           "SendToPeer",
-           "ScheduleLoadsDue", "SetRequestTimer"]
+__all__ = ["AbortStream", "Answer", "Cancel", "CloseListener", "Exit",
+           "FetchCatalog", "ForwardResponse", "LogEvent", "ScheduleLoadsDue",
+           "SendDuty", "SendRequest", "SendToPeer", "SetRequestTimer"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/crocuskeel/core/entry/ending.py
+++ b/crocuskeel/core/entry/ending.py
@@ -4,10 +4,9 @@
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import prefill_pauses
 
-__all__ = ["BUSY_RETRY_S", "UNAVAILABLE", "cancel_all", "cancel_others",
-           "close_attempt", "find_attempt", "finish", "give_up",
-           "active_attempts",
-           "mark_load_changed", "log_line", "refuse"]
+__all__ = ["BUSY_RETRY_S", "UNAVAILABLE", "active_attempts", "cancel_all",
+           "cancel_others", "close_attempt", "find_attempt", "finish",
+           "give_up", "log_line", "mark_load_changed", "refuse"]
 
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
--- a/crocuskeel/core/entry/events.py
+++ b/crocuskeel/core/entry/events.py
@@ -13,15 +13,12 @@
 from crocuskeel.core.entry import serving
 
 __all__ = [
-    "ResponseReceived", "RequestReceived", "AttemptFailed",
-    "CallerDisconnected", "CatalogRead",
-    "DutyAnswered", "StreamEnded",
-    "PeerStateReceived", "PeerHintsReceived", "HintsReceived",
-    "PeerLoadsReceived", "LoadsDue", "StreamOpened",
-    "PeersListed", "StreamProgressed",
-    "ServersChanged", "ServersListed", "SettingsRead",
-    "Started", "StopAsked", "StoreAvailable",
-    "StoreReadingStopped", "StoreUnavailable", "Ticked", "TimerFired",
+    "AttemptFailed", "CallerDisconnected", "CatalogRead", "DutyAnswered",
+    "HintsReceived", "LoadsDue", "PeerHintsReceived", "PeerLoadsReceived",
+    "PeerStateReceived", "PeersListed", "RequestReceived", "ResponseReceived",
+    "ServersChanged", "ServersListed", "SettingsRead", "Started", "StopAsked",
+    "StoreAvailable", "StoreReadingStopped", "StoreUnavailable", "StreamEnded",
+    "StreamOpened", "StreamProgressed", "Ticked", "TimerFired",
 ]
 
 
--- a/crocuskeel/core/entry/fleet.py
+++ b/crocuskeel/core/entry/fleet.py
@@ -11,9 +11,9 @@
 from crocuskeel.core.entry import serving
 
 __all__ = ["HOP_DELAY_S", "PEER_TIMEOUT_S", "caller_addresses",
-           "serving_hosts",
            "invalidate_serving_hosts", "is_large", "is_peer_ready", "is_ready",
-           "is_serving_host", "reads_store", "store_data_age_s"]
+           "is_serving_host", "reads_store", "serving_hosts",
+           "store_data_age_s"]
 
 # A host that was silent for this long is not named to callers, s: four
 # of its datagrams are missing.
--- a/crocuskeel/core/entry/gossip.py
+++ b/crocuskeel/core/entry/gossip.py
@@ -19,8 +19,8 @@
 from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import serving
 
-__all__ = ["broadcast_change", "broadcast_hints", "send_load_update",
-           "schedule_load_update", "reply", "send_state", "broadcast_lease"]
+__all__ = ["broadcast_change", "broadcast_hints", "broadcast_lease", "reply",
+           "schedule_load_update", "send_load_update", "send_state"]
 
 # Crashes are included in the state for this long, s: a datagram may be
 # lost.
--- a/crocuskeel/core/entry/health.py
+++ b/crocuskeel/core/entry/health.py
@@ -8,8 +8,9 @@
 
 import math
 
-__all__ = ["record_failure", "current_failure_rate", "note_activity",
-           "record_success", "record_duration", "record_connection_failure"]
+__all__ = ["current_failure_rate", "note_activity",
+           "record_connection_failure", "record_duration", "record_failure",
+           "record_success"]
 
 # Weight of a new outcome in the moving average: about the last eight count.
 OUTCOME_WEIGHT = 0.12
--- a/crocuskeel/core/entry/model.py
+++ b/crocuskeel/core/entry/model.py
@@ -5,8 +5,8 @@
 
 __all__ = [
     "Catalog", "EngineSpec", "Hints", "Kind", "Limits", "Outcome", "Peer",
-    "Prompt", "Request", "Route", "Scaling", "Server", "Service",
-    "Workspace", "server_id",
+    "Prompt", "Request", "Route", "Scaling", "Server", "Service", "Workspace",
+    "server_id",
 ]
 
 
--- a/crocuskeel/core/entry/pause_estimate.py
+++ b/crocuskeel/core/entry/pause_estimate.py
@@ -6,7 +6,7 @@
 
 import dataclasses
 
-__all__ = ["PauseEstimate", "may_exceed", "add_sample", "estimate_of"]
+__all__ = ["PauseEstimate", "add_sample", "estimate_of", "may_exceed"]
 
 # The estimated quantile of the pauses during continuous prefill.
 QUANTILE = 0.95
--- a/crocuskeel/core/entry/peers.py
+++ b/crocuskeel/core/entry/peers.py
@@ -14,7 +14,7 @@
 from crocuskeel.core.entry import serving
 from crocuskeel.core.entry import state as states
 
-__all__ = ["handle_peer_state", "handle_peer_loads", "handle_peer_list"]
+__all__ = ["handle_peer_list", "handle_peer_loads", "handle_peer_state"]
 
 # Minimum interval between fetches of newer data from a peer, s.
 FETCH_INTERVAL_S = 0.25
--- a/crocuskeel/core/entry/prefill_pauses.py
+++ b/crocuskeel/core/entry/prefill_pauses.py
@@ -14,9 +14,9 @@
 
 from crocuskeel.core.entry import pause_estimate
 
-__all__ = ["change_count", "note_prefill", "is_at_risk", "late_probability",
-           "late_streams", "expected_pause_s", "note_stream_ended",
-           "note_stream_sent"]
+__all__ = ["change_count", "expected_pause_s", "is_at_risk",
+           "late_probability", "late_streams", "note_prefill",
+           "note_stream_ended", "note_stream_sent"]
 
 # An expected pause is taken to be on time up to this share of the longest
 # allowed one, and certainly late at the full length: estimates of prefill
--- a/crocuskeel/core/entry/prefix_cache.py
+++ b/crocuskeel/core/entry/prefix_cache.py
@@ -9,10 +9,9 @@
 
 import dataclasses
 
-__all__ = ["CachedPart", "engine_config", "fetchable_tokens", "can_fetch",
-           "cached_tokens", "note_fetchable",
-           "note_cached", "add_part", "fetch_source", "prefill_tokens",
-           "uncached_tokens"]
+__all__ = ["CachedPart", "add_part", "cached_tokens", "can_fetch",
+           "engine_config", "fetch_source", "fetchable_tokens", "note_cached",
+           "note_fetchable", "prefill_tokens", "uncached_tokens"]
 
 # Prefill speed of an engine, tokens a second: between the rated speeds of
 # the engines of two deployments, 36,700 and 48,200.
--- a/crocuskeel/core/entry/quarantine.py
+++ b/crocuskeel/core/entry/quarantine.py
@@ -11,8 +11,9 @@
 incarnation.
 """
 
-__all__ = ["is_quarantined", "time_left_s", "record_crash", "note_completed",
-           "note_disconnect", "record_server_down", "recent_crashes"]
+__all__ = ["is_quarantined", "note_completed", "note_disconnect",
+           "recent_crashes", "record_crash", "record_server_down",
+           "time_left_s"]
 
 # A crash ends all connections of a server within this time, s.
 CRASH_SPREAD_S = 0.3
--- a/crocuskeel/core/entry/ratelimits.py
+++ b/crocuskeel/core/entry/ratelimits.py
@@ -18,9 +18,8 @@
 from crocuskeel.core.entry import model
 from crocuskeel.core.entry import routing
 
-__all__ = ["RateLimit", "available_in_s", "is_limited", "count_limited",
-           "merge",
-           "note_response", "refill_buckets", "rows", "consume_token"]
+__all__ = ["RateLimit", "available_in_s", "consume_token", "count_limited",
+           "is_limited", "merge", "note_response", "refill_buckets", "rows"]
 
 # The buckets of a server together hold one second of its rate plus this many
 # requests. No more hosts than that share the rate, so that each bucket holds
--- a/crocuskeel/core/entry/registry.py
+++ b/crocuskeel/core/entry/registry.py
@@ -16,8 +16,8 @@
 from crocuskeel.core.entry import state as states
 
 __all__ = ["catalog_seen", "drop_expired", "grace_periods", "servers_changed",
-           "servers_listed", "store_back", "store_reading_stopped",
-           "store_lost"]
+           "servers_listed", "store_back", "store_lost",
+           "store_reading_stopped"]
 
 # Grace period of expired entries, s. Servers register again within some 2 s
 # of the store's return. A server that left instead must get nothing 2 s
--- a/crocuskeel/core/entry/requests.py
+++ b/crocuskeel/core/entry/requests.py
@@ -13,7 +13,7 @@
 from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import state as states
 
-__all__ = ["request_arrived", "caller_left", "timer_fired"]
+__all__ = ["caller_left", "request_arrived", "timer_fired"]
 
 # Time limit of a request that has none of its own, s.
 DEFAULT_DEADLINE_S = 60.0
--- a/crocuskeel/core/entry/retry_budget.py
+++ b/crocuskeel/core/entry/retry_budget.py
@@ -9,7 +9,7 @@
 
 import collections
 
-__all__ = ["may_retry", "note_request", "request_rate", "note_retry"]
+__all__ = ["may_retry", "note_request", "note_retry", "request_rate"]
 
 # Share of its budget that a host uses: windows slide, and peers that are
 # not heard of for a moment still use theirs.
--- a/crocuskeel/core/entry/sending.py
+++ b/crocuskeel/core/entry/sending.py
@@ -177,12 +177,12 @@
     Returns the server that it is to fetch from, or None.
     """
     prompt = pending.request.prompt
-    source = prefix_cache.fetch_source(host, target, pending,
-                                       server_choice.fetch_sources(
-                                           host, pending, now), now)
+    source = prefix_cache.fetch_source(
+        host, target, pending,
+        server_choice.fetch_sources(host, pending, now), now)
     held = prefix_cache.cached_tokens(target, prompt)
-    attempt.uncached_tokens = prefix_cache.prefill_tokens(host, target,
-                                                          pending)
+    attempt.uncached_tokens = prefix_cache.prefill_tokens(
+        host, target, pending)
     attempt.fetched_tokens = prefix_cache.fetchable_tokens(host, pending, held)
     attempt.reread_tokens = max(
         0, pending.cached_elsewhere_tokens - held - attempt.fetched_tokens)
@@ -190,9 +190,8 @@
     target.memory_tokens += attempt.memory_tokens
     engine = prefix_cache.engine_config(host, pending.service)
     if engine is not None:
-        read_at = now + server_load.queued_prefill_s(
-            target, now) + server_load.prefill_s(
-            target, attempt.uncached_tokens)
+        read_at = (now + server_load.queued_prefill_s(target, now)
+                   + server_load.prefill_s(target, attempt.uncached_tokens))
         prefix_cache.note_cached(host, target, prompt, engine.memory, now,
                                  read_at)
     return source
--- a/crocuskeel/core/entry/server_choice.py
+++ b/crocuskeel/core/entry/server_choice.py
@@ -15,9 +15,8 @@
 from crocuskeel.core.entry import ratelimits
 from crocuskeel.core.entry import server_load
 
-__all__ = ["choose", "choose_with_capacity", "available_in_s", "healthy",
-           "fetch_sources",
-           "is_available"]
+__all__ = ["available_in_s", "choose", "choose_with_capacity", "fetch_sources",
+           "healthy", "is_available"]
 
 # Share of the connections that a server accepts which all hosts together
 # may use: a host learns of the others' connections some milliseconds late,
--- a/crocuskeel/core/entry/server_load.py
+++ b/crocuskeel/core/entry/server_load.py
@@ -6,10 +6,10 @@
 
 from crocuskeel.core.entry import prefix_cache
 
-__all__ = ["REPORT_HEARD_S", "queued_prefill_s", "queued_tokens", "is_silent",
-           "note_load", "note_work", "prefill_s", "queued_prompts",
-           "reserved_memory",
-           "running_requests", "sample_prefill", "usable_slots"]
+__all__ = ["REPORT_HEARD_S", "is_silent", "note_load", "note_work",
+           "prefill_s", "queued_prefill_s", "queued_prompts", "queued_tokens",
+           "reserved_memory", "running_requests", "sample_prefill",
+           "usable_slots"]
 
 # A server with work is silent if it sent nothing for this long on top of the
 # prefill time of its prompts, s. Events come every 30 to 200 ms.
--- a/crocuskeel/core/entry/serving.py
+++ b/crocuskeel/core/entry/serving.py
@@ -17,8 +17,7 @@
 from crocuskeel.core.entry import retry_budget
 
 __all__ = ["BASE_SERVING_HOSTS", "NO_DEMAND", "ServingDemand", "advertised",
-           "merge",
-           "note_own_demand", "serving_host_limit"]
+           "merge", "note_own_demand", "serving_host_limit"]
 
 # This many hosts may serve callers at any load: each sends to 12 others at a
 # time, so that all of them know of a change after two datagrams.
--- a/crocuskeel/core/entry/state.py
+++ b/crocuskeel/core/entry/state.py
@@ -13,8 +13,7 @@
 from crocuskeel.core.entry import serving
 
 __all__ = ["Host", "RequestState", "PeerState", "ServerState", "Settings",
-           "Attempt",
-           "new_host", "new_server"]
+           "Attempt", "new_host", "new_server"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/crocuskeel/gateway/callers.py
+++ b/crocuskeel/gateway/callers.py
@@ -27,60 +27,61 @@
     ``last_event_id`` is that of the last event that was sent to the caller.
     """
 
-    __slots__ = ("attempts", "begun", "body", "conn", "head", "key",
-                 "last_event", "over", "request", "timer")
+    __slots__ = ("answer_begun", "attempts", "body", "connection", "finished",
+                 "head", "key", "last_event_id", "request", "timer")
 
-    def __init__(self, conn, head, body):
+    def __init__(self, connection, head, body):
         self.key = next(_exchange_keys)
-        self.conn = conn
+        self.connection = connection
         self.head = head
         self.body = body
         self.request = None
         self.attempts = {}
         self.timer = None
-        self.last_event = None
-        self.begun = False
-        self.over = False
+        self.last_event_id = None
+        self.answer_begun = False
+        self.finished = False
 
     def answer(self, status, headers, body):
         """Send a complete answer, unless one has begun."""
-        if self.over or self.begun:
+        if self.finished or self.answer_begun:
             return
-        self.over = True
+        self.finished = True
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
-        self.conn.send_answer(status, headers, body)
+        self.connection.send_answer(status, headers, body)
 
-    def begin(self, status, headers):
+    def begin_answer(self, status, headers):
         """Begin an answer of unknown length."""
-        if self.begun or self.over:
+        if self.answer_begun or self.finished:
             return
-        self.begun = True
+        self.answer_begun = True
         headers = [*headers, (b"Transfer-Encoding", b"chunked")]
-        self.conn.send_head(status, headers)
+        self.connection.send_head(status, headers)
 
-    def pass_on(self, data):
+    def send_data(self, data):
         """Send a piece of the answer."""
-        if not self.over:
-            self.conn.send_data(data)
+        if not self.finished:
+            self.connection.send_data(data)
 
-    def end(self):
+    def end_answer(self):
         """Complete the answer."""
-        if not self.over:
-            self.over = True
-            self.conn.send_end()
+        if not self.finished:
+            self.finished = True
+            self.connection.send_end()
 
-    def cut(self):
+    def abort(self):
         """Reset the connection, so that the answer can't seem complete."""
-        if not self.over:
-            self.over = True
-            self.conn.transport.abortConnection()
+        if not self.finished:
+            self.finished = True
+            self.connection.transport.abortConnection()
 
 
 class CallerConnection(protocol.Protocol):
     """A caller's connection.
 
-    ``handler`` has ``arrived(exchange)``, ``left(exchange)``,
-    ``refused(status, why)`` and ``limits()``.
+    ``handler`` has ``request_received(exchange)``,
+    ``caller_disconnected(exchange)``, ``request_rejected(status, why)``
+    and ``limits()``.
     """
 
     def __init__(self, reactor, handler, listener):
@@ -103,16 +104,16 @@
 
     def connectionMade(self):
         sockets.configure(self.transport)
-        self.listener.open.add(self)
+        self.listener.open_connections.add(self)
         self._set_timer(self.limits.idle_s, self._idle_timed_out)
 
     def connectionLost(self, reason):
-        self.listener.open.discard(self)
+        self.listener.open_connections.discard(self)
         self._cancel_timer()
         exchange, self.exchange = self.exchange, None
-        if exchange is not None and not exchange.over:
-            exchange.over = True
-            self.handler.left(exchange)
+        if exchange is not None and not exchange.finished:
+            exchange.finished = True
+            self.handler.caller_disconnected(exchange)
 
     def dataReceived(self, data):
         if self.lingering:
@@ -183,11 +184,11 @@
         self.pipelined = 0
         self.exchange = Exchange(self, self.request, b"".join(self.body))
         self._reset_request()
-        self.handler.arrived(self.exchange)
+        self.handler.request_received(self.exchange)
 
     def _reject(self, status, why):
         """Reject a malformed or late request, and close."""
-        self.handler.refused(status, why)
+        self.handler.request_rejected(status, why)
         if self.h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._send(h11.Response(status_code=status, headers=[
                 (b"Content-Length", b"0"), (b"Connection", b"close")]))
@@ -280,7 +281,7 @@
     def __init__(self, reactor, handler):
         self.reactor = reactor
         self.handler = handler
-        self.open = set()
+        self.open_connections = set()
         self.closing = False
 
     def buildProtocol(self, addr):
@@ -289,7 +290,7 @@
     def close_idle(self):
         """Close idle connections now, others after their answers."""
         self.closing = True
-        for conn in list(self.open):
+        for conn in list(self.open_connections):
             conn.close_idle()
 
 
--- a/crocuskeel/gateway/connections.py
+++ b/crocuskeel/gateway/connections.py
@@ -61,11 +61,11 @@
         self.connector = None
         self.h11 = h11.Connection(h11.CLIENT)
         self.has_head = False
-        self.over = False
+        self.closed = False
 
     def connectionMade(self):
         sockets.configure(self.transport)
-        if self.over:
+        if self.closed:
             self.transport.abortConnection()
             return
         if self.is_expired is not None:
@@ -79,12 +79,12 @@
                       encode(self.h11, *self.handler.request()))
 
     def dataReceived(self, data):
-        if not self.over:
+        if not self.closed:
             self.h11.receive_data(data)
             self._process_events()
 
     def connectionLost(self, reason):
-        if self.over:
+        if self.closed:
             return
         # A clean close ends an answer without a length; after a reset its
         # end is lost.
@@ -94,7 +94,7 @@
         self.fail(Failure.DISCONNECTED, reason.type.__name__)
 
     def _process_events(self):
-        while not self.over:
+        while not self.closed:
             try:
                 event = next_event(self.h11)
             except h11.RemoteProtocolError as exc:
@@ -119,13 +119,13 @@
 
     def fail(self, failure, detail):
         """Close and report a failure, unless already closed."""
-        if not self.over:
+        if not self.closed:
             self.close()
             self.handler.failed(failure, detail)
 
     def close(self):
         """Abort the connection."""
-        self.over = True
+        self.closed = True
         if self.transport is not None:
             self.transport.abortConnection()
         elif self.connector is not None:
--- a/crocuskeel/gateway/gossip.py
+++ b/crocuskeel/gateway/gossip.py
@@ -163,7 +163,7 @@
         else:
             self.previous_version_hosts.discard(name)
 
-    def tell(self, effect):
+    def send(self, effect):
         """Send an event to a peer."""
         if effect.peer.name in self.previous_version_hosts:
             data = encode_previous(effect.event)
--- a/crocuskeel/gateway/header_codec.py
+++ b/crocuskeel/gateway/header_codec.py
@@ -50,7 +50,7 @@
 
     ``read_request(head, body)`` returns a model.Request, or raises ValueError
     with the reason for a response 400. ``server_headers(head, send,
-    last_event)`` returns the headers of a request to a server, without the
+    last_event_id)`` returns the headers of a request to a server, without the
     framing. ``classify(request, head)`` returns a Verdict, ``load(head)``
     (running, waiting, slots) or None, and ``hints(head)`` a model.Hints.
     ``stamped(head)`` returns whether an answer carries a server's stamp.
--- a/crocuskeel/gateway/loop.py
+++ b/crocuskeel/gateway/loop.py
@@ -21,22 +21,23 @@
 class Gateway:
     """An entry host. ``log(event, fields)`` writes a log line.
 
-    ``wall()`` returns the time of day, s. ``fetch(peer)`` reads a peer's
-    configuration. ``duty_executor(effect)`` carries out effects of duties.
-    ``on_retire`` stops listening, and ``on_exit`` ends the process.
+    ``wall_clock()`` returns the time of day, s. ``fetch_snapshot(peer)``
+    reads a peer's configuration. ``duty_executor(effect)`` carries out
+    effects of duties. ``on_stop_accepting`` stops listening, and
+    ``on_exit`` ends the process.
     """
 
-    def __init__(self, reactor, host, codec, log, wall):
+    def __init__(self, reactor, host, codec, log, wall_clock):
         self.reactor = reactor
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.host = host
         self.codec = codec
         self.log = log
         self.exchanges = {}
         self.gossip = None
-        self.fetch = None
+        self.fetch_snapshot = None
         self.duty_executor = None
-        self.on_retire = None
+        self.on_stop_accepting = None
         self.on_exit = None
 
     def start(self, me):
@@ -47,7 +48,7 @@
     def tick(self):
         """Feed a tick to the core and schedule the next one."""
         self.reactor.callLater(TICK_INTERVAL_S, self.tick)
-        self.feed(events.Ticked(self.wall()))
+        self.feed(events.Ticked(self.wall_clock()))
 
     def feed(self, event):
         """Feed an event to the core and carry out its effects in order."""
@@ -60,7 +61,7 @@
         catalog = self.host.catalog
         return catalog.limits if catalog else DEFAULT_LIMITS
 
-    def arrived(self, exchange):
+    def request_received(self, exchange):
         """Handle a complete request of a caller."""
         try:
             exchange.request = self.codec.read_request(
@@ -72,22 +73,22 @@
         self.exchanges[exchange.key] = exchange
         self.feed(events.RequestReceived(exchange.key, exchange.request))
 
-    def left(self, exchange):
+    def caller_disconnected(self, exchange):
         """Handle a caller that disconnected before its answer ended."""
         self.feed(events.CallerDisconnected(exchange.key))
-        self.forget(exchange)
+        self.release(exchange)
 
-    def refused(self, status, why):
+    def request_rejected(self, status, why):
         """Log a request that could not be parsed."""
         self.log("unreadable", {"status": status, "why": why})
 
-    def forget(self, exchange):
+    def release(self, exchange):
         """Release the timer and attempts of an exchange."""
         self.exchanges.pop(exchange.key, None)
         if exchange.timer is not None and exchange.timer.active():
             exchange.timer.cancel()
         for attempt in exchange.attempts.values():
-            if not attempt.over:
+            if not attempt.finished:
                 attempt.cancel()
 
     def addresses(self):
@@ -119,9 +120,9 @@
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
-    exchange.attempts[effect.attempt_number].pass_on()
-    if exchange.over:
-        gateway.forget(exchange)
+    exchange.attempts[effect.attempt_number].forward()
+    if exchange.finished:
+        gateway.release(exchange)
 
 
 def _answer_effect(gateway, effect):
@@ -129,7 +130,7 @@
     if exchange is None:
         return
     _answer(exchange, effect.status, effect.reason, effect.retry_delay_s)
-    gateway.forget(exchange)
+    gateway.release(exchange)
 
 
 def _answer(exchange, status, reason, retry_delay_s):
@@ -143,8 +144,8 @@
 def _abort_stream(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
-        exchange.cut()
-        gateway.forget(exchange)
+        exchange.abort()
+        gateway.release(exchange)
 
 
 def _set_request_timer(gateway, effect):
@@ -160,7 +161,7 @@
 
 def _send_datagram(gateway, effect):
     if gateway.gossip is not None:
-        gateway.gossip.tell(effect)
+        gateway.gossip.send(effect)
 
 
 def _schedule_loads(gateway, effect):
@@ -169,11 +170,11 @@
 
 
 def _fetch_snapshot(gateway, effect):
-    gateway.fetch(effect.peer)
+    gateway.fetch_snapshot(effect.peer)
 
 
 def _stop_accepting(gateway, effect):
-    gateway.on_retire()
+    gateway.on_stop_accepting()
 
 
 def _exit(gateway, effect):
@@ -207,6 +208,6 @@
 }
 
 
-def new_gateway(reactor, host, codec, log, wall=time.time):
+def new_gateway(reactor, host, codec, log, wall_clock=time.time):
     """Return a gateway that doesn't listen yet."""
-    return Gateway(reactor, host, codec, log, wall)
+    return Gateway(reactor, host, codec, log, wall_clock)
--- a/crocuskeel/gateway/servers.py
+++ b/crocuskeel/gateway/servers.py
@@ -40,20 +40,20 @@
         self.body = []
         self.size = 0
         self.forwarding = False
-        self.opened = False
-        self.last_event = exchange.last_event
+        self.has_events = False
+        self.last_event_id = exchange.last_event_id
 
     @property
-    def over(self):
+    def finished(self):
         """Whether the attempt has ended."""
-        return self.connection.over
+        return self.connection.closed
 
     def request(self):
         """Return the parts of the request."""
         exchange = self.exchange
         head = exchange.head
         headers = self.gateway.codec.server_headers(
-            head, self.send, exchange.last_event)
+            head, self.send, exchange.last_event_id)
         if exchange.body or head.method != b"GET":
             headers.append((b"Content-Length",
                             b"%d" % len(exchange.body)))
@@ -111,16 +111,16 @@
             number = event_stream.event_id(event)
             if number is None:
                 continue
-            if self.last_event is not None and number <= self.last_event:
+            if self.last_event_id is not None and number <= self.last_event_id:
                 self._fail(model.Outcome.MALFORMED, "event out of order")
                 return False
-            self.last_event = number
+            self.last_event_id = number
         return True
 
     def _handle_events(self, found):
         self.events += found
-        if not self.opened:
-            self.opened = True
+        if not self.has_events:
+            self.has_events = True
             self.gateway.feed(events.StreamOpened(
                 self.exchange.key, self.attempt_number,
                 self.gateway.codec.load(self.head)))
@@ -133,8 +133,8 @@
     def _flush(self):
         data, self.events = b"".join(self.events), []
         if data:
-            self.exchange.last_event = self.last_event
-            self.exchange.pass_on(data)
+            self.exchange.last_event_id = self.last_event_id
+            self.exchange.send_data(data)
 
     def end_received(self):
         """Process the end of the answer."""
@@ -145,16 +145,16 @@
                 self.gateway.codec.load(self.head),
                 self.gateway.codec.stamped(self.head)))
             return
-        if self.splitter.partial or not self.opened:
+        if self.splitter.partial or not self.has_events:
             self._fail(model.Outcome.MALFORMED, "stream ended within an event")
             return
         self.connection.close()
         self.gateway.feed(
             events.StreamEnded(self.exchange.key, self.attempt_number))
-        self.exchange.end()
-        self.gateway.forget(self.exchange)
+        self.exchange.end_answer()
+        self.gateway.release(self.exchange)
 
-    def pass_on(self):
+    def forward(self):
         """Forward this answer to the caller, now and as it arrives."""
         self.forwarding = True
         headers = self.gateway.codec.answer_headers(self.head, True)
@@ -162,7 +162,7 @@
             self.exchange.answer(self.head.status, headers,
                                  b"".join(self.body))
             return
-        self.exchange.begin(self.head.status, headers)
+        self.exchange.begin_answer(self.head.status, headers)
         self._flush()
 
     def cancel(self):
--- a/crocuskeel/platform/assembly.py
+++ b/crocuskeel/platform/assembly.py
@@ -58,7 +58,7 @@
     watcher = store_watcher.new_watcher(reactor, gateway, store)
     host_metrics.register_last_answer_age(watcher.last_answer_age_s)
     _listen(reactor, boot, gateway, watcher, host_metrics)
-    gateway.fetch = _new_snapshot_fetcher(reactor, gateway, watcher)
+    gateway.fetch_snapshot = _new_snapshot_fetcher(reactor, gateway, watcher)
     gateway.on_exit = on_exit
     gateway.start(_own_peer(boot, rng))
     watcher.start()
@@ -91,7 +91,7 @@
         port.stopListening()
         caller_listener.close_idle()
 
-    gateway.on_retire = stop_accepting
+    gateway.on_stop_accepting = stop_accepting
 
 
 def _new_snapshot_fetcher(reactor, gateway, watcher):
@@ -122,4 +122,4 @@
     for seed in boot.seeds:
         if seed != boot.control:
             defer.Deferred.fromCoroutine(
-                gateway.fetch.address(seed, f"{seed[0]}:{seed[1]}"))
+                gateway.fetch_snapshot.address(seed, f"{seed[0]}:{seed[1]}"))
--- a/crocuskeel/platform/boot.py
+++ b/crocuskeel/platform/boot.py
@@ -40,31 +40,31 @@
 
     Raises BootSettingsError with all errors that were found.
     """
-    fields, faults = _parse_fields(text)
-    faults += [f"{name}: required field is missing; the platform sets it"
+    fields, errors = _parse_fields(text)
+    errors += [f"{name}: required field is missing; the platform sets it"
                for name in REQUIRED_FIELDS if name not in fields]
-    if faults:
-        raise exceptions.BootSettingsError(faults)
+    if errors:
+        raise exceptions.BootSettingsError(errors)
     reader = _FieldReader(fields)
     boot = _build(fields, reader)
-    if reader.faults:
-        raise exceptions.BootSettingsError(reader.faults)
+    if reader.errors:
+        raise exceptions.BootSettingsError(reader.errors)
     return boot
 
 
 def _parse_fields(text):
     fields = {}
-    faults = []
+    errors = []
     for number, line in enumerate(text.splitlines(), 1):
         line = line.strip()
         if not line or line.startswith("#"):
             continue
         name, separator, value = line.partition("=")
         if not separator:
-            faults.append(f"line {number}: expected name=value")
+            errors.append(f"line {number}: expected name=value")
             continue
         fields[name.strip()] = value.strip()
-    return fields, faults
+    return fields, errors
 
 
 class _FieldReader:
@@ -72,7 +72,7 @@
 
     def __init__(self, fields):
         self.fields = fields
-        self.faults = []
+        self.errors = []
 
     def number(self, name, default):
         """Return the field as a number, or the default if it is missing."""
@@ -82,7 +82,7 @@
         try:
             return float(text)
         except ValueError:
-            self.faults.append(f"{name}: {text!r} is not a number")
+            self.errors.append(f"{name}: {text!r} is not a number")
             return default
 
     def address(self, name, text=None):
@@ -90,7 +90,7 @@
         text = self.fields.get(name, "") if text is None else text
         ip, _, port = text.rpartition(":")
         if not ip or not port.isdigit():
-            self.faults.append(f"{name}: {text!r} is not IP:PORT")
+            self.errors.append(f"{name}: {text!r} is not IP:PORT")
             return ("", 0)
         return (ip, int(port))
 
@@ -98,7 +98,7 @@
         """Return the first and last port of a range FIRST,LAST."""
         first, _, last = self.fields[name].partition(",")
         if not first.isdigit() or not last.isdigit():
-            self.faults.append(f"{name}: {self.fields[name]!r} is not "
+            self.errors.append(f"{name}: {self.fields[name]!r} is not "
                                "FIRST,LAST")
             return (0, 0)
         return (int(first), int(last))
--- a/crocuskeel/platform/endpoints.py
+++ b/crocuskeel/platform/endpoints.py
@@ -31,7 +31,7 @@
         """Return the limits on requests."""
         return loop.DEFAULT_LIMITS
 
-    def arrived(self, exchange):
+    def request_received(self, exchange):
         """Answer a request."""
         path = exchange.head.target.decode("latin-1").partition("?")[0]
         answer = self.handlers.get(path)
@@ -42,10 +42,10 @@
         headers = JSON_HEADERS if body.startswith(b"{") else []
         exchange.answer(status, headers, body)
 
-    def left(self, exchange):
+    def caller_disconnected(self, exchange):
         """The client disconnected; no state is kept for it."""
 
-    def refused(self, status, why):
+    def request_rejected(self, status, why):
         """Log a request that could not be parsed."""
         self.gateway.log("unreadable", {"status": status, "why": why})
 
--- a/crocuskeel/platform/exceptions.py
+++ b/crocuskeel/platform/exceptions.py
@@ -9,11 +9,11 @@
 
 
 class BootSettingsError(PlatformError):
-    """The settings file is invalid; ``faults`` lists every error."""
+    """The settings file is invalid; ``errors`` lists every error."""
 
-    def __init__(self, faults):
-        super().__init__("; ".join(faults))
-        self.faults = tuple(faults)
+    def __init__(self, errors):
+        super().__init__("; ".join(errors))
+        self.errors = tuple(errors)
 
 
 class InvalidObjectError(PlatformError):
--- a/crocuskeel/platform/headers.py
+++ b/crocuskeel/platform/headers.py
@@ -123,13 +123,13 @@
             and name.lower() not in hop_by_hop]
 
 
-def _server_headers(head, send, last_event):
+def _server_headers(head, send, last_event_id):
     excluded = HOP_BY_HOP | RESERVED
-    if send.resume and last_event is not None:
+    if send.resume and last_event_id is not None:
         excluded = excluded | {LAST_EVENT.lower()}
     headers = _filter_headers(head, excluded)
-    if send.resume and last_event is not None:
-        headers.append((LAST_EVENT, b"%d" % last_event))
+    if send.resume and last_event_id is not None:
+        headers.append((LAST_EVENT, b"%d" % last_event_id))
     headers.append((DEADLINE, b"%d" % int(send.budget_s * 1000)))
     headers.append((EXPECT_SERVER, send.server.sid.encode()))
     if send.workspace:
--- a/crocuskeel/platform/reloading.py
+++ b/crocuskeel/platform/reloading.py
@@ -59,10 +59,10 @@
                               if name not in RELOADABLE]})
 
     def _reject(self, exc, is_requested):
-        faults = getattr(exc, "faults", (str(exc),))
-        if is_requested or faults != self.rejected:
-            self.rejected = faults
-            self.gateway.log("reload_refused", {"faults": faults})
+        errors = getattr(exc, "errors", (str(exc),))
+        if is_requested or errors != self.rejected:
+            self.rejected = errors
+            self.gateway.log("reload_refused", {"faults": errors})
 
     def _apply(self, new_settings):
         self.boot = new_settings
--- a/crocuskeel/programs/config_files.py
+++ b/crocuskeel/programs/config_files.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-__all__ = ["InvalidFileError", "FileError", "parse_object"]
+__all__ = ["FileError", "InvalidFileError", "parse_object"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,11 +18,11 @@
 
 
 class InvalidFileError(Exception):
-    """A file is invalid; ``faults`` lists every error."""
+    """A file is invalid; ``errors`` lists every error."""
 
-    def __init__(self, faults):
-        super().__init__("; ".join(map(str, faults)))
-        self.faults = tuple(faults)
+    def __init__(self, errors):
+        super().__init__("; ".join(map(str, errors)))
+        self.errors = tuple(errors)
 
 
 def parse_object(text, area, error=InvalidFileError):
--- a/crocuskeel/programs/entry.py
+++ b/crocuskeel/programs/entry.py
@@ -75,8 +75,8 @@
     except OSError as exc:
         print(f"{path}: {exc.strerror}", file=sys.stderr)
     except (exceptions.BootSettingsError, policy.InvalidPolicyError) as exc:
-        for fault in exc.faults:
-            print(f"{path}: {fault}", file=sys.stderr)
+        for error in exc.errors:
+            print(f"{path}: {error}", file=sys.stderr)
     return None
 
 
--- a/crocuskeel/programs/policy.py
+++ b/crocuskeel/programs/policy.py
@@ -26,10 +26,10 @@
     Missing settings keep their defaults.
     """
     found = config_files.parse_object(text, "capacity", InvalidPolicyError)
-    faults = [fault for name, value in found.items()
-              if (fault := _check_setting(name, value)) is not None]
-    if faults:
-        raise InvalidPolicyError(faults)
+    errors = [error for name, value in found.items()
+              if (error := _check_setting(name, value)) is not None]
+    if errors:
+        raise InvalidPolicyError(errors)
     policy = capacity.Policy(**{
         name: float(value) for name, value in found.items()})
     if policy.loss_share < policy.use_share:
--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -119,8 +119,8 @@
             return found, {}
         return found, _named(report.kept(args.other))
     except deployments.BadDeployment as exc:
-        for fault in exc.faults:
-            print(fault, file=sys.stderr)
+        for error in exc.errors:
+            print(error, file=sys.stderr)
     except OSError as exc:
         print(f"{exc.filename}: {exc.strerror}", file=sys.stderr)
     except (ValueError, KeyError, TypeError) as exc:
--- a/emulator/hosts.py
+++ b/emulator/hosts.py
@@ -135,7 +135,7 @@
             return []
         return [address.partition(":")[0]
                 for address in fleet.caller_addresses(
-            self.core, self.world.clock.now)]
+                    self.core, self.world.clock.now)]
 
     def ask(self, caller, request):
         """Take a caller's request; return its key, None if it is down."""
--- a/tests/duties/test_duty_lease.py
+++ b/tests/duties/test_duty_lease.py
@@ -85,7 +85,7 @@
         world.run(10)
         self.assertEqual([], worlds.platform_faults(world))
 
-    def test_a_paused_holder_wakes_still_believing(self):
+    def test_a_paused_holder_sends_no_call_after_its_lease(self):
         # Guards against a call with an old fencing token after one with a
         # newer token. It occurs if the holder is paused for longer than
         # its lease between deciding on a call and sending it, and the
@@ -100,7 +100,7 @@
                     world.run(20)
                     self._check(world, first)
 
-    def test_a_pause_between_a_decision_and_its_sending(self):
+    def test_a_pause_between_deciding_and_sending_a_call(self):
         for pause_s in (2.0, 4.0, 8.0):
             with self.subTest(pause_s=pause_s):
                 world = world_with_holder(busy=True)
--- a/tests/emulator/test_engine.py
+++ b/tests/emulator/test_engine.py
@@ -155,7 +155,7 @@
             ["emulator.E003", "emulator.E003", "emulator.E006",
              "emulator.E007", "emulator.E008", "emulator.E008",
              "emulator.E003"],
-            [fault.id for fault in caught.exception.faults])
+            [fault.id for fault in caught.exception.errors])
 
     def test_hosts_are_a_whole_number(self):
         for value in (2.5, True, "two", 0):
@@ -166,7 +166,7 @@
                         "name": "chat", "kind": "stream",
                         "a_second": 1.0}]})
             self.assertEqual(["emulator.E003"], [
-                fault.id for fault in caught.exception.faults])
+                fault.id for fault in caught.exception.errors])
 
     def test_each_fault_that_is_known_can_be_played(self):
         self.assertEqual(set(deployments.FAULTS), set(faults.FAULTS))
--- a/tests/entry/test_pause_estimate.py
+++ b/tests/entry/test_pause_estimate.py
@@ -37,10 +37,8 @@
             self.assertFalse(pause_estimate.may_exceed(estimate, 0.4))
 
     def test_any_pause_is_possible_until_enough_samples(self):
-        self.assertTrue(
-            pause_estimate.may_exceed(
-                pause_estimate.PauseEstimate(),
-                10.0))
+        self.assertTrue(pause_estimate.may_exceed(
+            pause_estimate.PauseEstimate(), 10.0))
         self.assertTrue(pause_estimate.may_exceed(
             self._learn(0.1, count=pause_estimate.MIN_SAMPLES - 1), 10.0))
 
--- a/tests/entry/test_server_choice.py
+++ b/tests/entry/test_server_choice.py
@@ -40,11 +40,7 @@
     def test_part_is_sent_to_the_engine_that_caches_it(self):
         driver = _driver()
         prefix_cache.add_part(
-            driver.host.servers["e2"],
-            "tide",
-            13_000,
-            5e5,
-            0)
+            driver.host.servers["e2"], "tide", 13_000, 5e5, 0)
         self.assertEqual("e2", _choose(driver, support.prompt("tide")))
 
     def test_long_queue_costs_more_than_repeated_prefill(self):
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -81,6 +81,6 @@
         self.events.append(event)
         self.on_event(event)
 
-    def forget(self, exchange):
+    def release(self, exchange):
         """Record an exchange that has ended."""
         self.forgotten.append(exchange)
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -21,13 +21,13 @@
     def limits(self):
         return model.Limits(2048, 100, 3.0, 15.0)
 
-    def arrived(self, exchange):
+    def request_received(self, exchange):
         self.exchanges.append(exchange)
 
-    def left(self, exchange):
+    def caller_disconnected(self, exchange):
         self.disconnected.append(exchange)
 
-    def refused(self, status, why):
+    def request_rejected(self, status, why):
         self.rejected.append(status)
 
 
@@ -65,7 +65,7 @@
         exchange.answer(200, [], b"one")
         self._written()
         exchange.answer(503, [], b"two")
-        exchange.begin(200, [])
+        exchange.begin_answer(200, [])
         self.assertEqual(b"", self._written())
 
     def test_aborted_answer_cannot_seem_complete(self):
@@ -73,9 +73,9 @@
         # chunk, its caller would take the part for the complete answer.
         self.conn.dataReceived(POST)
         (exchange,) = self.handler.exchanges
-        exchange.begin(200, [])
-        exchange.pass_on(b"data: 1\n\n")
-        exchange.cut()
+        exchange.begin_answer(200, [])
+        exchange.send_data(b"data: 1\n\n")
+        exchange.abort()
         self.assertTrue(self.transport.aborted)
         self.assertNotIn(b"\r\n0\r\n", self._written())
 
@@ -113,9 +113,9 @@
         # Otherwise its answer would accumulate in this host's memory.
         self.conn.dataReceived(POST)
         (exchange,) = self.handler.exchanges
-        exchange.begin(200, [])
+        exchange.begin_answer(200, [])
         self.transport.dataBuffer = b"x" * (callers.MAX_UNSENT_BYTES + 1)
-        exchange.pass_on(b"data: 1\n\n")
+        exchange.send_data(b"data: 1\n\n")
         self.assertTrue(self.transport.aborted)
 
     def test_shutdown_closes_idle_connections_first(self):
--- a/tests/gateway/test_calls.py
+++ b/tests/gateway/test_calls.py
@@ -40,7 +40,7 @@
         self.assertIn(b"Host: 10.0.0.1:80", sent)
         self.assertIn(b"X-Fence: 3", sent)
 
-    def test_nothing_is_sent_by_a_process_that_stood_still(self):
+    def test_nothing_is_sent_after_a_pause_of_the_process(self):
         # Two hosts act for one duty: a process is paused while it connects,
         # the lease passes to another host, and the process resumes with the
         # connection established. The lease was checked only before that.
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -44,13 +44,13 @@
 class AttemptTest(unittest.TestCase):
     """Attempts without sockets."""
 
-    def _start_attempt(self, stream=False, last_event=None):
+    def _start_attempt(self, stream=False, last_event_id=None):
         self.gateway = support.Gateway()
         self.caller = _Caller()
         self.exchange = callers.Exchange(
             self.caller, header_codec.Head((), b"POST", b"/a/1"), b"abc")
         self.exchange.request = model.Request("r1", "POST", "h", "/")
-        self.exchange.last_event = last_event
+        self.exchange.last_event_id = last_event_id
         send = effects.SendRequest(1, 0, entry_support.server("s1"), 1.0, 0,
                                    "",
                                    stream)
@@ -59,7 +59,7 @@
         self.transport = support.Transport()
         attempt.connection.makeConnection(self.transport)
         self.gateway.on_event = lambda event: (
-            attempt.pass_on() if type(event) in (
+            attempt.forward() if type(event) in (
                 events.StreamOpened, events.ResponseReceived) else None)
         return attempt
 
@@ -147,7 +147,7 @@
         data = (OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n"
                 % (len(EVENTS), EVENTS))
         self.assertEqual(model.Outcome.MALFORMED, self._receive(
-            data, stream=True, last_event=2))
+            data, stream=True, last_event_id=2))
         self.assertEqual([], self.caller.sent)
 
     def test_request_bytes(self):
--- a/tests/gateway/test_upgrade.py
+++ b/tests/gateway/test_upgrade.py
@@ -42,7 +42,7 @@
 
     def _sent_datagram(self, event=STATE):
         self.gossip.transport.write.reset_mock()
-        self.gossip.tell(effects.SendToPeer(support.peer("h0"), event))
+        self.gossip.send(effects.SendToPeer(support.peer("h0"), event))
         calls = self.gossip.transport.write.call_args_list
         return calls[0].args[0] if calls else None
 
--- a/tests/platform/test_boot.py
+++ b/tests/platform/test_boot.py
@@ -38,13 +38,13 @@
             "7340,7355", "7340").replace("=0.5", "=half")
         with self.assertRaises(exceptions.BootSettingsError) as caught:
             boot.parse_boot_settings(text)
-        reported = " ".join(caught.exception.faults)
+        reported = " ".join(caught.exception.errors)
         for field in ("Listen.Front", "PortRange", "Limits.CpuShare"):
             self.assertIn(field, reported)
 
     def test_missing_fields_and_malformed_lines(self):
         with self.assertRaises(exceptions.BootSettingsError) as caught:
             boot.parse_boot_settings("Node=x\nrubbish\n")
-        reported = " ".join(caught.exception.faults)
+        reported = " ".join(caught.exception.errors)
         self.assertIn("line 2", reported)
         self.assertIn("Platform.Addr", reported)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -31,12 +31,12 @@
 )
 
 
-def _server_headers(last_event=None, resume=False):
+def _server_headers(last_event_id=None, resume=False):
     send = effects.SendRequest(1, 0, support.server("i-1"), 1.5, 12, "hire",
                                True, resume)
     head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
     return dict(headers.new_header_codec().server_headers(
-        head, send, last_event))
+        head, send, last_event_id))
 
 
 class HeadersTest(unittest.TestCase):
@@ -115,7 +115,7 @@
 
     def test_resumed_stream_sends_the_last_event_id(self):
         self.assertEqual(b"4", _server_headers()[b"Last-Event-Id"])
-        found = _server_headers(last_event=7, resume=True)
+        found = _server_headers(last_event_id=7, resume=True)
         self.assertEqual(b"7", found[b"Last-Event-Id"])
 
     def test_verdicts(self):
--- a/tests/platform/test_policy.py
+++ b/tests/platform/test_policy.py
@@ -34,7 +34,7 @@
                     policy.parse_policy(text)
                 self.assertEqual(
                     ids, [fault.id.removeprefix("capacity.")
-                          for fault in caught.exception.faults])
+                          for fault in caught.exception.errors])
 
 
 if __name__ == "__main__":
--- a/tests/soak/test_store.py
+++ b/tests/soak/test_store.py
@@ -33,7 +33,7 @@
     def answer(self, status, headers, body):
         self.ends.append(json.loads(body))
 
-    def cut(self):
+    def abort(self):
         self.ends.append("cut")
 
 
@@ -47,7 +47,7 @@
     def _watch(self):
         exchange = _Exchange(
             b"/crocuskeel/objects/config?Watch=1&WaitMs=1500")
-        self.store.arrived(exchange)
+        self.store.request_received(exchange)
         return exchange
 
     def test_a_watch_ends_in_its_time(self):
--- a/tools/soak/cloud.py
+++ b/tools/soak/cloud.py
@@ -44,13 +44,13 @@
         """Return the limits on what hosts send."""
         return loop.DEFAULT_LIMITS
 
-    def left(self, exchange):
+    def caller_disconnected(self, exchange):
         """A host's connection is gone."""
 
-    def refused(self, status, why):
+    def request_rejected(self, status, why):
         """A call could not be read."""
 
-    def arrived(self, exchange):
+    def request_received(self, exchange):
         """Keep a call; answer it."""
         if self.down:
             return
--- a/tools/soak/engine.py
+++ b/tools/soak/engine.py
@@ -76,21 +76,21 @@
         """End all connections and take no more."""
         self.is_down = True
         self.port.stopListening()
-        for conn in list(self.listener.open):
+        for conn in list(self.listener.open_connections):
             conn.transport.abortConnection()
 
     def limits(self):
         """Return the limits on what hosts send."""
         return loop.DEFAULT_LIMITS
 
-    def left(self, exchange):
+    def caller_disconnected(self, exchange):
         """A host closed the connection: its request is dropped."""
         self._rest(exchange)
 
-    def refused(self, status, why):
+    def request_rejected(self, status, why):
         """A request could not be read."""
 
-    def arrived(self, exchange):
+    def request_received(self, exchange):
         """Run a request."""
         rid = exchange.head.get(RID).decode()
         self.record.reached.append((rid, self.sid, self.reactor.seconds()))
@@ -121,7 +121,7 @@
             return
         if self._has("lost"):
             self.record.spoiled.add(rid)
-            exchange.cut()
+            exchange.abort()
             return
         if self._has("error"):
             self.record.spoiled.add(rid)
@@ -197,26 +197,26 @@
         return fresh
 
     def _begin(self, exchange, rid):
-        if exchange.over:
+        if exchange.finished:
             return
         last = int(exchange.head.get(b"last-event-id") or 0)
-        exchange.begin(200, self._headers(rid))
+        exchange.begin_answer(200, self._headers(rid))
         torn = EVENTS // 2 if self._has("torn") else None
         self._event(exchange, rid, last + 1, torn)
 
     def _event(self, exchange, rid, number, torn):
-        if exchange.over:
+        if exchange.finished:
             return
         if number == torn:
             self.record.spoiled.add(rid)
             self._rest(exchange)
-            exchange.pass_on(b"id: %d\nda" % number)
-            exchange.cut()
+            exchange.send_data(b"id: %d\nda" % number)
+            exchange.abort()
             return
-        exchange.pass_on(b"id: %d\ndata: %s\n\n" % (number, rid.encode()))
+        exchange.send_data(b"id: %d\ndata: %s\n\n" % (number, rid.encode()))
         if number == EVENTS:
             self._rest(exchange)
-            exchange.end()
+            exchange.end_answer()
             return
         self.reactor.callLater(EVENT_S, self._event, exchange, rid,
                                number + 1, torn)
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -39,11 +39,11 @@
         """Return the limits on what hosts send."""
         return loop.DEFAULT_LIMITS
 
-    def left(self, exchange):
+    def caller_disconnected(self, exchange):
         """A host's connection is gone."""
         self.watches = [row for row in self.watches if row[0] != exchange]
 
-    def refused(self, status, why):
+    def request_rejected(self, status, why):
         """A call could not be read."""
 
     def put(self, kind, name, spec):
@@ -92,7 +92,7 @@
     def _cut_watches(self):
         waiting, self.watches = self.watches, []
         for exchange, _, _ in waiting:
-            exchange.cut()
+            exchange.abort()
 
     def _watch(self, exchange, kind, since):
         """Answer a watch with what changed, or have it wait."""
@@ -122,7 +122,7 @@
             self.history = []
             self.history_from = self.revision + 1
 
-    def arrived(self, exchange):
+    def request_received(self, exchange):
         """Answer a call."""
         if self.silent:
             return
@@ -143,7 +143,7 @@
             return
         self.put(kind, name, body["Spec"])
         if self.loses:
-            exchange.cut()
+            exchange.abort()
             return
         self._answer(exchange, self.objects[kind, name])
 
@@ -178,7 +178,7 @@
         if self.silent or not any(
                 row[0] is exchange for row in self.watches):
             return
-        self.left(exchange)
+        self.caller_disconnected(exchange)
         self._answer(exchange, {"events": [], "AsOf": self.revision})
 
     def _answer(self, exchange, page):
