--- a/bench/idle.py
+++ b/bench/idle.py
@@ -19,9 +19,9 @@
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import fleet
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import telling
-from crocuskeel.gateway import gossip
+from crocuskeel.gateway import gossip as gossip_codec
 
 # Hosts, with ten servers each.
 FLEETS = (6, 30, 100, 300)
@@ -52,31 +52,32 @@
         self.spent_s = 0.0
         self.bytes = 0
         # Names of the hosts that carry callers, once all were heard.
-        self.carriers = ()
+        self.serving_hosts = ()
         self.feed(events.Started(fleets.new_peer(
             "me", 1.1 if carries else 0.4)))
-        self.feed(events.CatalogSeen(model.Catalog(
+        self.feed(events.CatalogRead(model.Catalog(
             1, 1, {}, {SERVICE: model.Service(
-                SERVICE, 0, model.Engine(64, 500_000))},
+                SERVICE, 0, model.EngineSpec(64, 500_000))},
             None, fleets.LIMITS)))
-        self.feed(events.PeersSeen(tuple(map(_peer, self.names))))
+        self.feed(events.PeersListed(tuple(map(_peer, self.names))))
 
     def feed(self, event):
         """Feed an event; datagrams that follow are encoded."""
         began = time.process_time()
         for effect in entry.reduce(self.host, event, self.now):
-            if type(effect) is effects.Tell:
-                self.bytes += len(gossip.encode(effect.event))
+            if type(effect) is effects.SendToPeer:
+                self.bytes += len(gossip_codec.encode(effect.event))
         self.spent_s += time.process_time() - began
 
     def _hear(self, name):
-        data = gossip.encode(events.Heard(
+        data = gossip_codec.encode(events.PeerStateReceived(
             _peer(name), True, False, 1, self.host.servers_revision,
-            reads_store=name == "h0", informed_s=0.1,
-            carriers=self.carriers if name in self.carriers else ()))
+            reads_store=name == "h0", store_data_age_s=0.1,
+            serving_hosts=self.serving_hosts
+            if name in self.serving_hosts else ()))
         self.bytes += len(data)
         began = time.process_time()
-        event = gossip.decode(data)
+        event = gossip_codec.decode(data)
         self.spent_s += time.process_time() - began
         self.feed(event)
 
@@ -84,8 +85,8 @@
         """Have each other host tell its state once."""
         for name in self.names:
             self._hear(name)
-        fleet.changed(self.host)
-        self.carriers = tuple(peer.name for peer in fleet.carriers(
+        fleet.invalidate_serving_hosts(self.host)
+        self.serving_hosts = tuple(peer.name for peer in fleet.serving_hosts(
             self.host, self.now))
 
     def tick(self):
@@ -96,12 +97,12 @@
         self.feed(events.Ticked())
 
     def _speakers(self):
-        others = [name for name in self.carriers if name != "me"]
-        if len(others) == len(self.carriers):
-            return others[:telling.CONTACTS]
-        told = min(len(others), telling.MESH_MOST)
+        others = [name for name in self.serving_hosts if name != "me"]
+        if len(others) == len(self.serving_hosts):
+            return others[:gossip.CONTACT_COUNT]
+        told = min(len(others), gossip.MAX_FANOUT)
         small = max(0, len(self.names) - len(others))
-        contacts = 0.5 * telling.CONTACTS * small / len(self.carriers)
+        contacts = 0.5 * gossip.CONTACT_COUNT * small / len(self.serving_hosts)
         drawn = min(round(contacts), len(self.names))
         return (self.rng.sample(others, told)
                 + self.rng.sample(self.names, drawn))
--- a/crocuskeel/core/duties/state.py
+++ b/crocuskeel/core/duties/state.py
@@ -2,11 +2,11 @@
 
 import dataclasses
 
-from crocuskeel.core.duties import book as books
 from crocuskeel.core.duties import demand
+from crocuskeel.core.duties import handover as handovers
 from crocuskeel.core import leadership
 
-__all__ = ["Duties", "Leader", "Open", "new_duties"]
+__all__ = ["Duties", "DutyCall", "Leader", "new_duties"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Open:
+class DutyCall:
     """The latest call of a subject, and when it may be repeated.
 
     ``completed_at``: when it was carried out; ``unavailable``: the
@@ -49,7 +49,7 @@
     latest call of each subject, if this host is the holder.
     """
 
-    candidate: leadership.Candidate
+    lease_state: leadership.Candidate
     begun_at: float
     leader: Leader = Leader()
     # When the lease was found to be free.
@@ -62,12 +62,12 @@
     counted_at: dict = dataclasses.field(default_factory=dict)
     reported_to: tuple = ()
     reported_to_since: float = 0.0
-    book: books.HandoverState = dataclasses.field(
-        default_factory=books.HandoverState)
+    handover: handovers.HandoverState = dataclasses.field(
+        default_factory=handovers.HandoverState)
     # The record known to be stored in the lease object, raw and parsed.
     committed_record: dict | None = None
-    committed: books.HandoverState = dataclasses.field(
-        default_factory=books.HandoverState)
+    committed: handovers.HandoverState = dataclasses.field(
+        default_factory=handovers.HandoverState)
     calls: dict = dataclasses.field(default_factory=dict)
     # By service.
     demands: dict[str, demand.Demand] = dataclasses.field(
--- a/crocuskeel/core/entry/duties.py
+++ b/crocuskeel/core/entry/duties.py
@@ -1,17 +1,18 @@
 """The duties of an entry host: usage reports and orders for engines."""
 
+from crocuskeel.core.duties import clock
 from crocuskeel.core.duties import model
 from crocuskeel.core.duties import ordering
 from crocuskeel.core.duties import reporting
 from crocuskeel.core.duties import state as states
-from crocuskeel.core.duties import truetime
+from crocuskeel.core.entry import draining
+from crocuskeel.core.entry import duty_lease
 from crocuskeel.core.entry import effects
-from crocuskeel.core.entry import holding
-from crocuskeel.core.entry import leaving
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import usage
 
-__all__ = ["REPORT", "SCALE", "answered", "begin", "heard", "step"]
+__all__ = ["REPORT", "SCALE", "answered", "begin", "peer_state_received",
+           "step"]
 
 REPORT = "usage"
 SCALE = "scale"
@@ -25,17 +26,18 @@
     """Initialize the state of the duties, if there are any."""
     if host.cfg.duties:
         host.duties = states.new_duties(
-            holding.config(host.me.name, host.cfg.lease_s), host.rng, now)
+            duty_lease.config(host.self_peer.name, host.cfg.lease_s), host.rng,
+            now)
 
 
-def heard(host, event, now):
+def peer_state_received(host, event, now):
     """Update the clock offsets and the leader from another host's state."""
     duties = host.duties
     if duties is None:
         return
     if event.wall is not None:
-        truetime.add_reading(duties.offsets, event.peer.name, event.wall, now)
-    holding.leader_received(duties, event.leader, now)
+        clock.add_reading(duties.offsets, event.peer.name, event.wall, now)
+    duty_lease.leader_received(duties, event.leader, now)
 
 
 def step(host, wall, now):
@@ -43,12 +45,12 @@
     duties = host.duties
     if duties is None:
         return []
-    truetime.add_reading(duties.offsets, host.me.name, wall, now)
+    clock.add_reading(duties.offsets, host.self_peer.name, wall, now)
     out = usage.send_counts(host, now)
-    if holding.is_holder(duties):
+    if duty_lease.is_holder(duties):
         out += _update_record(host, now)
-    out += holding.step(host, now)
-    if holding.may_act(duties, now):
+    out += duty_lease.step(host, now)
+    if duty_lease.may_act(duties, now):
         out += _start_due_calls(host, now)
     return out
 
@@ -56,20 +58,20 @@
 def _update_record(host, now):
     """Decide the ended windows and put the record into the next renewal."""
     duties = host.duties
-    wall = truetime.wall_time(duties.offsets, now)
-    lease = duties.candidate.lease
+    wall = clock.wall_time(duties.offsets, now)
+    lease = duties.lease_state.lease
     lines = []
     if REPORT in host.cfg.duties:
-        for window in reporting.decide(duties, host.cfg.report_s, wall):
+        for window in reporting.decide(duties, host.cfg.report_window_s, wall):
             lease.due_at = now
-            counts = duties.book.decided[window]
-            lines.append(effects.Note("window_decided", {
+            counts = duties.handover.decided[window]
+            lines.append(effects.LogEvent("window_decided", {
                 "window": window, "requests": sum(counts.values()),
                 "workspaces": len(counts), "hosts": sum(
                     window in table for table in duties.tables.values()),
                 "fence": lease.fence}))
     if now >= lease.due_at:
-        lease.record = holding.lease_record(duties)
+        lease.record = duty_lease.lease_record(duties)
     return lines
 
 
@@ -78,9 +80,9 @@
     duties = host.duties
     calls = []
     if REPORT in host.cfg.duties:
-        wall = truetime.wall_time(duties.offsets, now)
+        wall = clock.wall_time(duties.offsets, now)
         report = reporting.due(
-            duties, host.cfg.report_s, host.cfg.report_due_s, wall,
+            duties, host.cfg.report_window_s, host.cfg.report_lag_s, wall,
             _failed_window(duties))
         if report is not None and _may_start(duties, report, now):
             calls.append(report)
@@ -110,7 +112,7 @@
         if service.scaling is None:
             continue
         engines = [state for state in host.by_service.get(service.name, ())
-                   if not leaving.is_leaving(host, state.server)]
+                   if not draining.is_draining(host, state.server)]
         if not engines:
             # The list of engines may not be known yet.
             continue
@@ -123,8 +125,9 @@
 
 def _utilization(state, now):
     """Return the fraction of its time that an engine is in use."""
-    running = serverload.running(state, now) / max(1, state.server.slots)
-    return min(1.0, max(state.busy, running))
+    running = server_load.running_requests(state,
+                                           now) / max(1, state.server.slots)
+    return min(1.0, max(state.prefill_share, running))
 
 
 def _count_engines(engines):
@@ -143,11 +146,11 @@
         # After a failure the report of another window is sent next; while
         # the platform is unavailable, all of them fail.
         failures = latest.failures
-    duties.calls[call.subject] = states.Open(
+    duties.calls[call.subject] = states.DutyCall(
         call, in_progress=True, failures=failures)
-    lease = duties.candidate.lease
-    until = holding.acts_until(duties)
-    line = effects.Note("duty_sent", {
+    lease = duties.lease_state.lease
+    until = duty_lease.acts_until(duties)
+    line = effects.LogEvent("duty_sent", {
         "duty": call.subject[0], "fence": lease.fence, **_log_fields(call)})
     return [line, effects.SendDuty(call, lease.fence, until)]
 
@@ -166,7 +169,7 @@
     if duties is None:
         return []
     latest = duties.calls.get(event.call.subject)
-    line = effects.Note("duty_answered", {
+    line = effects.LogEvent("duty_answered", {
         "duty": event.call.subject[0], "outcome": event.outcome.value,
         "detail": event.detail, **_log_fields(event.call)})
     if latest is None or latest.call != event.call:
--- a/crocuskeel/core/entry/ending.py
+++ b/crocuskeel/core/entry/ending.py
@@ -2,11 +2,11 @@
 
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
 
-__all__ = ["BUSY_RETRY_S", "UNAVAILABLE", "cancel_all", "cancel_others",
-           "close_attempt", "find", "finish", "give_up", "live",
-           "mark_load_changed", "note", "refuse"]
+__all__ = ["BUSY_RETRY_S", "UNAVAILABLE", "active_attempts", "cancel_all",
+           "cancel_others", "close_attempt", "find_attempt", "finish",
+           "give_up", "log_line", "mark_load_changed", "refuse"]
 
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
@@ -18,45 +18,45 @@
 MAX_RETRY_SHARE = 0.33
 
 
-def live(pending):
+def active_attempts(pending):
     """Return the attempts in progress."""
-    return [attempt for attempt in pending.tries if not attempt.over]
+    return [attempt for attempt in pending.attempts if not attempt.ended]
 
 
-def give_up(host, pending, reason, now, retry_s=BUSY_RETRY_S):
+def give_up(host, pending, reason, now, retry_delay_s=BUSY_RETRY_S):
     """Finish a request with a server's error response or one of our own.
 
-    ``retry_s`` is the retry delay that is given if it has not run.
+    ``retry_delay_s`` is the retry delay that is given if it has not run.
     """
     finish(host, pending)
-    line = note("gave_up", pending.request, why=reason,
-                ran=pending.may_have_run, tries=len(pending.tries),
-                after_s=round(now - pending.at, 3))
-    if pending.passing is not None:
-        return [effects.Cut(pending.key, reason), line]
+    line = log_line("gave_up", pending.request, why=reason,
+                    ran=pending.may_have_run, tries=len(pending.attempts),
+                    after_s=round(now - pending.arrived_at, 3))
+    if pending.forwarded_attempt is not None:
+        return [effects.AbortStream(pending.key, reason), line]
     if pending.fallback is not None:
-        return [effects.PassOn(pending.key, pending.fallback), line]
+        return [effects.ForwardResponse(pending.key, pending.fallback), line]
     if not pending.may_have_run:
-        left = pending.ends_at - now
-        return [refuse(pending.key, left, reason, retry_s), line]
+        left = pending.deadline_at - now
+        return [refuse(pending.key, left, reason, retry_delay_s), line]
     status = BAD_GATEWAY
-    if now >= pending.ends_at:
+    if now >= pending.deadline_at:
         status = GATEWAY_TIMEOUT
     return [effects.Answer(pending.key, status, reason), line]
 
 
-def refuse(key, left_s, reason, retry_s):
+def refuse(key, left_s, reason, retry_delay_s):
     """Respond that a request has not run, with a retry delay."""
     if left_s is not None:
-        retry_s = max(0.0, min(retry_s, left_s * MAX_RETRY_SHARE))
-    return effects.Answer(key, UNAVAILABLE, reason, retry_s)
+        retry_delay_s = max(0.0, min(retry_delay_s, left_s * MAX_RETRY_SHARE))
+    return effects.Answer(key, UNAVAILABLE, reason, retry_delay_s)
 
 
 def cancel_all(host, pending):
     """Cancel all attempts of a request."""
     out = []
-    for attempt in live(pending):
-        out.append(effects.Cancel(pending.key, attempt.turn))
+    for attempt in active_attempts(pending):
+        out.append(effects.Cancel(pending.key, attempt.attempt_number))
         # The request was sent, so its server may have run it.
         pending.may_have_run = True
         close_attempt(host, pending, attempt)
@@ -66,52 +66,53 @@
 def cancel_others(host, pending, winner):
     """Cancel all attempts but the one whose response is forwarded."""
     out = []
-    for attempt in live(pending):
+    for attempt in active_attempts(pending):
         if attempt is winner:
             continue
-        out.append(effects.Cancel(pending.key, attempt.turn))
+        out.append(effects.Cancel(pending.key, attempt.attempt_number))
         close_attempt(host, pending, attempt)
     return out
 
 
-def find(host, event):
+def find_attempt(host, event):
     """Return the request of an event, and its attempt if in progress."""
     pending = host.pending.get(event.key)
-    if pending is None or event.turn >= len(pending.tries):
+    if pending is None or event.attempt_number >= len(pending.attempts):
         return pending, None
-    attempt = pending.tries[event.turn]
-    if attempt.over:
+    attempt = pending.attempts[event.attempt_number]
+    if attempt.ended:
         return pending, None
     return pending, attempt
 
 
 def close_attempt(host, pending, attempt):
     """Mark an attempt as over and remove it from its server's load."""
-    attempt.over = True
+    attempt.ended = True
     target = host.servers.get(attempt.sid)
     if target is None:
         return
-    if target.mine.pop((pending.key, attempt.turn), None) is not None:
-        target.memory -= attempt.memory
+    if target.own_attempts.pop((pending.key, attempt.attempt_number),
+                               None) is not None:
+        target.memory_tokens -= attempt.memory_tokens
         if pending.route.kind is model.Kind.STREAM:
-            pauses.note_over(target, pending.route)
+            prefill_pauses.note_stream_ended(target, pending.route)
     mark_load_changed(host, pending, target)
 
 
 def mark_load_changed(host, pending, target):
     """Have an engine's changed load sent to other hosts."""
     if pending.request.prompt is not None:
-        host.changed.add(target.server.sid)
+        host.changed_loads.add(target.server.sid)
 
 
 def finish(host, pending):
     """Remove a request from the host's state."""
-    for attempt in live(pending):
+    for attempt in active_attempts(pending):
         close_attempt(host, pending, attempt)
     host.held.discard(pending.key)
     host.pending.pop(pending.key, None)
 
 
-def note(name, request, **fields):
+def log_line(name, request, **fields):
     """Return a log line about a request."""
-    return effects.Note(name, {"rid": request.rid, **fields})
+    return effects.LogEvent(name, {"rid": request.rid, **fields})
--- a/crocuskeel/core/entry/fleet.py
+++ b/crocuskeel/core/entry/fleet.py
@@ -7,12 +7,13 @@
 that reached it, directly or through other hosts.
 """
 
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import routing
+from crocuskeel.core.entry import serving
 
-__all__ = ["HOP_DELAY_S", "PEER_TIMEOUT_S", "addresses", "carriers",
-           "changed", "is_large", "is_peer_ready", "is_ready",
-           "is_serving_host", "reads_store", "store_data_age_s"]
+__all__ = ["HOP_DELAY_S", "PEER_TIMEOUT_S", "caller_addresses",
+           "invalidate_serving_hosts", "is_large", "is_peer_ready", "is_ready",
+           "is_serving_host", "reads_store", "serving_hosts",
+           "store_data_age_s"]
 
 # A host that was silent for this long is not named to callers, s: four
 # of its datagrams are missing.
@@ -45,51 +46,52 @@
 HOP_DELAY_S = 0.1
 
 
-def carriers(host, now):
+def serving_hosts(host, now):
     """Return the serving hosts: peers, and this host if it is one.
 
     The same list object is returned until the serving hosts change.
     """
-    if now >= host.carriers_until:
+    if now >= host.serving_hosts_until:
         serving = _serving_hosts(host, now)
-        if serving != host.carriers:
-            host.carriers = serving
-        host.carriers_until = now + SERVING_CACHE_S
-    return host.carriers
+        if serving != host.serving_hosts:
+            host.serving_hosts = serving
+        host.serving_hosts_until = now + SERVING_CACHE_S
+    return host.serving_hosts
 
 
-def changed(host):
+def invalidate_serving_hosts(host):
     """Invalidate the cache after a host joined or announced to leave."""
-    host.carriers_until = 0.0
+    host.serving_hosts_until = 0.0
 
 
 def _serving_hosts(host, now):
-    live = [host.me] if host.stop_at is None else []
+    live = [host.self_peer] if host.stop_at is None else []
     live += [known.peer for known in host.peers.values()
              if _may_serve(known, now)]
     live.sort(key=lambda peer: (
-        -peer.capacity, routing.name_hash(peer.name, "carrier")))
+        -peer.capacity, routing.cached_unit_hash(peer.name, "carrier")))
     if not live:
         return []
     min_capacity = live[0].capacity * MIN_CAPACITY_SHARE
-    limit = carrying.serving_host_limit(host, now)
+    limit = serving.serving_host_limit(host, now)
     return [peer for rank, peer in enumerate(live[:limit])
             if rank < MIN_SERVING_HOSTS or peer.capacity >= min_capacity]
 
 
 def _may_serve(known, now):
-    last_sign_at = max(known.heard_at, known.vouched_at)
+    last_sign_at = max(known.last_seen_at, known.confirmed_ready_at)
     return not known.leaving and now - last_sign_at <= PEER_TIMEOUT_S
 
 
 def is_serving_host(host, now):
     """Return whether this host is a serving host."""
-    return any(peer.name == host.me.name for peer in carriers(host, now))
+    return any(peer.name == host.self_peer.name
+               for peer in serving_hosts(host, now))
 
 
 def is_peer_ready(known, now):
     """Return whether a peer that this host hears directly is ready."""
-    return known.ready and now - known.heard_at <= PEER_TIMEOUT_S
+    return known.ready and now - known.last_seen_at <= PEER_TIMEOUT_S
 
 
 def is_large(host):
@@ -105,14 +107,14 @@
         return True
     limit = (SERVING_READER_TIMEOUT_S if is_serving_host(host, now)
              else READER_TIMEOUT_S)
-    return min(_report_age_s(host, now), now - host.seen_at) > limit
+    return min(_report_age_s(host, now), now - host.peers_read_at) > limit
 
 
 def _is_among_readers(host, now):
     """Return whether fewer than READERS serving hosts before this one read."""
     readers = 0
-    for peer in carriers(host, now):
-        if peer.name == host.me.name:
+    for peer in serving_hosts(host, now):
+        if peer.name == host.self_peer.name:
             return True
         readers += host.peers[peer.name].reads_store
         if readers >= READERS:
@@ -129,7 +131,7 @@
     permanently: 84 hosts, with 79 calls a second in normal operation. With
     reports through other hosts three hosts read it, with 3.6 calls.
     """
-    return now - host.told_at
+    return now - host.informed_at
 
 
 def store_data_age_s(host, now):
@@ -139,7 +141,7 @@
     least from when it learned of that. Otherwise it would keep other hosts
     from reading the store themselves.
     """
-    if host.store_lost_at is None and host.servers_known and (
+    if host.store_down_since is None and host.servers_loaded and (
             reads_store(host, now)):
         return 0.0
     age = _report_age_s(host, now)
@@ -151,24 +153,24 @@
 
 def is_ready(host):
     """Return whether this host can serve callers."""
-    return (host.catalog is not None and host.servers_known
+    return (host.catalog is not None and host.servers_loaded
             and host.stop_at is None)
 
 
-def addresses(host, now):
+def caller_addresses(host, now):
     """Return the caller-facing addresses of usable serving hosts."""
     reachable = []
-    for peer in carriers(host, now):
-        if peer.name == host.me.name:
+    for peer in serving_hosts(host, now):
+        if peer.name == host.self_peer.name:
             usable = is_ready(host)
         else:
             known = host.peers[peer.name]
             usable = (is_peer_ready(known, now)
-                      or now - known.vouched_at <= PEER_TIMEOUT_S)
+                      or now - known.confirmed_ready_at <= PEER_TIMEOUT_S)
         if usable:
-            reachable.append((peer.name, peer.front))
+            reachable.append((peer.name, peer.public_address))
     if len(reachable) > MAX_ADDRESSES:
         # Each host omits different ones, so that all get callers.
-        reachable.sort(key=lambda row: routing.name_hash(
-            host.me.name, row[0]))
+        reachable.sort(key=lambda row: routing.cached_unit_hash(
+            host.self_peer.name, row[0]))
     return [front for _, front in reachable[:MAX_ADDRESSES]]
--- a/crocuskeel/core/entry/peers.py
+++ b/crocuskeel/core/entry/peers.py
@@ -1,20 +1,20 @@
 """Handlers of what other hosts send: their state, load and data versions."""
 
-from crocuskeel.core.entry import carrying
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import duties
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import fleet
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import health
-from crocuskeel.core.entry import leaving
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
+from crocuskeel.core.entry import prefix_cache
 from crocuskeel.core.entry import quarantine
 from crocuskeel.core.entry import ratelimits
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import server_load
+from crocuskeel.core.entry import serving
 from crocuskeel.core.entry import state as states
-from crocuskeel.core.entry import telling
 
-__all__ = ["heard", "load_heard", "seen"]
+__all__ = ["handle_peer_list", "handle_peer_loads", "handle_peer_state"]
 
 # Minimum interval between fetches of newer data from a peer, s.
 FETCH_INTERVAL_S = 0.25
@@ -23,60 +23,60 @@
 STORE_DELAY_S = 0.4
 
 
-def seen(host, event, now):
+def handle_peer_list(host, event, now):
     """Add hosts that the store lists; they count as just heard."""
-    host.seen_at = now
-    fleet.changed(host)
+    host.peers_read_at = now
+    fleet.invalidate_serving_hosts(host)
     for peer in event.peers:
-        if peer.name != host.me.name:
+        if peer.name != host.self_peer.name:
             host.peers.setdefault(peer.name, states.PeerState(peer, now))
-    return telling.tell(host, now)
+    return gossip.send_state(host, now)
 
 
-def heard(host, event, now):
+def handle_peer_state(host, event, now):
     """Handle the state of another host."""
     peer = event.peer
-    if peer.name == host.me.name:
+    if peer.name == host.self_peer.name:
         return []
     out = []
     known = host.peers.get(peer.name)
     if known is None or known.peer.boot != peer.boot:
         known = states.PeerState(peer, now)
         host.peers[peer.name] = known
-        fleet.changed(host)
-        out.append(effects.Note("peer_up", {"peer": peer.name}))
-    known.heard_at = now
+        fleet.invalidate_serving_hosts(host)
+        out.append(effects.LogEvent("peer_up", {"peer": peer.name}))
+    known.last_seen_at = now
     known.ready = event.ready
     if known.leaving != event.leaving:
         known.leaving = event.leaving
-        fleet.changed(host)
+        fleet.invalidate_serving_hosts(host)
     known.catalog_revision = event.catalog_revision
     known.servers_revision = event.servers_revision
     known.reads_store = event.reads_store
-    host.told_at = max(
-        host.told_at, now - event.informed_s - fleet.HOP_DELAY_S)
-    carrying.merge(host, event.wanted, now)
-    duties.heard(host, event, now)
-    for digest, incarnation in event.crashed:
-        quarantine.learn(host, digest, incarnation, now)
+    host.informed_at = max(
+        host.informed_at, now - event.store_data_age_s - fleet.HOP_DELAY_S)
+    serving.merge(host, event.serving_demand, now)
+    duties.peer_state_received(host, event, now)
+    for digest, incarnation in event.crashes:
+        quarantine.record_crash(host, digest, incarnation, now)
     _apply_loads(host, event, now)
     _apply_serving_hosts(host, event, now)
     out += ratelimits.merge(host, event.rate_limits, now)
-    out += leaving.merge(host, event.servers_leaving, now)
-    out += telling.reply(host, known, now)
+    out += draining.merge(host, event.servers_leaving, now)
+    out += gossip.reply(host, known, now)
     return out + _fetch_if_behind(host, known, now)
 
 
-def load_heard(host, event, now):
+def handle_peer_loads(host, event, now):
     """Handle load changes that another serving host reports."""
     _apply_load_rows(host, event.name, event.loads, now)
     for sid in event.refused:
-        quarantine.note_gone(host, sid, now)
+        quarantine.record_server_down(host, sid, now)
         state = host.servers.get(sid)
         # A host that is cut off from a server sees it refuse connections,
         # too. A host with requests there detects a crash by itself.
-        if state is not None and not state.mine:
-            health.unreached(state, now)
+        if state is not None and not state.own_attempts:
+            health.record_connection_failure(state, now)
     return []
 
 
@@ -87,9 +87,10 @@
         state = host.servers.get(sid)
         if state is not None:
             # The sender's load rows include the tokens yet to be read.
-            parts.remember(state, part, tokens,
-                           _engine_memory(host, state.server.service),
-                           now + serverload.ahead_s(state, now))
+            prefix_cache.add_part(state, part, tokens,
+                                  _engine_memory(host, state.server.service),
+                                  now + server_load.queued_prefill_s(state,
+                                                                     now))
 
 
 def _apply_load_rows(host, name, rows, now):
@@ -97,22 +98,24 @@
         state = host.servers.get(sid)
         if state is None:
             continue
-        serverload.note_work(host, state)
-        state.others.put(name, count, tokens, reading, now, gaps, memory)
-        pauses.heard(state, serverload.ahead_s(state, now), now)
-        state.heard_at = max(state.heard_at, now - silent_ms / 1000)
+        server_load.note_work(host, state)
+        state.peer_loads.update(name, count, tokens, reading, now, gaps,
+                                memory)
+        prefill_pauses.note_prefill(
+            state, server_load.queued_prefill_s(state, now), now)
+        state.last_seen_at = max(state.last_seen_at, now - silent_ms / 1000)
 
 
 def _engine_memory(host, service):
-    engine = parts.engine_of(host, service)
+    engine = prefix_cache.engine_config(host, service)
     return engine.memory if engine is not None else 0
 
 
 def _apply_serving_hosts(host, event, now):
-    for name in event.carriers:
+    for name in event.serving_hosts:
         known = host.peers.get(name)
         if known is not None:
-            known.vouched_at = now
+            known.confirmed_ready_at = now
 
 
 def _fetch_if_behind(host, known, now):
@@ -120,14 +123,14 @@
     since = _behind_since(host, known, now)
     if since is None:
         return []
-    if known.catalog_revision == 0 or now < host.fetch_at:
+    if known.catalog_revision == 0 or now < host.next_fetch_at:
         return []
-    reads = fleet.reads_store(host, now) and host.store_lost_at is None
+    reads = fleet.reads_store(host, now) and host.store_down_since is None
     if reads and host.catalog and now < since + STORE_DELAY_S:
         # The store is expected to report the change shortly. The wait is
         # bounded, as it doesn't if this host's watch is stalled.
         return []
-    host.fetch_at = now + FETCH_INTERVAL_S
+    host.next_fetch_at = now + FETCH_INTERVAL_S
     return [effects.FetchCatalog(known.peer)]
 
 
--- a/crocuskeel/core/entry/pauses.py
+++ b/crocuskeel/core/entry/prefill_pauses.py
@@ -12,10 +12,11 @@
 
 import math
 
-from crocuskeel.core.entry import pace
+from crocuskeel.core.entry import pause_estimate
 
-__all__ = ["count", "heard", "is_at_risk", "late_probability",
-           "late_streams", "loud_s", "note_over", "note_sent"]
+__all__ = ["change_count", "expected_pause_s", "is_at_risk",
+           "late_probability", "late_streams", "note_prefill",
+           "note_stream_ended", "note_stream_sent"]
 
 # An expected pause is taken to be on time up to this share of the longest
 # allowed one, and certainly late at the full length: estimates of prefill
@@ -31,21 +32,21 @@
     return min(1.0, max(0.0, (share - SAFE_SHARE) / (1.0 - SAFE_SHARE)))
 
 
-def note_sent(state, route):
+def note_stream_sent(state, route):
     """Count a stream that was sent to an engine."""
-    count(state.gaps, _group(route), 1)
+    change_count(state.streams_by_gap, _group(route), 1)
 
 
-def note_over(state, route):
+def note_stream_ended(state, route):
     """Remove a stream that has ended from the counts."""
-    count(state.gaps, _group(route), -1)
+    change_count(state.streams_by_gap, _group(route), -1)
 
 
 def _group(route):
     return route.priority, round(route.gap_s * 1000)
 
 
-def count(counts, group, change):
+def change_count(counts, group, change):
     """Change a count of streams by (priority, allowed pause in ms)."""
     total = counts.get(group, 0) + change
     if total > 0:
@@ -54,17 +55,18 @@
         counts.pop(group, None)
 
 
-def heard(state, ahead_s, now):
+def note_prefill(state, ahead_s, now):
     """Note that an engine has queued prompts to prefill for ``ahead_s``."""
-    state.loud = max(ahead_s, loud_s(state, now))
-    state.loud_at = now
+    state.expected_pause_s = max(ahead_s, expected_pause_s(state, now))
+    state.expected_pause_at = now
 
 
-def loud_s(state, now):
+def expected_pause_s(state, now):
     """Return the expected pause of an engine's streams, s."""
-    if not state.loud:
+    if not state.expected_pause_s:
         return 0.0
-    return state.loud * math.exp((state.loud_at - now) / PAUSE_DECAY_S)
+    return state.expected_pause_s * math.exp(
+        (state.expected_pause_at - now) / PAUSE_DECAY_S)
 
 
 def late_streams(state, estimate, ahead_s, prefill_s, least_urgent=math.inf):
@@ -76,10 +78,11 @@
     urgent one.
     """
     total = 0.0
-    for gaps in (state.gaps, state.others.gaps):
+    for gaps in (state.streams_by_gap, state.peer_loads.streams_by_gap):
         for (priority, gap_ms), streams in gaps.items():
             gap_s = gap_ms / 1000
-            if priority > least_urgent or not pace.may_exceed(estimate, gap_s):
+            if priority > least_urgent or not pause_estimate.may_exceed(
+                    estimate, gap_s):
                 continue
             total += streams * (_lateness((ahead_s + prefill_s) / gap_s)
                                 - _lateness(ahead_s / gap_s))
@@ -88,14 +91,15 @@
 
 def late_probability(state, estimate, route, now):
     """Return the probability that pauses make a route's stream late."""
-    if not pace.may_exceed(estimate, route.gap_s):
+    if not pause_estimate.may_exceed(estimate, route.gap_s):
         return 0.0
-    return _lateness(loud_s(state, now) / route.gap_s)
+    return _lateness(expected_pause_s(state, now) / route.gap_s)
 
 
 def is_at_risk(states, estimate, route, now):
     """Say whether the prefill of long prompts can make such streams late."""
-    if not pace.may_exceed(estimate, route.gap_s):
+    if not pause_estimate.may_exceed(estimate, route.gap_s):
         return False
-    longest_s = max((loud_s(state, now) for state in states), default=0.0)
+    longest_s = max((expected_pause_s(state, now) for state in states),
+                    default=0.0)
     return _lateness(longest_s / route.gap_s) > 0.0
--- a/crocuskeel/core/entry/quarantine.py
+++ b/crocuskeel/core/entry/quarantine.py
@@ -11,8 +11,9 @@
 incarnation.
 """
 
-__all__ = ["condemned", "ends_in", "learn", "note_completed",
-           "note_disconnect", "note_gone", "pairs"]
+__all__ = ["is_quarantined", "note_completed", "note_disconnect",
+           "recent_crashes", "record_crash", "record_server_down",
+           "time_left_s"]
 
 # A crash ends all connections of a server within this time, s.
 CRASH_SPREAD_S = 0.3
@@ -27,24 +28,25 @@
 
 def note_disconnect(host, digest, attempt, now):
     """Record that a server ended the connection of a request."""
-    host.torn = [row for row in host.torn if row[0] > now - CRASH_CONFIRM_S]
-    host.torn.append((now, attempt.sid, attempt.incarnation, digest))
-    together = {row[3] for row in host.torn
+    host.disconnects = [row for row in host.disconnects
+                        if row[0] > now - CRASH_CONFIRM_S]
+    host.disconnects.append((now, attempt.sid, attempt.incarnation, digest))
+    together = {row[3] for row in host.disconnects
                 if row[2] == attempt.incarnation
                 and row[0] > now - CRASH_SPREAD_S}
     if len(together) > 1:
-        note_gone(host, attempt.sid, now)
+        record_server_down(host, attempt.sid, now)
 
 
-def note_gone(host, sid, now):
+def record_server_down(host, sid, now):
     """Treat the connections recently lost at a server as due to a crash.
 
     The server can't be reached, another host reports that it refuses
     connections, its entry vanished without notice, or it reports a restart.
     """
-    for at, torn_sid, incarnation, digest in host.torn:
+    for at, torn_sid, incarnation, digest in host.disconnects:
         if torn_sid == sid and at > now - CRASH_CONFIRM_S:
-            learn(host, digest, incarnation, now)
+            record_crash(host, digest, incarnation, now)
 
 
 def note_completed(host, incarnation, since):
@@ -53,40 +55,40 @@
     Connections lost there since then were not due to a crash, which would
     have ended that request as well.
     """
-    host.torn = [row for row in host.torn
-                 if row[2] != incarnation or row[0] < since]
-    for incarnations in host.crashed.values():
+    host.disconnects = [row for row in host.disconnects
+                        if row[2] != incarnation or row[0] < since]
+    for incarnations in host.crashes.values():
         if incarnation in incarnations and incarnations[incarnation] >= since:
             del incarnations[incarnation]
 
 
-def learn(host, digest, incarnation, now):
+def record_crash(host, digest, incarnation, now):
     """Record that a server crashed under a request, here or elsewhere."""
-    if digest not in host.crashed and len(host.crashed) >= MAX_DIGESTS:
-        host.crashed.pop(next(iter(host.crashed)))
-    host.crashed.setdefault(digest, {})[incarnation] = now
+    if digest not in host.crashes and len(host.crashes) >= MAX_DIGESTS:
+        host.crashes.pop(next(iter(host.crashes)))
+    host.crashes.setdefault(digest, {})[incarnation] = now
 
 
-def condemned(host, digest, now):
+def is_quarantined(host, digest, now):
     """Return whether a request is quarantined."""
-    return ends_in(host, digest, now) > 0
+    return time_left_s(host, digest, now) > 0
 
 
-def ends_in(host, digest, now):
+def time_left_s(host, digest, now):
     """Return the time left of a request's quarantine, s."""
-    times = sorted(host.crashed.get(digest, {}).values(), reverse=True)
+    times = sorted(host.crashes.get(digest, {}).values(), reverse=True)
     if len(times) < CRASH_LIMIT:
         return 0.0
     return max(0.0, times[CRASH_LIMIT - 1] + QUARANTINE_S - now)
 
 
-def pairs(host, now, span_s):
+def recent_crashes(host, now, span_s):
     """Return the (digest, incarnation) of crashes in the last ``span_s``.
 
     The most recent ones are left out, as the server may yet complete a
     request and so prove that it has not crashed.
     """
     return tuple((digest, incarnation)
-                 for digest, incarnations in host.crashed.items()
+                 for digest, incarnations in host.crashes.items()
                  for incarnation, at in incarnations.items()
                  if now - span_s < at <= now - CRASH_SPREAD_S)
--- a/crocuskeel/core/entry/reducer.py
+++ b/crocuskeel/core/entry/reducer.py
@@ -3,18 +3,18 @@
 from crocuskeel.core.duties import model as duties_model
 from crocuskeel.core.entry import attempts
 from crocuskeel.core.entry import backoff
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import duties
+from crocuskeel.core.entry import duty_lease
 from crocuskeel.core.entry import events
-from crocuskeel.core.entry import hints
-from crocuskeel.core.entry import holding
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import lifecycle
 from crocuskeel.core.entry import peers
 from crocuskeel.core.entry import ratelimits
 from crocuskeel.core.entry import registry
 from crocuskeel.core.entry import requests
-from crocuskeel.core.entry import serverload
-from crocuskeel.core.entry import telling
+from crocuskeel.core.entry import response_hints
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import usage
 from crocuskeel.core import exceptions
 from crocuskeel.core.leadership import events as lease_events
@@ -23,7 +23,7 @@
 
 
 def _started(host, event, now):
-    host.me = event.me
+    host.self_peer = event.me
     duties.begin(host, now)
     return []
 
@@ -34,11 +34,11 @@
 
 
 def _ticked(host, event, now):
-    serverload.sample(host, now)
-    ratelimits.refill(host, now)
-    leaving.forget(host, now)
+    server_load.sample_prefill(host, now)
+    ratelimits.refill_buckets(host, now)
+    draining.remove_unlisted(host, now)
     backoff.forget(host, now)
-    return (registry.expire(host, now) + telling.tell(host, now)
+    return (registry.drop_expired(host, now) + gossip.send_state(host, now)
             + duties.step(host, event.wall, now)
             + lifecycle.step(host, now))
 
@@ -47,31 +47,31 @@
     events.Started: _started,
     events.Ticked: _ticked,
     events.StopAsked: lifecycle.stop_asked,
-    events.Arrived: requests.arrived,
-    events.CallerLeft: requests.caller_left,
+    events.RequestReceived: requests.request_arrived,
+    events.CallerDisconnected: requests.caller_left,
     events.TimerFired: requests.timer_fired,
-    events.HintsSeen: hints.seen,
-    events.HintsHeard: hints.heard,
-    events.Opened: attempts.opened,
-    events.Progressed: attempts.progressed,
-    events.Ended: attempts.ended,
-    events.Answered: attempts.answered,
-    events.Broken: attempts.broken,
-    events.CatalogSeen: registry.catalog_seen,
+    events.HintsReceived: response_hints.handle_response_hints,
+    events.PeerHintsReceived: response_hints.handle_peer_hints,
+    events.StreamOpened: attempts.opened,
+    events.StreamProgressed: attempts.progressed,
+    events.StreamEnded: attempts.ended,
+    events.ResponseReceived: attempts.answered,
+    events.AttemptFailed: attempts.broken,
+    events.CatalogRead: registry.catalog_seen,
     events.ServersListed: registry.servers_listed,
     events.ServersChanged: registry.servers_changed,
-    events.SettingsSeen: _settings_seen,
-    events.StoreLost: registry.store_lost,
-    events.StoreBack: registry.store_back,
-    events.StoreLeft: registry.store_left,
-    events.PeersSeen: peers.seen,
-    events.Heard: peers.heard,
-    events.LoadsDue: telling.loads_due,
-    events.LoadHeard: peers.load_heard,
+    events.SettingsRead: _settings_seen,
+    events.StoreUnavailable: registry.store_lost,
+    events.StoreAvailable: registry.store_back,
+    events.StoreReadingStopped: registry.store_reading_stopped,
+    events.PeersListed: peers.handle_peer_list,
+    events.PeerStateReceived: peers.handle_peer_state,
+    events.LoadsDue: gossip.send_load_update,
+    events.PeerLoadsReceived: peers.handle_peer_loads,
     events.DutyAnswered: duties.answered,
     duties_model.Usage: usage.received,
-    lease_events.LeaseRead: holding.lease_read,
-    lease_events.LeaseWritten: holding.lease_written,
+    lease_events.LeaseRead: duty_lease.lease_read,
+    lease_events.LeaseWritten: duty_lease.lease_written,
 }
 
 
@@ -85,6 +85,6 @@
     if handler is None:
         raise exceptions.UnknownEvent(type(event).__name__)
     out = handler(host, event, now)
-    if host.changed or host.refusing:
-        out += telling.note_changes(host, now)
+    if host.changed_loads or host.refused_servers:
+        out += gossip.schedule_load_update(host, now)
     return out
--- a/crocuskeel/core/entry/registry.py
+++ b/crocuskeel/core/entry/registry.py
@@ -8,15 +8,16 @@
 
 import math
 
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import effects
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import quarantine
 from crocuskeel.core.entry import restarting
 from crocuskeel.core.entry import state as states
-from crocuskeel.core.entry import telling
 
-__all__ = ["catalog_seen", "expire", "lapsing", "servers_changed",
-           "servers_listed", "store_back", "store_left", "store_lost"]
+__all__ = ["catalog_seen", "drop_expired", "grace_periods", "servers_changed",
+           "servers_listed", "store_back", "store_lost",
+           "store_reading_stopped"]
 
 # Grace period of expired entries, s. Servers register again within some 2 s
 # of the store's return. A server that left instead must get nothing 2 s
@@ -35,15 +36,15 @@
         return []
     host.catalog = catalog
     host.catalog_behind_at = None
-    note = effects.Note("catalog", {
+    note = effects.LogEvent("catalog", {
         "version": catalog.version, "revision": catalog.revision,
         "routes": sum(map(len, catalog.routes.values()))})
-    return [note, *telling.broadcast_change(host, now)]
+    return [note, *gossip.broadcast_change(host, now)]
 
 
 def servers_listed(host, event, now):
     """Apply the full list; missing servers left or their entries expired."""
-    host.servers_known = True
+    host.servers_loaded = True
     listed = {server.sid for server in event.servers}
     listed.update(event.unreadable)
     missing = tuple(sid for sid in host.servers if sid not in listed)
@@ -84,23 +85,23 @@
         # An unreadable entry is no sign of a crash.
         if sid in host.servers:
             _delete(host, sid)
-            out.append(effects.Note("server_unreadable", {"server": sid}))
+            out.append(effects.LogEvent("server_unreadable", {"server": sid}))
     _rebuild_index(host)
     out += restarting.end_orphaned_attempts(host, restarted, now)
-    return out + telling.broadcast_change(host, now)
+    return out + gossip.broadcast_change(host, now)
 
 
 def _remove(host, sid, grace_ends, revision, now):
     if sid not in host.servers:
         return []
-    if not leaving.is_leaving(host, host.servers[sid].server):
-        quarantine.note_gone(host, sid, now)
+    if not draining.is_draining(host, host.servers[sid].server):
+        quarantine.record_server_down(host, sid, now)
     if sid not in grace_ends:
         _delete(host, sid)
     elif host.servers[sid].lapses_at is None:
         host.servers[sid].lapses_at = grace_ends[sid]
         host.lapsing[sid] = None
-    return [effects.Note("server_removed", {
+    return [effects.LogEvent("server_removed", {
         "server": sid, "revision": revision, "lapse": sid in grace_ends})]
 
 
@@ -112,7 +113,7 @@
         state = states.new_server(server, now)
         host.servers[server.sid] = state
         addresses.setdefault(server.address, []).append(state)
-        return [effects.Note("server_added", {
+        return [effects.LogEvent("server_added", {
             "server": server.sid, "service": server.service,
             "draining": server.draining})]
     former = known.server
@@ -121,10 +122,10 @@
     known.server = server
     known.lapses_at = None
     if former != server:
-        known.misdirects = False
+        known.address_reused = False
     if former.draining == server.draining:
         return []
-    return [effects.Note("server_state", {
+    return [effects.LogEvent("server_state", {
         "server": server.sid, "draining": server.draining})]
 
 
@@ -137,7 +138,7 @@
     if host.catalog and server.service not in host.catalog.services:
         return
     for state in addresses.get(server.address, ()):
-        state.misdirects = True
+        state.address_reused = True
 
 
 def _by_address(host):
@@ -154,10 +155,10 @@
 
 def _own_grace_ends(host, removed, now):
     """Return the ends of grace periods of entries that may have expired."""
-    if host.store_lost_at is not None:
+    if host.store_down_since is not None:
         ends_at = math.inf
     elif _store_returned_recently(host, now):
-        ends_at = host.store_back_at + GRACE_S
+        ends_at = host.store_up_since + GRACE_S
     else:
         ends_at = now + GRACE_S
     return dict.fromkeys(_expired_ids(host, removed, now), ends_at)
@@ -166,8 +167,8 @@
 def _expired_ids(host, removed, now):
     removed_states = [
         host.servers[sid] for sid in removed if sid in host.servers
-        and not leaving.is_leaving(host, host.servers[sid].server)]
-    if host.store_lost_at is not None or (
+        and not draining.is_draining(host, host.servers[sid].server)]
+    if host.store_down_since is not None or (
             _store_returned_recently(host, now)):
         return {state.server.sid for state in removed_states}
     expired = set()
@@ -181,11 +182,11 @@
 
 
 def _store_returned_recently(host, now):
-    returned_at = host.store_back_at
+    returned_at = host.store_up_since
     return returned_at is not None and now < returned_at + GRACE_S
 
 
-def lapsing(host, now):
+def grace_periods(host, now):
     """Return (server id, seconds left) of expired entries in grace."""
     return tuple(
         (state.server.sid, max(0.0, min(GRACE_S, state.lapses_at - now)))
@@ -198,7 +199,7 @@
 
 def _delete(host, sid):
     host.servers.pop(sid, None)
-    host.working.pop(sid, None)
+    host.active_servers.pop(sid, None)
     host.lapsing.pop(sid, None)
 
 
@@ -210,7 +211,7 @@
             state.server.service, []).append(state)
 
 
-def expire(host, now):
+def drop_expired(host, now):
     """Drop servers that did not register again in the grace period."""
     overdue = [state.server.sid for state in _expired_servers(host)
                if state.lapses_at <= now]
@@ -218,43 +219,44 @@
         _delete(host, sid)
     if overdue:
         _rebuild_index(host)
-    return [effects.Note("server_gone", {"server": sid}) for sid in overdue]
+    return [effects.LogEvent("server_gone", {"server": sid})
+            for sid in overdue]
 
 
 def store_lost(host, event, now):
     """Record that the store does not answer."""
-    if host.store_lost_at is not None:
+    if host.store_down_since is not None:
         return []
-    host.store_lost_at = now
+    host.store_down_since = now
     for state in _expired_servers(host):
         # It can't register again until the store is back.
         state.lapses_at = math.inf
-    return [effects.Note("store_lost", {"why": event.reason})]
+    return [effects.LogEvent("store_lost", {"why": event.reason})]
 
 
 def store_back(host, event, now):
     """Record that the store answers again."""
-    if host.store_lost_at is None:
+    if host.store_down_since is None:
         return []
-    outage_s = now - host.store_lost_at
-    host.store_back_at = now
+    outage_s = now - host.store_down_since
+    host.store_up_since = now
     _end_store_outage(host, now)
-    return [effects.Note("store_back", {"away_s": round(outage_s, 2)})]
+    return [effects.LogEvent("store_back", {"away_s": round(outage_s, 2)})]
 
 
-def store_left(host, event, now):
+def store_reading_stopped(host, event, now):
     """Stop waiting for the store, as other hosts read it for this one.
 
     A host that kept waiting for a store that it no longer calls would never
     drop servers that left.
     """
-    if host.store_lost_at is None:
+    if host.store_down_since is None:
         return []
     _end_store_outage(host, now)
-    return [effects.Note("store_left", {})]
+    return [effects.LogEvent("store_left", {})]
 
 
 def _end_store_outage(host, now):
-    host.store_lost_at = None
+    host.store_down_since = None
     for state in _expired_servers(host):
         state.lapses_at = min(state.lapses_at, now + GRACE_S)
--- a/crocuskeel/core/entry/hints.py
+++ b/crocuskeel/core/entry/response_hints.py
@@ -1,31 +1,31 @@
 """Hints in response headers: rate limit, draining, and time to back off."""
 
 from crocuskeel.core.entry import backoff
+from crocuskeel.core.entry import draining
 from crocuskeel.core.entry import ending
-from crocuskeel.core.entry import leaving
+from crocuskeel.core.entry import gossip
 from crocuskeel.core.entry import ratelimits
-from crocuskeel.core.entry import telling
 
-__all__ = ["heard", "seen"]
+__all__ = ["handle_peer_hints", "handle_response_hints"]
 
 
-def seen(host, event, now):
+def handle_response_hints(host, event, now):
     """Handle the hints of a response's headers; broadcast what changed."""
-    pending, attempt = ending.find(host, event)
+    pending, attempt = ending.find_attempt(host, event)
     if attempt is None:
         return []
     received = event.hints
     out = ratelimits.note_response(host, attempt, received.rate_limit, now)
     if received.leaving:
-        out += leaving.note_response(host, attempt, now)
+        out += draining.note_response(host, attempt, now)
     if out:
-        out += telling.broadcast_hints(host, now)
-    if received.rest_s is not None:
-        out += backoff.asked(host, attempt, received.rest_s, now)
+        out += gossip.broadcast_hints(host, now)
+    if received.backoff_s is not None:
+        out += backoff.note_backoff(host, attempt, received.backoff_s, now)
     return out
 
 
-def heard(host, event, now):
+def handle_peer_hints(host, event, now):
     """Handle hints that another host received from servers."""
     return (ratelimits.merge(host, event.rate_limits, now)
-            + leaving.merge(host, event.servers_leaving, now))
+            + draining.merge(host, event.servers_leaving, now))
--- a/crocuskeel/core/entry/sending.py
+++ b/crocuskeel/core/entry/sending.py
@@ -3,18 +3,18 @@
 import math
 
 from crocuskeel.core.entry import admission
-from crocuskeel.core.entry import budget
 from crocuskeel.core.entry import candidates
-from crocuskeel.core.entry import choosing
+from crocuskeel.core.entry import class_minimums
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import ending
-from crocuskeel.core.entry import floors
 from crocuskeel.core.entry import model
-from crocuskeel.core.entry import parts
-from crocuskeel.core.entry import pauses
+from crocuskeel.core.entry import prefill_pauses
+from crocuskeel.core.entry import prefix_cache
 from crocuskeel.core.entry import ratelimits
-from crocuskeel.core.entry import repeating
-from crocuskeel.core.entry import serverload
+from crocuskeel.core.entry import retry_budget
+from crocuskeel.core.entry import retrying
+from crocuskeel.core.entry import server_choice
+from crocuskeel.core.entry import server_load
 from crocuskeel.core.entry import state as states
 
 __all__ = ["send"]
@@ -22,67 +22,72 @@
 
 def send(host, pending, now):
     """Send a request to the best server among those not ruled out."""
-    left = pending.ends_at - now
-    if left < repeating.MIN_SEND_S:
+    left = pending.deadline_at - now
+    if left < retrying.MIN_SEND_S:
         return ending.give_up(host, pending, "time is up", now)
     pending.candidates = candidates.pick(host, pending)
     pending.rank = admission.rank(host, pending, now)
-    parts.look(pending, choosing.holders(host, pending, now), now)
-    tried = {attempt.sid for attempt in pending.tries}
-    target = choosing.choose(host, pending, tried, now)
+    prefix_cache.note_fetchable(
+        pending, server_choice.fetch_sources(host, pending, now), now)
+    tried = {attempt.sid for attempt in pending.attempts}
+    target = server_choice.choose(host, pending, tried, now)
     if target is None:
         return _wait_for_server(host, pending, tried, now)
     if not admission.admits(host, pending, target, now):
         full, target = target, _other_server(host, pending, now)
         if target is None:
-            if now < admission.hold_until(pending):
+            if now < admission.queue_until(pending):
                 return _hold(host, pending, now)
             return _shed(host, pending, full, now)
     attempt, source = _start_attempt(host, pending, target, now)
-    order = effects.Send(
-        pending.key, attempt.turn, target.server, left, pending.priority,
+    order = effects.SendRequest(
+        pending.key, attempt.attempt_number, target.server, left,
+        pending.priority,
         pending.workspace, pending.route.kind is model.Kind.STREAM,
-        resume=pending.passing is not None,
+        resume=pending.forwarded_attempt is not None,
         fetch_from=source.server.address if source else None)
     return [order, _sent_line(host, pending, target, attempt, source, now),
-            effects.Timer(pending.key, repeating.next_check(pending, now))]
+            effects.SetRequestTimer(pending.key,
+                                    retrying.next_check(pending, now))]
 
 
 def _sent_line(host, pending, target, attempt, source, now):
     """Return the log line of an attempt, with the inputs of the choice."""
-    report_age_s = min(99, now - target.load_at)
-    return ending.note(
-        "sent", pending.request, turn=attempt.turn,
+    report_age_s = min(99, now - target.reported_at)
+    return ending.log_line(
+        "sent", pending.request, turn=attempt.attempt_number,
         server=target.server.sid, service=pending.service,
-        mine=len(target.mine), running=serverload.running(target, now),
-        ahead=serverload.ahead_tokens(target, now), said=target.load,
-        said_age_s=round(report_age_s, 1), fresh=attempt.fresh_tokens,
+        mine=len(target.own_attempts),
+        running=server_load.running_requests(target, now),
+        ahead=server_load.queued_tokens(target, now),
+        said=target.reported_load,
+        said_age_s=round(report_age_s, 1), fresh=attempt.uncached_tokens,
         spill=attempt.reread_tokens, fetch=attempt.fetched_tokens,
         source=source.server.sid if source else "",
         route=pending.route.name, rank=pending.rank,
         priority=pending.priority,
-        loud_s=round(pauses.loud_s(target, now), 3),
-        left_s=round(pending.ends_at - now, 2),
+        loud_s=round(prefill_pauses.expected_pause_s(target, now), 3),
+        left_s=round(pending.deadline_at - now, 2),
         version=host.catalog.version)
 
 
 def _hold(host, pending, now):
     """Hold a request at this host until a server has room."""
     host.held.add(pending.key)
-    due_at = min(pending.ends_at, admission.look_at(host, now))
-    return [effects.Timer(pending.key, due_at)]
+    due_at = min(pending.deadline_at, admission.next_check(host, now))
+    return [effects.SetRequestTimer(pending.key, due_at)]
 
 
 def _wait_for_server(host, pending, tried, now):
     """Hold a request that no server can take now, or refuse it."""
-    if ending.live(pending):
-        return [effects.Timer(
-            pending.key, repeating.next_check(pending, now))]
-    free_s = choosing.free_in(host, pending, tried, now)
+    if ending.active_attempts(pending):
+        return [effects.SetRequestTimer(
+            pending.key, retrying.next_check(pending, now))]
+    free_s = server_choice.available_in_s(host, pending, tried, now)
     if free_s is None or pending.fallback is not None:
         return ending.give_up(host, pending, "no server", now,
                               _retry_after_s(host, pending, now))
-    if now + free_s < admission.hold_until(pending):
+    if now + free_s < admission.queue_until(pending):
         return _hold(host, pending, now)
     return ending.give_up(host, pending, "servers limited", now,
                           _retry_after_s(host, pending, now))
@@ -90,11 +95,11 @@
 
 def _retry_after_s(host, pending, now):
     """Return the retry delay for servers that take no requests now, s."""
-    free_s = choosing.free_in(host, pending, (), now)
+    free_s = server_choice.available_in_s(host, pending, (), now)
     if not free_s:
         return ending.BUSY_RETRY_S
-    retry_s = admission.retry_s(host, pending, now)
-    return max(retry_s, free_s) if free_s < math.inf else retry_s
+    retry_delay_s = admission.retry_delay_s(host, pending, now)
+    return max(retry_delay_s, free_s) if free_s < math.inf else retry_delay_s
 
 
 def _other_server(host, pending, now):
@@ -105,8 +110,8 @@
     holds them. On a day of high load with 70 engines this served requests
     with 0.37 of the total value, against 0.32 when all waited first.
     """
-    if (now < admission.hold_until(pending)
-            and not parts.follow(host, pending)):
+    if (now < admission.queue_until(pending)
+            and not prefix_cache.can_fetch(host, pending)):
         return None
     return _server_with_room(host, pending, now)
 
@@ -117,50 +122,52 @@
     Reading shared parts again costs less than a refusal.
     """
     def has_room(state):
-        return (admission.may_spill(host, pending, state)
+        return (admission.may_prefill_again(host, pending, state)
                 and admission.admits(host, pending, state, now))
 
-    return choosing.choose_with_room(host, pending, has_room, now)
+    return server_choice.choose_with_capacity(host, pending, has_room, now)
 
 
 def _shed(host, pending, target, now):
     """Refuse a request that no server has room for."""
-    line = ending.note("shed", pending.request, server=target.server.sid,
-                       route=pending.route.name, rank=pending.rank,
-                       priority=pending.priority,
-                       busy=round(target.busy, 2),
-                       running=serverload.running(target, now),
-                       ahead=serverload.ahead_tokens(target, now),
-                       reading=serverload.reading(target, now),
-                       back=admission.came_back(pending))
+    line = ending.log_line("shed", pending.request, server=target.server.sid,
+                           route=pending.route.name, rank=pending.rank,
+                           priority=pending.priority,
+                           busy=round(target.prefill_share, 2),
+                           running=server_load.running_requests(target, now),
+                           ahead=server_load.queued_tokens(target, now),
+                           reading=server_load.queued_prompts(target, now),
+                           back=admission.is_callers_retry(pending))
     ending.finish(host, pending)
-    retry_s = admission.retry_s(host, pending, now)
-    return [ending.refuse(pending.key, pending.ends_at - now, "overload",
-                          retry_s), line]
+    retry_delay_s = admission.retry_delay_s(host, pending, now)
+    return [ending.refuse(pending.key, pending.deadline_at - now, "overload",
+                          retry_delay_s), line]
 
 
 def _start_attempt(host, pending, target, now):
-    attempt = states.Try(len(pending.tries), target.server.sid,
-                         target.server.incarnation, now)
+    attempt = states.Attempt(len(pending.attempts), target.server.sid,
+                             target.server.incarnation, now)
     source = None
     if pending.request.prompt is not None:
         source = _record_prompt(host, pending, target, attempt, now)
     host.held.discard(pending.key)
-    ratelimits.sent(host, target.server, now)
-    floors.note_sent(host, pending, now)
-    pending.tries.append(attempt)
-    pending.sent += 1
+    ratelimits.consume_token(host, target.server, now)
+    class_minimums.note_sent(host, pending, now)
+    pending.attempts.append(attempt)
+    pending.servers_used += 1
     pending.connect_attempts += 1
-    if not target.mine:
-        target.asked_at = now
-    serverload.note_work(host, target)
-    target.mine[pending.key, attempt.turn] = attempt.fresh_tokens
+    if not target.own_attempts:
+        target.busy_since = now
+    server_load.note_work(host, target)
+    target.own_attempts[pending.key,
+                        attempt.attempt_number] = attempt.uncached_tokens
     if pending.route.kind is model.Kind.STREAM:
-        pauses.note_sent(target, pending.route)
-        pauses.heard(target, serverload.ahead_s(target, now), now)
+        prefill_pauses.note_stream_sent(target, pending.route)
+        prefill_pauses.note_prefill(
+            target, server_load.queued_prefill_s(target, now), now)
     ending.mark_load_changed(host, pending, target)
-    if pending.sent > 1:
-        budget.repeated(host, pending.service, now)
+    if pending.servers_used > 1:
+        retry_budget.note_retry(host, pending.service, now)
     return attempt, source
 
 
@@ -170,18 +177,21 @@
     Returns the server that it is to fetch from, or None.
     """
     prompt = pending.request.prompt
-    source = parts.source(host, target, pending, choosing.holders(
-        host, pending, now), now)
-    held = parts.held(target, prompt)
-    attempt.fresh_tokens = parts.to_read(host, target, pending)
-    attempt.fetched_tokens = parts.fetchable(host, pending, held)
+    source = prefix_cache.fetch_source(
+        host, target, pending,
+        server_choice.fetch_sources(host, pending, now), now)
+    held = prefix_cache.cached_tokens(target, prompt)
+    attempt.uncached_tokens = prefix_cache.prefill_tokens(
+        host, target, pending)
+    attempt.fetched_tokens = prefix_cache.fetchable_tokens(host, pending, held)
     attempt.reread_tokens = max(
-        0, pending.elsewhere - held - attempt.fetched_tokens)
-    attempt.memory = prompt.tokens + prompt.output
-    target.memory += attempt.memory
-    engine = parts.engine_of(host, pending.service)
+        0, pending.cached_elsewhere_tokens - held - attempt.fetched_tokens)
+    attempt.memory_tokens = prompt.tokens + prompt.max_output_tokens
+    target.memory_tokens += attempt.memory_tokens
+    engine = prefix_cache.engine_config(host, pending.service)
     if engine is not None:
-        read_at = now + serverload.ahead_s(target, now) + serverload.read_s(
-            target, attempt.fresh_tokens)
-        parts.place(host, target, prompt, engine.memory, now, read_at)
+        read_at = (now + server_load.queued_prefill_s(target, now)
+                   + server_load.prefill_s(target, attempt.uncached_tokens))
+        prefix_cache.note_cached(host, target, prompt, engine.memory, now,
+                                 read_at)
     return source
--- a/crocuskeel/core/entry/serverload.py
+++ b/crocuskeel/core/entry/server_load.py
@@ -4,11 +4,12 @@
 return the sums over all hosts, and what was observed of the server.
 """
 
-from crocuskeel.core.entry import parts
+from crocuskeel.core.entry import prefix_cache
 
-__all__ = ["HEARD_S", "ahead_s", "ahead_tokens", "is_silent",
-           "note_load", "note_work", "read_s", "reading", "reserved_memory",
-           "running", "sample", "usable_slots"]
+__all__ = ["REPORT_HEARD_S", "is_silent", "note_load", "note_work",
+           "prefill_s", "queued_prefill_s", "queued_prompts", "queued_tokens",
+           "reserved_memory", "running_requests", "sample_prefill",
+           "usable_slots"]
 
 # A server with work is silent if it sent nothing for this long on top of the
 # prefill time of its prompts, s. Events come every 30 to 200 ms.
@@ -21,7 +22,7 @@
 # Below this the mean of an idle engine is set to zero, after some 7 s.
 MIN_BUSY = 0.01
 # Peers are told for this long that something was heard of a server, s.
-HEARD_S = 1.0
+REPORT_HEARD_S = 1.0
 
 
 def is_silent(state, now):
@@ -30,66 +31,66 @@
     The connections of a hung or unreachable server stay open. A server that
     works sends events to some host, or prefills the prompts it was sent.
     """
-    if not state.mine:
+    if not state.own_attempts:
         return False
     limit = SILENT_S + PREFILL_SLOWDOWN * (
-        ahead_tokens(state, now) / parts.READ_TOKENS_S)
-    return now - max(state.heard_at, state.asked_at) > limit
+        queued_tokens(state, now) / prefix_cache.PREFILL_TOKENS_PER_S)
+    return now - max(state.last_seen_at, state.busy_since) > limit
 
 
-def ahead_tokens(state, now):
+def queued_tokens(state, now):
     """Return the tokens of all hosts that are queued for prefill."""
-    state.others.expire(now)
-    return state.others.tokens + sum(state.mine.values())
+    state.peer_loads.expire(now)
+    return state.peer_loads.queued_tokens + sum(state.own_attempts.values())
 
 
-def ahead_s(state, now):
+def queued_prefill_s(state, now):
     """Return how long an engine takes to prefill what is queued there."""
-    return read_s(state, ahead_tokens(state, now))
+    return prefill_s(state, queued_tokens(state, now))
 
 
-def read_s(state, tokens):
+def prefill_s(state, tokens):
     """Return how long an engine takes to prefill so many tokens."""
-    return tokens / parts.READ_TOKENS_S * state.slowness
+    return tokens / prefix_cache.PREFILL_TOKENS_PER_S * state.slowness
 
 
-def reading(state, now):
+def queued_prompts(state, now):
     """Return the number of prompts that an engine has yet to prefill."""
-    state.others.expire(now)
-    return state.others.reading + sum(
-        tokens > 0 for tokens in state.mine.values())
+    state.peer_loads.expire(now)
+    return state.peer_loads.queued_prompts + sum(
+        tokens > 0 for tokens in state.own_attempts.values())
 
 
 def note_work(host, state):
     """Note that a server has work, or that a host reported on it."""
-    host.working[state.server.sid] = None
+    host.active_servers[state.server.sid] = None
 
 
-def sample(host, now):
+def sample_prefill(host, now):
     """Sample which engines have prompts to prefill, once a tick.
 
     Only engines with work are sampled: the cost of an idle host must not
     grow with the number of servers.
     """
-    for sid in list(host.working):
+    for sid in list(host.active_servers):
         state = host.servers[sid]
-        busy = ahead_tokens(state, now) > 0
-        state.busy += BUSY_WEIGHT * (busy - state.busy)
+        busy = queued_tokens(state, now) > 0
+        state.prefill_share += BUSY_WEIGHT * (busy - state.prefill_share)
         if _is_idle(state, now):
-            state.busy = 0.0
-            del host.working[sid]
+            state.prefill_share = 0.0
+            del host.active_servers[sid]
 
 
 def _is_idle(state, now):
-    return (not state.mine and not state.others.rows
-            and state.busy < MIN_BUSY
-            and state.heard_at < now - HEARD_S)
+    return (not state.own_attempts and not state.peer_loads.rows
+            and state.prefill_share < MIN_BUSY
+            and state.last_seen_at < now - REPORT_HEARD_S)
 
 
-def running(state, now):
+def running_requests(state, now):
     """Return the number of requests of all hosts at a server."""
-    state.others.expire(now)
-    return len(state.mine) + state.others.running
+    state.peer_loads.expire(now)
+    return len(state.own_attempts) + state.peer_loads.request_count
 
 
 def usable_slots(state, now):
@@ -103,19 +104,19 @@
     steady load on 70 engines 22 requests were preempted without the
     reserve, none with it.
     """
-    state.others.expire(now)
-    return max(1, state.server.slots - len(state.others.rows))
+    state.peer_loads.expire(now)
+    return max(1, state.server.slots - len(state.peer_loads.rows))
 
 
 def reserved_memory(state, now):
     """Return the tokens that an engine's requests may come to use."""
-    state.others.expire(now)
-    return state.memory + state.others.memory
+    state.peer_loads.expire(now)
+    return state.memory_tokens + state.peer_loads.memory_tokens
 
 
 def note_load(state, load, now):
     """Note the load that a server reports itself."""
     if load is not None:
         active, waiting, _ = load
-        state.load = active + waiting
-        state.load_at = now
+        state.reported_load = active + waiting
+        state.reported_at = now
--- a/crocuskeel/core/entry/usage.py
+++ b/crocuskeel/core/entry/usage.py
@@ -1,8 +1,8 @@
 """Counts the requests that engines began and sends them to the holder."""
 
+from crocuskeel.core.duties import clock
 from crocuskeel.core.duties import counting
 from crocuskeel.core.duties import model
-from crocuskeel.core.duties import truetime
 from crocuskeel.core.entry import effects
 from crocuskeel.core.entry import fleet
 
@@ -18,11 +18,11 @@
     duties = host.duties
     if duties is None or pending.usage_counted or not pending.workspace:
         return
-    wall = truetime.wall_time(duties.offsets, at)
+    wall = clock.wall_time(duties.offsets, at)
     if wall is None:
         return
     pending.usage_counted = True
-    window = int(wall // host.cfg.report_s)
+    window = int(wall // host.cfg.report_window_s)
     counting.count_request(duties.table, window, pending.workspace)
     duties.counted_at[window] = at
     if len(duties.counted_at) > counting.WINDOWS_KEPT:
@@ -37,7 +37,7 @@
 def send_counts(host, now):
     """Send the recently changed counts of this host to the holder."""
     duties = host.duties
-    duties.tables[host.me.name, host.me.boot] = duties.table
+    duties.tables[host.self_peer.name, host.self_peer.boot] = duties.table
     peer = _recipient(host, now)
     if peer is None:
         return []
@@ -53,22 +53,22 @@
         if send_all or duties.counted_at[window] > now - RESEND_S)
     if not rows:
         return []
-    return [effects.Tell(peer, model.Usage(
-        host.me.name, host.me.boot, rows))]
+    return [effects.SendToPeer(peer, model.Usage(
+        host.self_peer.name, host.self_peer.boot, rows))]
 
 
 def _recipient(host, now):
-    """Return the holder or, on the holder itself, the next carrier.
+    """Return the holder or, on the holder itself, the next serving host.
 
     The counts that a holder took since its last renewal, up to a second
     ago, would be lost if it is killed: 4 % of a window of 5 s where six
     hosts serve callers.
     """
     leader = host.duties.leader.host
-    if leader != host.me.name:
+    if leader != host.self_peer.name:
         holder = host.peers.get(leader)
         return holder.peer if holder is not None else None
-    others = [peer for peer in fleet.carriers(host, now)
+    others = [peer for peer in fleet.serving_hosts(host, now)
               if peer.name != leader]
     return others[0] if others else None
 
--- a/crocuskeel/gateway/gossip.py
+++ b/crocuskeel/gateway/gossip.py
@@ -7,9 +7,9 @@
 """
 
 from crocuskeel.core import duties
-from crocuskeel.core.entry import carrying
 from crocuskeel.core.entry import events
 from crocuskeel.core.entry import model
+from crocuskeel.core.entry import serving
 import msgpack
 from twisted.internet import protocol
 
@@ -26,17 +26,18 @@
 
 def encode(event):
     """Return the datagram of an event for another host."""
-    if isinstance(event, events.LoadHeard):
+    if isinstance(event, events.PeerLoadsReceived):
         return msgpack.packb((event.name, event.loads, event.refused))
     if isinstance(event, duties.Usage):
         return msgpack.packb((USAGE_MARK, event.name, event.boot, event.rows))
-    if isinstance(event, events.HintsHeard):
+    if isinstance(event, events.PeerHintsReceived):
         return msgpack.packb((HINTS_MARK, event.name, event.rate_limits,
                               event.servers_leaving))
     return msgpack.packb((
         *_previous_fields(event), event.wall,
         (event.leader.version, event.leader.host, event.leader.fence),
-        (event.wanted.carriers, event.wanted.at), event.rate_limits,
+        (event.serving_demand.serving_hosts, event.serving_demand.measured_at),
+        event.rate_limits,
         event.servers_leaving))
 
 
@@ -45,9 +46,9 @@
 
     That version has no duties, and so no counts, and no rate limits.
     """
-    if isinstance(event, duties.Usage | events.HintsHeard):
+    if isinstance(event, duties.Usage | events.PeerHintsReceived):
         return None
-    if isinstance(event, events.Heard):
+    if isinstance(event, events.PeerStateReceived):
         return msgpack.packb(_previous_fields(event))
     return encode(event)
 
@@ -55,11 +56,11 @@
 def _previous_fields(event):
     peer = event.peer
     return (
-        (peer.name, peer.boot, peer.domain, peer.front, peer.control,
+        (peer.name, peer.boot, peer.domain, peer.public_address, peer.control,
          peer.gossip, peer.capacity),
         event.ready, event.leaving, event.catalog_revision,
-        event.servers_revision, event.crashed, event.loads, event.parts,
-        event.reads_store, event.carriers, event.informed_s)
+        event.servers_revision, event.crashes, event.loads, event.parts,
+        event.reads_store, event.serving_hosts, event.store_data_age_s)
 
 
 def decode(data):
@@ -84,11 +85,11 @@
             return duties.Usage(*rest)
         if first == HINTS_MARK:
             name, limits, leaving = rest
-            return events.HintsHeard(
+            return events.PeerHintsReceived(
                 name, _rate_limits(limits), _servers_leaving(leaving))
         if isinstance(first, str):
             loads, refused = rest
-            return events.LoadHeard(first, loads, refused)
+            return events.PeerLoadsReceived(first, loads, refused)
         return _decode_state(first, rest)
     except (TypeError, ValueError) as exc:
         raise ValueError(f"invalid datagram: {exc}") from exc
@@ -99,15 +100,17 @@
     sender = model.Peer(
         name, boot, domain, front, control, gossip, capacity)
     if len(rest) == PREVIOUS_FIELDS:
-        return events.Heard(sender, *rest)
+        return events.PeerStateReceived(sender, *rest)
     *previous, wall, leader, wanted = rest[:STATE_FIELDS]
     if len(previous) != PREVIOUS_FIELDS:
         raise ValueError(f"state has {len(rest)} fields")
     # A state of the version without rate limits ends here.
     limits, leaving = (*rest[STATE_FIELDS:], (), ())[:2]
-    return events.Heard(sender, *previous, wall, duties.Leader(*leader),
-                        carrying.Wanted(*wanted), _rate_limits(limits),
-                        _servers_leaving(leaving))
+    return events.PeerStateReceived(sender, *previous, wall,
+                                    duties.Leader(*leader),
+                                    serving.ServingDemand(*wanted),
+                                    _rate_limits(limits),
+                                    _servers_leaving(leaving))
 
 
 def _rate_limits(rows):
@@ -149,7 +152,7 @@
         except ValueError as exc:
             self.gateway.log("datagram_refused", {"why": str(exc)})
             return
-        if isinstance(event, events.Heard):
+        if isinstance(event, events.PeerStateReceived):
             self._note_version(event.peer.name,
                                len(fields) == 1 + PREVIOUS_FIELDS)
         self.gateway.feed(event)
@@ -160,7 +163,7 @@
         else:
             self.previous_version_hosts.discard(name)
 
-    def tell(self, effect):
+    def send(self, effect):
         """Send an event to a peer."""
         if effect.peer.name in self.previous_version_hosts:
             data = encode_previous(effect.event)
--- a/crocuskeel/gateway/header_codec.py
+++ b/crocuskeel/gateway/header_codec.py
@@ -18,7 +18,7 @@
     # The answer to an earlier request on this connection.
     WRONG_REQUEST = "foreign"
     # A working server sends no such answer.
-    GARBLED = "garbled"
+    MALFORMED = "garbled"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
     ``read_request(head, body)`` returns a model.Request, or raises ValueError
     with the reason for a response 400. ``server_headers(head, send,
-    last_event)`` returns the headers of a request to a server, without the
+    last_event_id)`` returns the headers of a request to a server, without the
     framing. ``classify(request, head)`` returns a Verdict, ``load(head)``
     (running, waiting, slots) or None, and ``hints(head)`` a model.Hints.
     ``stamped(head)`` returns whether an answer carries a server's stamp.
--- a/crocuskeel/gateway/loop.py
+++ b/crocuskeel/gateway/loop.py
@@ -21,22 +21,23 @@
 class Gateway:
     """An entry host. ``log(event, fields)`` writes a log line.
 
-    ``wall()`` returns the time of day, s. ``fetch(peer)`` reads a peer's
-    configuration. ``duty_executor(effect)`` carries out effects of duties.
-    ``on_retire`` stops listening, and ``on_exit`` ends the process.
+    ``wall_clock()`` returns the time of day, s. ``fetch_snapshot(peer)``
+    reads a peer's configuration. ``duty_executor(effect)`` carries out
+    effects of duties. ``on_stop_accepting`` stops listening, and
+    ``on_exit`` ends the process.
     """
 
-    def __init__(self, reactor, host, codec, log, wall):
+    def __init__(self, reactor, host, codec, log, wall_clock):
         self.reactor = reactor
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.host = host
         self.codec = codec
         self.log = log
         self.exchanges = {}
         self.gossip = None
-        self.fetch = None
+        self.fetch_snapshot = None
         self.duty_executor = None
-        self.on_retire = None
+        self.on_stop_accepting = None
         self.on_exit = None
 
     def start(self, me):
@@ -47,7 +48,7 @@
     def tick(self):
         """Feed a tick to the core and schedule the next one."""
         self.reactor.callLater(TICK_INTERVAL_S, self.tick)
-        self.feed(events.Ticked(self.wall()))
+        self.feed(events.Ticked(self.wall_clock()))
 
     def feed(self, event):
         """Feed an event to the core and carry out its effects in order."""
@@ -60,7 +61,7 @@
         catalog = self.host.catalog
         return catalog.limits if catalog else DEFAULT_LIMITS
 
-    def arrived(self, exchange):
+    def request_received(self, exchange):
         """Handle a complete request of a caller."""
         try:
             exchange.request = self.codec.read_request(
@@ -70,29 +71,29 @@
             _answer(exchange, 400, str(exc), None)
             return
         self.exchanges[exchange.key] = exchange
-        self.feed(events.Arrived(exchange.key, exchange.request))
+        self.feed(events.RequestReceived(exchange.key, exchange.request))
 
-    def left(self, exchange):
+    def caller_disconnected(self, exchange):
         """Handle a caller that disconnected before its answer ended."""
-        self.feed(events.CallerLeft(exchange.key))
-        self.forget(exchange)
+        self.feed(events.CallerDisconnected(exchange.key))
+        self.release(exchange)
 
-    def refused(self, status, why):
+    def request_rejected(self, status, why):
         """Log a request that could not be parsed."""
         self.log("unreadable", {"status": status, "why": why})
 
-    def forget(self, exchange):
+    def release(self, exchange):
         """Release the timer and attempts of an exchange."""
         self.exchanges.pop(exchange.key, None)
         if exchange.timer is not None and exchange.timer.active():
             exchange.timer.cancel()
         for attempt in exchange.attempts.values():
-            if not attempt.over:
+            if not attempt.finished:
                 attempt.cancel()
 
     def addresses(self):
         """Return the addresses that callers may connect to."""
-        return fleet.addresses(self.host, self.reactor.seconds())
+        return fleet.caller_addresses(self.host, self.reactor.seconds())
 
     def is_ready(self):
         """Return whether this host accepts callers."""
@@ -102,52 +103,52 @@
 DEFAULT_LIMITS = entry.model.Limits(16384, 4 << 20, 3.0, 15.0)
 
 
-def _send(gateway, effect):
+def _send_request(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
-        exchange.attempts[effect.turn] = servers.start_attempt(
+        exchange.attempts[effect.attempt_number] = servers.start_attempt(
             gateway, exchange, effect)
 
 
 def _cancel(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
-        exchange.attempts[effect.turn].cancel()
+        exchange.attempts[effect.attempt_number].cancel()
 
 
-def _pass_on(gateway, effect):
+def _forward_response(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
-    exchange.attempts[effect.turn].pass_on()
-    if exchange.over:
-        gateway.forget(exchange)
+    exchange.attempts[effect.attempt_number].forward()
+    if exchange.finished:
+        gateway.release(exchange)
 
 
 def _answer_effect(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
-    _answer(exchange, effect.status, effect.reason, effect.retry_s)
-    gateway.forget(exchange)
+    _answer(exchange, effect.status, effect.reason, effect.retry_delay_s)
+    gateway.release(exchange)
 
 
-def _answer(exchange, status, reason, retry_s):
+def _answer(exchange, status, reason, retry_delay_s):
     headers = [JSON_HEADER]
-    if retry_s is not None:
-        headers.append((b"Retry-After", b"%.3f" % retry_s))
+    if retry_delay_s is not None:
+        headers.append((b"Retry-After", b"%.3f" % retry_delay_s))
     exchange.answer(status, headers,
                     json.dumps({"error": reason}).encode())
 
 
-def _cut(gateway, effect):
+def _abort_stream(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is not None:
-        exchange.cut()
-        gateway.forget(exchange)
+        exchange.abort()
+        gateway.release(exchange)
 
 
-def _timer(gateway, effect):
+def _set_request_timer(gateway, effect):
     exchange = gateway.exchanges.get(effect.key)
     if exchange is None:
         return
@@ -158,22 +159,22 @@
         delay, gateway.feed, events.TimerFired(effect.key))
 
 
-def _tell(gateway, effect):
+def _send_datagram(gateway, effect):
     if gateway.gossip is not None:
-        gateway.gossip.tell(effect)
+        gateway.gossip.send(effect)
 
 
-def _tell_loads(gateway, effect):
+def _schedule_loads(gateway, effect):
     delay = max(0.0, effect.at - gateway.reactor.seconds())
     gateway.reactor.callLater(delay, gateway.feed, events.LoadsDue())
 
 
-def _fetch(gateway, effect):
-    gateway.fetch(effect.peer)
+def _fetch_snapshot(gateway, effect):
+    gateway.fetch_snapshot(effect.peer)
 
 
-def _retire(gateway, effect):
-    gateway.on_retire()
+def _stop_accepting(gateway, effect):
+    gateway.on_stop_accepting()
 
 
 def _exit(gateway, effect):
@@ -184,29 +185,29 @@
     gateway.duty_executor(effect)
 
 
-def _note(gateway, effect):
+def _log_event(gateway, effect):
     gateway.log(effect.event, effect.fields)
 
 
 EFFECT_HANDLERS = {
-    effects.Send: _send,
+    effects.SendRequest: _send_request,
     effects.Cancel: _cancel,
-    effects.PassOn: _pass_on,
+    effects.ForwardResponse: _forward_response,
     effects.Answer: _answer_effect,
-    effects.Cut: _cut,
-    effects.Timer: _timer,
-    effects.Tell: _tell,
-    effects.TellLoads: _tell_loads,
-    effects.FetchCatalog: _fetch,
-    effects.Retire: _retire,
+    effects.AbortStream: _abort_stream,
+    effects.SetRequestTimer: _set_request_timer,
+    effects.SendToPeer: _send_datagram,
+    effects.ScheduleLoadsDue: _schedule_loads,
+    effects.FetchCatalog: _fetch_snapshot,
+    effects.CloseListener: _stop_accepting,
     effects.Exit: _exit,
-    effects.Note: _note,
+    effects.LogEvent: _log_event,
     effects.SendDuty: _execute_duty,
     lease_effects.ReadLease: _execute_duty,
     lease_effects.WriteLease: _execute_duty,
 }
 
 
-def new_gateway(reactor, host, codec, log, wall=time.time):
+def new_gateway(reactor, host, codec, log, wall_clock=time.time):
     """Return a gateway that doesn't listen yet."""
-    return Gateway(reactor, host, codec, log, wall)
+    return Gateway(reactor, host, codec, log, wall_clock)
--- a/crocuskeel/gateway/servers.py
+++ b/crocuskeel/gateway/servers.py
@@ -18,10 +18,10 @@
 AUTHENTIC_VERDICTS = (header_codec.Verdict.ANSWER,
                       header_codec.Verdict.NOT_RUN)
 OUTCOMES = {
-    connections.Failure.UNREACHED: model.Outcome.UNREACHED,
+    connections.Failure.UNREACHABLE: model.Outcome.UNREACHABLE,
     connections.Failure.REFUSED: model.Outcome.REFUSED,
-    connections.Failure.BROKEN: model.Outcome.BROKEN,
-    connections.Failure.GARBLED: model.Outcome.GARBLED,
+    connections.Failure.DISCONNECTED: model.Outcome.DISCONNECTED,
+    connections.Failure.MALFORMED: model.Outcome.MALFORMED,
 }
 
 
@@ -31,7 +31,7 @@
     def __init__(self, gateway, exchange, send):
         self.gateway = gateway
         self.exchange = exchange
-        self.turn = send.turn
+        self.attempt_number = send.attempt_number
         self.send = send
         self.connection = None
         self.head = None
@@ -40,20 +40,20 @@
         self.body = []
         self.size = 0
         self.forwarding = False
-        self.opened = False
-        self.last_event = exchange.last_event
+        self.has_events = False
+        self.last_event_id = exchange.last_event_id
 
     @property
-    def over(self):
+    def finished(self):
         """Whether the attempt has ended."""
-        return self.connection.over
+        return self.connection.closed
 
     def request(self):
         """Return the parts of the request."""
         exchange = self.exchange
         head = exchange.head
         headers = self.gateway.codec.server_headers(
-            head, self.send, exchange.last_event)
+            head, self.send, exchange.last_event_id)
         if exchange.body or head.method != b"GET":
             headers.append((b"Content-Length",
                             b"%d" % len(exchange.body)))
@@ -62,15 +62,15 @@
     def failed(self, failure, detail):
         """Report a failed connection."""
         self._report(OUTCOMES[failure], detail,
-                     torn=failure is connections.Failure.BROKEN)
+                     disconnected=failure is connections.Failure.DISCONNECTED)
 
     def head_received(self, status, headers):
         """Classify an answer by its head."""
         head = header_codec.Head(headers, status=status)
         verdict = self.gateway.codec.classify(self.exchange.request, head)
         if verdict in AUTHENTIC_VERDICTS:
-            self.gateway.feed(events.HintsSeen(
-                self.exchange.key, self.turn,
+            self.gateway.feed(events.HintsReceived(
+                self.exchange.key, self.attempt_number,
                 self.gateway.codec.hints(head)))
         match verdict:
             case header_codec.Verdict.NOT_RUN:
@@ -78,8 +78,8 @@
             case header_codec.Verdict.MISDIRECTED:
                 self._fail(model.Outcome.MISDIRECTED, str(head.status))
             case (header_codec.Verdict.WRONG_REQUEST
-                  | header_codec.Verdict.GARBLED):
-                self._fail(model.Outcome.GARBLED, verdict.value)
+                  | header_codec.Verdict.MALFORMED):
+                self._fail(model.Outcome.MALFORMED, verdict.value)
             case header_codec.Verdict.ANSWER:
                 self.head = head
                 if self.send.stream and head.status == 200:
@@ -93,7 +93,7 @@
         try:
             found = self.splitter.feed(data)
         except ValueError as exc:
-            self._fail(model.Outcome.GARBLED, str(exc))
+            self._fail(model.Outcome.MALFORMED, str(exc))
             return
         if found and self._ids_increase(found):
             self._handle_events(found)
@@ -101,7 +101,7 @@
     def _collect_body(self, data):
         self.size += len(data)
         if self.size > MAX_ANSWER_BYTES:
-            self._fail(model.Outcome.GARBLED, "answer too large")
+            self._fail(model.Outcome.MALFORMED, "answer too large")
             return
         self.body.append(data)
 
@@ -111,48 +111,50 @@
             number = event_stream.event_id(event)
             if number is None:
                 continue
-            if self.last_event is not None and number <= self.last_event:
-                self._fail(model.Outcome.GARBLED, "event out of order")
+            if self.last_event_id is not None and number <= self.last_event_id:
+                self._fail(model.Outcome.MALFORMED, "event out of order")
                 return False
-            self.last_event = number
+            self.last_event_id = number
         return True
 
     def _handle_events(self, found):
         self.events += found
-        if not self.opened:
-            self.opened = True
-            self.gateway.feed(events.Opened(
-                self.exchange.key, self.turn,
+        if not self.has_events:
+            self.has_events = True
+            self.gateway.feed(events.StreamOpened(
+                self.exchange.key, self.attempt_number,
                 self.gateway.codec.load(self.head)))
             return
         if self.forwarding:
             self._flush()
-        self.gateway.feed(events.Progressed(self.exchange.key, self.turn))
+        self.gateway.feed(
+            events.StreamProgressed(self.exchange.key, self.attempt_number))
 
     def _flush(self):
         data, self.events = b"".join(self.events), []
         if data:
-            self.exchange.last_event = self.last_event
-            self.exchange.pass_on(data)
+            self.exchange.last_event_id = self.last_event_id
+            self.exchange.send_data(data)
 
     def end_received(self):
         """Process the end of the answer."""
         if self.splitter is None:
             self.connection.close()
-            self.gateway.feed(events.Answered(
-                self.exchange.key, self.turn, self.head.status,
+            self.gateway.feed(events.ResponseReceived(
+                self.exchange.key, self.attempt_number, self.head.status,
                 self.gateway.codec.load(self.head),
                 self.gateway.codec.stamped(self.head)))
             return
-        if self.splitter.partial or not self.opened:
-            self._fail(model.Outcome.GARBLED, "stream ended within an event")
+        if self.splitter.partial or not self.has_events:
+            self._fail(model.Outcome.MALFORMED, "stream ended within an event")
             return
         self.connection.close()
-        self.gateway.feed(events.Ended(self.exchange.key, self.turn))
-        self.exchange.end()
-        self.gateway.forget(self.exchange)
+        self.gateway.feed(
+            events.StreamEnded(self.exchange.key, self.attempt_number))
+        self.exchange.end_answer()
+        self.gateway.release(self.exchange)
 
-    def pass_on(self):
+    def forward(self):
         """Forward this answer to the caller, now and as it arrives."""
         self.forwarding = True
         headers = self.gateway.codec.answer_headers(self.head, True)
@@ -160,7 +162,7 @@
             self.exchange.answer(self.head.status, headers,
                                  b"".join(self.body))
             return
-        self.exchange.begin(self.head.status, headers)
+        self.exchange.begin_answer(self.head.status, headers)
         self._flush()
 
     def cancel(self):
@@ -171,13 +173,14 @@
         self.connection.close()
         self._report(outcome, detail)
 
-    def _report(self, outcome, detail, torn=False):
-        self.gateway.feed(events.Broken(
-            self.exchange.key, self.turn, outcome, detail, torn))
+    def _report(self, outcome, detail, disconnected=False):
+        self.gateway.feed(events.AttemptFailed(
+            self.exchange.key, self.attempt_number, outcome, detail,
+            disconnected))
 
 
 def start_attempt(gateway, exchange, send):
-    """Connect to the server of a Send effect; return the Attempt."""
+    """Connect to the server of a SendRequest effect; return the Attempt."""
     attempt = Attempt(gateway, exchange, send)
     attempt.connection = connections.connect(
         gateway.reactor, send.server.address, attempt, CONNECT_TIMEOUT_S)
--- a/crocuskeel/platform/reloading.py
+++ b/crocuskeel/platform/reloading.py
@@ -59,17 +59,17 @@
                               if name not in RELOADABLE]})
 
     def _reject(self, exc, is_requested):
-        faults = getattr(exc, "faults", (str(exc),))
-        if is_requested or faults != self.rejected:
-            self.rejected = faults
-            self.gateway.log("reload_refused", {"faults": faults})
+        errors = getattr(exc, "errors", (str(exc),))
+        if is_requested or errors != self.rejected:
+            self.rejected = errors
+            self.gateway.log("reload_refused", {"faults": errors})
 
     def _apply(self, new_settings):
         self.boot = new_settings
         self.store.address = new_settings.store
         if self.gateway.duty_executor is not None:
             self.gateway.duty_executor.address = new_settings.cloud
-        self.gateway.feed(events.SettingsSeen(new_settings.settings))
+        self.gateway.feed(events.SettingsRead(new_settings.settings))
 
 
 def new_reloader(reactor, path, boot, gateway, store):
--- a/tests/duties/test_capacity.py
+++ b/tests/duties/test_capacity.py
@@ -48,7 +48,7 @@
         planned = _plan(
             SCALING, domains(spot=0, asked=12), need=30, mean_need=12)
         for name in NAMES:
-            self.assertLessEqual(planned[name, True] + 12, SCALING.most)
+            self.assertLessEqual(planned[name, True] + 12, SCALING.max_engines)
 
     def test_the_mean_load_survives_the_loss_of_a_domain(self):
         # All spot engines of a domain are reclaimed within seconds. The
@@ -63,7 +63,7 @@
                     lost = max(planned[name, True] for name in names)
                     left = (total(planned, True) + total(planned, False)
                             - lost)
-                    places = SCALING.most * len(names)
+                    places = SCALING.max_engines * len(names)
                     self.assertGreaterEqual(
                         left, min(mean_need, places - lost))
 
@@ -102,14 +102,14 @@
         service_demand = demand.new_demand()
         demand.sample(service_demand, [0.5] * 10, 100.0)
         demand.sample(service_demand, [0.1] * 10, 101.0)
-        self.assertEqual(5.0, demand.need(service_demand))
-        demand.sample(service_demand, [0.1] * 10, 100.5 + demand.KEPT_S)
-        self.assertAlmostEqual(1.0, demand.need(service_demand))
+        self.assertEqual(5.0, demand.peak_need(service_demand))
+        demand.sample(service_demand, [0.1] * 10, 100.5 + demand.PEAK_KEPT_S)
+        self.assertAlmostEqual(1.0, demand.peak_need(service_demand))
 
     def test_the_need_of_saturated_engines_exceeds_their_load(self):
         service_demand = demand.new_demand()
         demand.sample(service_demand, [0.9] * 10, 100.0)
-        self.assertGreater(demand.need(service_demand), 12.0)
+        self.assertGreater(demand.peak_need(service_demand), 12.0)
 
 
 class ReplayTest(unittest.TestCase):
--- a/tests/entry/test_candidates.py
+++ b/tests/entry/test_candidates.py
@@ -19,7 +19,8 @@
 
 
 def _pick(driver, part="tide"):
-    pending = support.pending(ROUTE, driver.now, prompt=support.prompt(part))
+    pending = support.request_state(ROUTE, driver.now,
+                                    prompt=support.prompt(part))
     return [state.server.sid for state in candidates.pick(
         driver.host, pending)]
 
@@ -32,22 +33,22 @@
     """Servers that hashing prefers, and a random sample."""
 
     def test_small_service_is_evaluated_whole(self):
-        self.assertEqual(candidates.LOOKED_AT_MOST, len(_pick(
-            _driver(candidates.LOOKED_AT_MOST))))
+        self.assertEqual(candidates.MAX_CANDIDATES, len(_pick(
+            _driver(candidates.MAX_CANDIDATES))))
 
     def test_large_service_is_evaluated_in_part(self):
         # Evaluating 1,700 engines takes 28 ms: at 30 requests a second
         # that is most of a small host's processor time.
         picked = _pick(_driver(MANY))
         self.assertEqual(len(picked), len(set(picked)))
-        self.assertLessEqual(len(picked), candidates.LOOKED_AT_MOST)
+        self.assertLessEqual(len(picked), candidates.MAX_CANDIDATES)
         self.assertGreater(len(picked), candidates.MAX_PREFERRED)
 
     def test_request_without_parts_or_prompt(self):
         driver = _driver(MANY)
         for prompt in (None, model.Prompt((), 0, 80)):
-            pending = support.pending(ROUTE, driver.now, prompt=prompt)
-            self.assertEqual(candidates.LOOKED_AT_MOST, len(
+            pending = support.request_state(ROUTE, driver.now, prompt=prompt)
+            self.assertEqual(candidates.MAX_CANDIDATES, len(
                 candidates.pick(driver.host, pending)))
 
     def test_all_hosts_prefer_the_same_servers_for_a_part(self):
@@ -69,14 +70,14 @@
         driver = _driver(MANY)
         preferred = _preferred(driver)
         for sid in preferred:
-            driver.host.servers[sid].others.put(
+            driver.host.servers[sid].peer_loads.update(
                 "host-1", 64, 500_000, 64, driver.now)
         out = driver.arrive(path="/advice/1", prompt=support.prompt("tide"))
-        (send,) = support.only(out, effects.Send)
+        (send,) = support.effects_of(out, effects.SendRequest)
         self.assertNotIn(send.server.sid, preferred)
 
     def test_added_servers_become_candidates(self):
-        driver = _driver(candidates.LOOKED_AT_MOST)
+        driver = _driver(candidates.MAX_CANDIDATES)
         _pick(driver)
         servers = tuple(support.server(f"n{number}", "engines")
                         for number in range(MANY))
@@ -92,21 +93,21 @@
         # Each of 300 hosts processed 3,000 idle servers three times a
         # second, and reported them to twelve peers.
         driver = _driver(MANY)
-        self.assertEqual({}, driver.host.working)
-        driver.feed(events.LoadHeard(
+        self.assertEqual({}, driver.host.active_servers)
+        driver.feed(events.PeerLoadsReceived(
             "host-1", (("e7", 1, 9_000, 1, 0, (), 9_000),)))
         driver.feed(events.Ticked(), 0.3)
-        self.assertEqual(["e7"], list(driver.host.working))
-        self.assertGreater(driver.host.servers["e7"].busy, 0)
+        self.assertEqual(["e7"], list(driver.host.active_servers))
+        self.assertGreater(driver.host.servers["e7"].prefill_share, 0)
         for _ in range(40):
             driver.feed(events.Ticked(), 0.3)
-        self.assertEqual({}, driver.host.working)
-        self.assertEqual(0, driver.host.servers["e7"].busy)
+        self.assertEqual({}, driver.host.active_servers)
+        self.assertEqual(0, driver.host.servers["e7"].prefill_share)
 
     def test_server_removed_with_work_is_forgotten(self):
         driver = _driver(3)
-        driver.feed(events.LoadHeard(
+        driver.feed(events.PeerLoadsReceived(
             "host-1", (("e1", 1, 9_000, 1, 0, (), 9_000),)))
         driver.feed(events.ServersChanged((), ("e1",), 6))
         driver.feed(events.Ticked(), 0.3)
-        self.assertEqual({}, driver.host.working)
+        self.assertEqual({}, driver.host.active_servers)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -31,12 +31,12 @@
 )
 
 
-def _server_headers(last_event=None, resume=False):
-    send = effects.Send(1, 0, support.server("i-1"), 1.5, 12, "hire",
-                        True, resume)
+def _server_headers(last_event_id=None, resume=False):
+    send = effects.SendRequest(1, 0, support.server("i-1"), 1.5, 12, "hire",
+                               True, resume)
     head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
     return dict(headers.new_header_codec().server_headers(
-        head, send, last_event))
+        head, send, last_event_id))
 
 
 class HeadersTest(unittest.TestCase):
@@ -78,13 +78,13 @@
             with self.subTest(sent=sent, status=status):
                 found = self.codec.hints(
                     header_codec.Head(sent, status=status))
-                self.assertEqual(expected, (found.leaving, found.rest_s))
+                self.assertEqual(expected, (found.leaving, found.backoff_s))
 
     def test_kv_fetch_header_of_a_caller_is_replaced(self):
         # A caller that names an engine could read another caller's cached
         # data.
-        send = effects.Send(1, 0, support.server("i-1"), 1.5, 0, "hire",
-                            True, fetch_from=("10.0.0.9", 8080))
+        send = effects.SendRequest(1, 0, support.server("i-1"), 1.5, 0, "hire",
+                                   True, fetch_from=("10.0.0.9", 8080))
         head = header_codec.Head(SENT + FORGED, b"POST", b"/a/1")
         rows = self.codec.server_headers(head, send, None)
         self.assertEqual([b"10.0.0.9:8080"], [
@@ -115,7 +115,7 @@
 
     def test_resumed_stream_sends_the_last_event_id(self):
         self.assertEqual(b"4", _server_headers()[b"Last-Event-Id"])
-        found = _server_headers(last_event=7, resume=True)
+        found = _server_headers(last_event_id=7, resume=True)
         self.assertEqual(b"7", found[b"Last-Event-Id"])
 
     def test_verdicts(self):
