--- a/bench/loopback/__init__.py
+++ b/bench/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmark of the entry daemon on real processes over loopback."""
+"""Benchmark of the entry daemon: real processes on the loopback device."""
--- a/bench/loopback/hop.py
+++ b/bench/loopback/hop.py
@@ -1,6 +1,7 @@
-"""A daemon's token path without its core: one relay hop, for trials.
+"""Relay hop: the streaming path of an entry daemon without its core.
 
-Each request is sent on at once to the target, an engine or another hop.
+Each request is forwarded at once to the target, an engine or another
+hop.
 """
 
 import argparse
@@ -10,8 +11,8 @@
 
 __all__ = ["main", "new_settings"]
 
-FIRST_BYTE_S = 30.0
-SILENCE_S = 30.0
+FIRST_BYTE_TIMEOUT_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 
 
 def new_parser():
@@ -23,7 +24,7 @@
 
 
 def new_settings(host, peer_port=1):
-    """Return process settings that name no platform and no seeds."""
+    """Return process settings without a platform and without seeds."""
     from crocuskeel.runtime import settings
     return settings.ProcessSettings(
         deployment="bench", host=host, domain="a", region="r",
@@ -32,7 +33,7 @@
 
 
 def main():
-    """Serve the hop of the command line until a signal."""
+    """Run the hop that the command line describes until a signal."""
     args = new_parser().parse_args()
     asyncioreactor.install()
     from twisted.internet import reactor
@@ -55,10 +56,10 @@
         match event:
             case events.RequestArrived(rid=rid):
                 return [effects.OpenAttempt(
-                    rid, 1, "target", args.target, 1, FIRST_BYTE_S,
-                    SILENCE_S)]
+                    rid, 1, "target", args.target, 1, FIRST_BYTE_TIMEOUT_S,
+                    IDLE_TIMEOUT_S)]
             case events.AttemptClosed(rid=rid):
-                # Ignored by the runtime if the answer was whole.
+                # The runtime ignores this if the answer was complete.
                 return [effects.Answer(rid, problems.problem(
                     problems.Reason.BACKEND_FAILED))]
         return []
--- a/bench/loopback/load.py
+++ b/bench/loopback/load.py
@@ -1,6 +1,6 @@
-"""Load process: streams of a fixed length at a steady rate.
+"""Load generator: streams of a fixed length at a constant rate.
 
-Prints one JSON line: requests, tokens, failed.
+Prints one JSON line with the counts of requests, tokens and failures.
 """
 
 import argparse
@@ -14,7 +14,7 @@
 
 CLASS = "trip-planning"
 TOKEN = "south-coast-chain-token"
-WAIT_S = 60.0
+STREAM_TIMEOUT_S = 60.0
 
 
 def new_parser():
@@ -28,7 +28,7 @@
 
 
 def main():
-    """Run the load of the command line."""
+    """Run the load that the command line describes."""
     args = new_parser().parse_args()
     asyncioreactor.install()
     from twisted.internet import defer
@@ -36,7 +36,7 @@
     reactor.seconds = time.monotonic
     counts = {"requests": 0, "tokens": 0, "failed": 0}
     run = defer.Deferred.fromCoroutine(_run(reactor, args, counts))
-    run.addErrback(lambda fail: fail.printTraceback())
+    run.addErrback(lambda failure: failure.printTraceback())
     run.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
     print(json.dumps(counts))
@@ -47,28 +47,28 @@
     from twisted.internet import defer
     from twisted.internet import task
     http = probe.new_http(reactor)
-    doors = itertools.cycle(args.doors)
-    waiting = []
+    entry_urls = itertools.cycle(args.doors)
+    pending_streams = []
     total = int(args.rate * args.seconds)
-    began = reactor.seconds()
+    started_at = reactor.seconds()
     for number in range(total):
-        due = began + number / args.rate - reactor.seconds()
-        await task.deferLater(reactor, max(0.0, due))
-        fut = defer.Deferred.fromCoroutine(probe.stream(
-            reactor, http, next(doors), f"load {number}", args.tokens))
-        fut.addTimeout(WAIT_S, reactor)
-        fut.addCallbacks(lambda seen: _count(counts, seen),
-                         lambda _: _failed(counts))
-        waiting.append(fut)
-    await defer.gatherResults(waiting)
-
-
-def _count(counts, seen):
+        delay_s = started_at + number / args.rate - reactor.seconds()
+        await task.deferLater(reactor, max(0.0, delay_s))
+        deferred = defer.Deferred.fromCoroutine(probe.stream(
+            reactor, http, next(entry_urls), f"load {number}", args.tokens))
+        deferred.addTimeout(STREAM_TIMEOUT_S, reactor)
+        deferred.addCallbacks(lambda result: _record_success(counts, result),
+                              lambda _: _record_failure(counts))
+        pending_streams.append(deferred)
+    await defer.gatherResults(pending_streams)
+
+
+def _record_success(counts, result):
     counts["requests"] += 1
-    counts["tokens"] += seen.events
+    counts["tokens"] += result.events
 
 
-def _failed(counts):
+def _record_failure(counts):
     counts["failed"] += 1
 
 
--- a/bench/loopback/probe.py
+++ b/bench/loopback/probe.py
@@ -1,4 +1,4 @@
-"""One caller that times its streams, through a door or directly."""
+"""A caller that times its streams, through an entry host or directly."""
 
 import dataclasses
 import itertools
@@ -12,26 +12,26 @@
 from twisted.internet import task
 from twisted.web import client as web_client
 
-__all__ = ["Seen", "compare", "new_http", "percentile", "stream"]
+__all__ = ["StreamTiming", "compare", "new_http", "percentile", "stream"]
 
 CLASS = "trip-planning"
 TOKEN = "south-coast-chain-token"
-MOST_PAUSE_S = 0.04
+MAX_PAUSE_S = 0.04
 SEED = 1
-MOST_S = 10.0
+STREAM_TIMEOUT_S = 10.0
 PROBE_TOKENS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
-    """What a caller saw of a stream; spans in seconds."""
+class StreamTiming:
+    """A caller's measurements of a stream; times in seconds."""
 
     ttft_s: float
     events: int
 
 
-class _Reader(protocol.Protocol):
-    """Counts events and notes the time of the first."""
+class _EventCounter(protocol.Protocol):
+    """Counts events and records the time of the first one."""
 
     def __init__(self, reactor):
         self.reactor = reactor
@@ -51,57 +51,58 @@
 
 
 def new_http(reactor):
-    """Return a client that keeps its connections."""
+    """Return a client with persistent connections."""
     pool = web_client.HTTPConnectionPool(reactor)
     pool.maxPersistentPerHost = 200
     return treq.client.HTTPClient(web_client.Agent(reactor, pool=pool))
 
 
-async def stream(reactor, http, base, text, tokens):
-    """Ask for a stream of ``tokens``; returns what was :class:`Seen`."""
+async def stream(reactor, http, base_url, text, tokens):
+    """Request a stream of ``tokens``; return its :class:`StreamTiming`."""
     body = json.dumps({
         "model": "guide-7b", "stream": True, "stop_after": tokens,
         "messages": [{"role": "user", "content": text}]}).encode()
-    began = reactor.seconds()
-    rsp = await http.post(
-        f"{base}/v1/chat/completions", data=body, unbuffered=True,
+    started_at = reactor.seconds()
+    response = await http.post(
+        f"{base_url}/v1/chat/completions", data=body, unbuffered=True,
         reactor=reactor, headers={
             "Authorization": f"Bearer {TOKEN}",
             "X-Crocuskeel-Class": CLASS,
             "X-Request-Id": uuid.uuid4().hex,
             "Content-Type": "application/json"})
-    if rsp.code != 200:
-        raise RuntimeError(f"{rsp.code} {await treq.content(rsp)}")
-    reader = _Reader(reactor)
-    rsp.deliverBody(reader)
-    await reader.done
-    return Seen(reader.first_at - began, reader.events)
+    if response.code != 200:
+        raise RuntimeError(f"{response.code} {await treq.content(response)}")
+    counter = _EventCounter(reactor)
+    response.deliverBody(counter)
+    await counter.done
+    return StreamTiming(counter.first_at - started_at, counter.events)
 
 
-async def compare(reactor, doors, engines, count):
-    """Time ``count`` pairs of streams: routed and direct, in turn.
+async def compare(reactor, entry_urls, engine_urls, count):
+    """Time ``count`` pairs of streams, alternating routed and direct.
 
-    Returns two lists of seconds to the first token.
+    Returns two lists of times to first token, in seconds.
     """
-    # Engines work in steps: at a fixed pace each probe would meet the
-    # same part of a step, and a small delay could cost a whole one.
+    # Engines work in steps: probes at a fixed interval would all arrive in
+    # the same phase of a step, where a small delay can cost a whole step.
+    # Random pauses avoid that.
     rng = random.Random(SEED)
     http = new_http(reactor)
     routed = []
     direct = []
-    places = zip(itertools.cycle(doors), itertools.cycle(engines))
-    for number, (door, engine) in zip(range(count), places):
-        for base, out in ((door, routed), (engine, direct)):
-            fut = defer.Deferred.fromCoroutine(stream(
-                reactor, http, base, f"probe {number}", PROBE_TOKENS))
-            fut.addTimeout(MOST_S, reactor)
-            out.append((await fut).ttft_s)
-            pause_s = rng.uniform(0.0, MOST_PAUSE_S)
+    targets = zip(itertools.cycle(entry_urls), itertools.cycle(engine_urls))
+    for number, (entry_url, engine_url) in zip(range(count), targets):
+        for base_url, samples in ((entry_url, routed), (engine_url, direct)):
+            deferred = defer.Deferred.fromCoroutine(stream(
+                reactor, http, base_url, f"probe {number}", PROBE_TOKENS))
+            deferred.addTimeout(STREAM_TIMEOUT_S, reactor)
+            samples.append((await deferred).ttft_s)
+            pause_s = rng.uniform(0.0, MAX_PAUSE_S)
             await task.deferLater(reactor, pause_s)
     return routed, direct
 
 
-def percentile(values, share):
-    """Return the value below which ``share`` of the values are."""
+def percentile(values, quantile):
+    """Return the value below which a ``quantile`` of the values lie."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
--- a/bench/loopback/ways.py
+++ b/bench/loopback/ways.py
@@ -1,8 +1,8 @@
-"""Where work queues: what relaying costs against granting.
+"""Compares the costs of two request paths: relaying and granting.
 
-``python -m bench.loopback.ways`` prints JSON lines: CPU a token with
-one and two relay hops, the time to first token of each, and the CPU of
-a grant over a link and as a unary call.
+``python -m bench.loopback.ways`` prints JSON lines: the CPU time per
+token with one and two relay hops, the time to first token of each, and
+the CPU time of a grant over a link and as a unary call.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 
 __all__ = ["main"]
 
-SECONDS = 15.0
+LOAD_S = 15.0
 RATE = 15.0
 TOKENS = 100
 SLOTS = 64
-START_S = 2.0
-MOST_S = 300.0
+STARTUP_S = 2.0
+RUN_TIMEOUT_S = 300.0
 
 
 def main():
@@ -30,29 +30,29 @@
     from twisted.internet import defer
     from twisted.internet import reactor
     reactor.seconds = time.monotonic
-    codes = [1]
-    run = defer.Deferred.fromCoroutine(_all(reactor))
-    run.addTimeout(MOST_S, reactor)
-    run.addCallbacks(lambda _: codes.__setitem__(0, 0),
-                     lambda fail: fail.printTraceback(sys.stderr))
+    exit_codes = [1]
+    run = defer.Deferred.fromCoroutine(_run_all(reactor))
+    run.addTimeout(RUN_TIMEOUT_S, reactor)
+    run.addCallbacks(lambda _: exit_codes.__setitem__(0, 0),
+                     lambda failure: failure.printTraceback(sys.stderr))
     run.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
-    return codes[0]
+    return exit_codes[0]
 
 
-async def _all(reactor):
+async def _run_all(reactor):
     from bench.loopback import grants
     from tools import demo_fleet
     from twisted.internet import defer
-    taken = set()
-    ports = [demo_fleet.free_ports(1, taken) for _ in range(6)]
+    used_ports = set()
+    ports = [demo_fleet.free_ports(1, used_ports) for _ in range(6)]
     with contextlib.ExitStack() as stack:
-        await _hops(reactor, ports, stack)
+        await _measure_hops(reactor, ports, stack)
     await defer.Deferred.fromFuture(asyncio.ensure_future(
         grants.measure(reactor, ports[3:])))
 
 
-def _start(stack, module, *args):
+def _start_process(stack, module, *args):
     process = subprocess.Popen(
         [sys.executable, "-m", module, *args], stdin=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
@@ -61,39 +61,44 @@
     return process
 
 
-async def _hops(reactor, ports, stack):
+async def _measure_hops(reactor, ports, stack):
     from twisted.internet import task
     urls = [f"http://127.0.0.1:{port}" for port in ports]
-    _start(stack, "standins.engine", "--name", "llm", "--port",
-           str(ports[0]), "--slots", str(SLOTS), "--models", "guide-7b:1")
-    one = _start(stack, "bench.loopback.hop", "--port", str(ports[1]),
-                 "--target", urls[0])
-    two = _start(stack, "bench.loopback.hop", "--port", str(ports[2]),
-                 "--target", urls[1])
-    await task.deferLater(reactor, START_S)
-    await _load(reactor, "relay.one_hop", urls[1], urls[0], [one])
-    await _load(reactor, "relay.two_hops", urls[2], urls[0], [one, two])
-
-
-async def _load(reactor, name, url, engine, hops):
+    _start_process(
+        stack, "standins.engine", "--name", "llm", "--port", str(ports[0]),
+        "--slots", str(SLOTS), "--models", "guide-7b:1")
+    first_hop = _start_process(
+        stack, "bench.loopback.hop", "--port", str(ports[1]), "--target",
+        urls[0])
+    second_hop = _start_process(
+        stack, "bench.loopback.hop", "--port", str(ports[2]), "--target",
+        urls[1])
+    await task.deferLater(reactor, STARTUP_S)
+    await _measure_load(
+        reactor, "relay.one_hop", urls[1], urls[0], [first_hop])
+    await _measure_load(
+        reactor, "relay.two_hops", urls[2], urls[0], [first_hop, second_hop])
+
+
+async def _measure_load(reactor, name, url, engine, hops):
     from bench.loopback import probe
     from bench.loopback import processes
     from twisted.internet import task
     before = sum(map(processes.cpu_s, hops))
-    load = processes.run_load([url], RATE, SECONDS, TOKENS)
+    load = processes.run_load([url], RATE, LOAD_S, TOKENS)
     routed, direct = await probe.compare(reactor, [url], [engine], 100)
     while load.poll() is None:
         await task.deferLater(reactor, 0.1)
     counts = json.loads(load.stdout.read())
-    used = sum(map(processes.cpu_s, hops)) - before
+    cpu_used_s = sum(map(processes.cpu_s, hops)) - before
     processes.emit(f"{name}.failed", counts["failed"], "requests",
                    counts["requests"])
     processes.emit(f"{name}.cpu_per_token_all_in",
-                   used / counts["tokens"] * 1e6, "us", counts["tokens"])
-    for share, label in ((0.5, "p50"), (0.95, "p95")):
-        added = (probe.percentile(routed, share)
-                 - probe.percentile(direct, share))
-        processes.emit(f"{name}.ttft_added_{label}", added * 1000, "ms",
+                   cpu_used_s / counts["tokens"] * 1e6, "us", counts["tokens"])
+    for quantile, label in ((0.5, "p50"), (0.95, "p95")):
+        added_s = (probe.percentile(routed, quantile)
+                   - probe.percentile(direct, quantile))
+        processes.emit(f"{name}.ttft_added_{label}", added_s * 1000, "ms",
                        len(routed))
 
 
