--- a/bench/outage/__init__.py
+++ b/bench/outage/__init__.py
@@ -1,1 +1,1 @@
-"""A long outage of the platform, driven on a virtual clock."""
+"""Outage benchmark: a long outage of the platform on a virtual clock."""
--- a/bench/outage/__main__.py
+++ b/bench/outage/__main__.py
@@ -1,6 +1,6 @@
-"""``python -m bench.outage``: one JSON object a line.
+"""``python -m bench.outage``: prints one JSON object per figure.
 
-Exits with 1 if a figure that must be 0 is not.
+Exits with status 1 if a figure that must be 0 is not 0.
 """
 
 import argparse
@@ -16,25 +16,25 @@
 
 
 def main():
-    """Run what the arguments ask for and print the figures."""
+    """Run the selected plans and print their figures."""
     args = _parse()
     plans = [scenarios.Plan(deployment, variant, args.seed,
                             outage_s=args.outage_s)
              for deployment in args.deployment or loads.DEPLOYMENTS
              for variant in args.variant or scenarios.VARIANTS]
-    broken = False
+    is_violated = False
     with concurrent.futures.ProcessPoolExecutor(args.processes) as pool:
-        for rows, found in pool.map(measure, plans):
+        for rows, violations in pool.map(measure, plans):
             for row in rows:
                 print(json.dumps(row), flush=True)
-            broken = broken or any(found.values())
-    return 1 if broken else 0
+            is_violated = is_violated or any(violations.values())
+    return 1 if is_violated else 0
 
 
 def measure(plan):
-    """Run a plan; return its figures and what must be 0."""
-    done = scenarios.run(plan)
-    return report.figures(done), report.breaches(done)
+    """Run a plan; return its figures and those that must be 0."""
+    run = scenarios.run(plan)
+    return report.figures(run), report.violations(run)
 
 
 def _parse():
--- a/bench/outage/reactor.py
+++ b/bench/outage/reactor.py
@@ -1,4 +1,4 @@
-"""The part of a reactor that the platform client uses, on our clock."""
+"""The subset of a reactor that the platform client uses."""
 
 import dataclasses
 import typing
@@ -10,25 +10,25 @@
 
 @dataclasses.dataclass(slots=True)
 class _Call:
-    """A call that is due, as twisted's ``IDelayedCall``."""
+    """A scheduled call, like twisted's ``IDelayedCall``."""
 
     fn: typing.Callable
     args: tuple
     kwargs: dict
-    waits: bool = True
+    is_pending: bool = True
 
     def active(self):
-        """Tell whether it was neither made nor cancelled."""
-        return self.waits
+        """Tell whether the call was neither run nor cancelled."""
+        return self.is_pending
 
     def cancel(self):
-        """Don't make the call."""
-        self.waits = False
+        """Cancel the call."""
+        self.is_pending = False
 
-    def make(self):
-        """Make the call unless it was cancelled."""
-        if self.waits:
-            self.waits = False
+    def run(self):
+        """Run the call unless it was cancelled."""
+        if self.is_pending:
+            self.is_pending = False
             self.fn(*self.args, **self.kwargs)
 
 
@@ -43,12 +43,12 @@
         return self.clock.now
 
     def callLater(self, delay, fn, *args, **kwargs):
-        """Have a call made after ``delay`` seconds."""
+        """Schedule a call in ``delay`` seconds."""
         call = _Call(fn, args, kwargs)
-        clocks.at(self.clock, delay, call.make)
+        clocks.call_later(self.clock, delay, call.run)
         return call
 
 
 def new_reactor(clock):
-    """Return a reactor of ``clock``."""
+    """Return a reactor that runs on ``clock``."""
     return Reactor(clock)
--- a/bench/outage/replays.py
+++ b/bench/outage/replays.py
@@ -1,58 +1,62 @@
-"""Kept answers, as the runtime gives them to callers who resend."""
+"""Replays of stored answers to callers that resend, as in the runtime."""
 
 from bench.policy import clock as clocks
 from bench.policy import fleet as fleets
 from crocuskeel.core import events
 from crocuskeel.core import messages
 
-__all__ = ["from_peer", "here"]
+__all__ = ["replay_from_peer", "replay_local"]
 
-LOOK_S = 0.05
-# The runtime's bound on a peer that answers nothing.
-PEER_ANSWER_S = 3.0
+POLL_S = 0.05
+# The runtime's time-out for a peer that does not answer.
+PEER_ANSWER_TIMEOUT_S = 3.0
 
 
-def here(world, node, rid, held):
-    """Answer ``rid`` with this host's own answer of ``held``."""
-    _relay(world, node, node, rid, held, None)
+def replay_local(world, node, rid, source_rid):
+    """Answer ``rid`` with this host's stored answer to ``source_rid``."""
+    _relay(world, node, node, rid, source_rid, None)
 
 
-def from_peer(world, node, rid, host, held):
-    """Answer ``rid`` with what ``host`` holds of ``held``."""
+def replay_from_peer(world, node, rid, host, source_rid):
+    """Answer ``rid`` with the answer to ``source_rid`` stored on ``host``."""
     fleet = world.fleet
     peer = fleet.nodes[host]
-    ask = messages.ReplayAsk(held, rid, 0)
+    ask = messages.ReplayAsk(source_rid, rid, 0)
     event = events.Received(
         node.name, node.daemon.me.incarnation, ask,
         0, node.daemon.me.address)
-    clocks.at(fleet.clock, fleets.FAR_S, fleets.deliver, fleet, peer,
-              event)
-    until = fleet.clock.now + PEER_ANSWER_S
-    clocks.at(fleet.clock, fleets.FAR_S * 2, _relay, world, node, peer,
-              rid, held, until)
+    clocks.call_later(
+        fleet.clock, fleets.CROSS_DOMAIN_LATENCY_S, fleets.deliver, fleet,
+        peer, event)
+    deadline = fleet.clock.now + PEER_ANSWER_TIMEOUT_S
+    clocks.call_later(
+        fleet.clock, fleets.CROSS_DOMAIN_LATENCY_S * 2, _relay, world, node,
+        peer, rid, source_rid, deadline)
 
 
-def _relay(world, node, source, rid, held, until):
+def _relay(world, node, source, rid, source_rid, deadline):
     if rid not in node.daemon.door.relays:
-        # The held request failed and its watchers were told.
+        # The source request failed and its watchers were notified.
         return
-    end = _end_of(world, source, held, until)
+    end = _replay_end(world, source, source_rid, deadline)
     if end is None:
-        clocks.at(world.fleet.clock, LOOK_S, _relay, world, node, source,
-                  rid, held, until)
+        clocks.call_later(
+            world.fleet.clock, POLL_S, _relay, world, node, source, rid,
+            source_rid, deadline)
         return
-    clocks.at(world.fleet.clock, 0.0, fleets.deliver, world.fleet, node,
-              events.AttemptClosed(rid, 0, end))
+    clocks.call_later(
+        world.fleet.clock, 0.0, fleets.deliver, world.fleet, node,
+        events.AttemptClosed(rid, 0, end))
 
 
-def _end_of(world, source, held, until):
-    if until is not None and world.fleet.clock.now >= until:
+def _replay_end(world, source, source_rid, deadline):
+    if deadline is not None and world.fleet.clock.now >= deadline:
         return events.AttemptEnd.GONE
-    if source.held is not None or not source.up:
-        return None if until is not None else events.AttemptEnd.GONE
-    if held in source.daemon.door.requests:
+    if source.held_events is not None or not source.up:
+        return None if deadline is not None else events.AttemptEnd.GONE
+    if source_rid in source.daemon.door.requests:
         return None
-    kept = source.daemon.door.kept.get(held)
-    if kept is not None and kept.done:
+    replay = source.daemon.door.kept.get(source_rid)
+    if replay is not None and replay.done:
         return events.AttemptEnd.DONE
     return events.AttemptEnd.GONE
--- a/bench/outage/world.py
+++ b/bench/outage/world.py
@@ -1,7 +1,7 @@
-"""The fleet, its platform clients and callers, and what is done to them.
+"""The simulated fleet, its platform clients and callers, and its faults.
 
 Each host's calls go through the real platform client and the runtime's
-own translation of its results.
+handlers, which translate the results into events.
 """
 
 import collections
@@ -27,27 +27,29 @@
 from crocuskeel import objectapi
 from crocuskeel.runtime import platform_calls
 
-__all__ = ["World", "commit", "kill", "new_world", "restart",
-           "watch_hosts"]
+__all__ = ["World", "commit", "kill_host", "new_world", "restart_host",
+           "sample_generations"]
 
 SAMPLE_S = 0.25
-LISTED_S = 6.0
-PEER_UP_S = 0.1
-_PLATFORM = platform_calls.handlers()
-_NOT_ENTRY = {"engine": "engine", "plain": "service"}
+LIST_EXPIRY_S = 6.0
+PEER_UP_DELAY_S = 0.1
+_PLATFORM_HANDLERS = platform_calls.handlers()
+_BACKEND_ROLES = {"engine": "engine", "plain": "service"}
 
 
 @dataclasses.dataclass(slots=True)
 class World:
-    """``contexts`` are what the runtime's platform calls need, by host.
-
-    ``shown`` is the greatest generation that a host had in force, over
-    its restarts; ``backward`` counts samples below it. ``booked_at``
-    holds the times of first runs of bookings by ledger slot, from
-    ``since`` on. ``cut_share`` is the share of sendings of
-    non-repeatable requests that lose their connection. ``ready_s``
-    lists how long restarted hosts took to be ready. The others belong
-    to :mod:`bench.outage.pauses`.
+    """The state of a simulation.
+
+    ``contexts`` holds by host what the runtime's platform calls need.
+    ``max_generation`` is the greatest generation that a host had in
+    force, across its restarts; ``generation_regressions`` counts samples
+    below it. ``first_run_at`` maps a ledger slot to the time of its first
+    run of a non-repeatable request from ``recovery_from`` on.
+    ``disconnect_share`` is the share of sendings of non-repeatable
+    requests that lose their connection. ``restart_ready_s`` lists how
+    long restarted hosts took to be ready. The other fields belong to
+    :mod:`bench.outage.pauses`.
     """
 
     fleet: fleets.Fleet
@@ -57,36 +59,36 @@
     tree: typing.Any = None
     head: typing.Any = None
     contexts: dict = dataclasses.field(default_factory=dict)
-    shown: dict = dataclasses.field(default_factory=dict)
-    backward: int = 0
-    since: float = 0.0
-    booked_at: dict = dataclasses.field(default_factory=dict)
-    cut_share: float = 0.0
-    ready_s: list = dataclasses.field(default_factory=list)
-    sleeper: str = ""
-    sleep_s: float = 0.0
-    slept: int = 0
-    postponed: dict = dataclasses.field(default_factory=dict)
+    max_generation: dict = dataclasses.field(default_factory=dict)
+    generation_regressions: int = 0
+    recovery_from: float = 0.0
+    first_run_at: dict = dataclasses.field(default_factory=dict)
+    disconnect_share: float = 0.0
+    restart_ready_s: list = dataclasses.field(default_factory=list)
+    pause_host: str = ""
+    pause_s: float = 0.0
+    pause_count: int = 0
+    postponed_effects: dict = dataclasses.field(default_factory=dict)
 
 
 def new_world(deployment, clock, servers, seed):
-    """Return a fleet that starts at 0 and reads all it has to know."""
+    """Return a fleet that starts at 0 and reads its state from the store."""
     rng = random.Random(f"outage/{deployment.name}/{seed}")
     fleet = fleets.new_fleet(
         deployment, clock, rng, servers, None, seed)
     store = stores.new_store(
-        clock, random.Random(f"store/{seed}"), lambda: _listed(fleet))
+        clock, random.Random(f"store/{seed}"), lambda: _host_list(fleet))
     world = World(fleet, store, rng, seed)
     world.tree = conf.empty_tree()
     commit(world, conf.document_edits(
         world.tree, conf.to_document(deployment.tree)))
     fleet.intercept = lambda node, effect: _intercept(world, node, effect)
     for node in fleet.nodes.values():
-        _boot(world, node, node.daemon.me)
+        _start_daemon(world, node, node.daemon.me)
     return world
 
 
-def _boot(world, node, identity):
+def _start_daemon(world, node, identity):
     clock = world.fleet.clock
     node.daemon = factory.new_daemon(
         identity, seed=world.seed,
@@ -99,135 +101,138 @@
     world.contexts[node.name] = types.SimpleNamespace(
         daemon=node.daemon, platform=client, reactor=reactor,
         queue=collections.deque(), reducing=False,
-        reduce=lambda _daemon, event, _now: _soon(world, node, event))
+        reduce=lambda _daemon, event, _now: _deliver_later(world, node, event))
 
 
-def _soon(world, node, event):
-    # An answer that is there at once waits for the running event's
-    # effects, as in the runtime.
-    clocks.at(world.fleet.clock, 0.0, fleets.deliver, world.fleet, node,
-              event)
+def _deliver_later(world, node, event):
+    # An immediate answer is delivered after the effects of the current
+    # event, as in the runtime.
+    clocks.call_later(
+        world.fleet.clock, 0.0, fleets.deliver, world.fleet, node, event)
     return ()
 
 
-def _listed(fleet):
-    hosts = [_entry(node) for node in fleet.nodes.values()
-             if node.up or fleet.clock.now - node.died_at < LISTED_S]
+def _host_list(fleet):
+    hosts = [_entry_record(node) for node in fleet.nodes.values()
+             if node.up or fleet.clock.now - node.died_at < LIST_EXPIRY_S]
     for server in fleet.servers.values():
         hosts.append({
             "name": server.name, "address": server.name, "port": 80,
             "domain": server.domain, "region": "region",
-            "role": _NOT_ENTRY[server.kind], "service": server.service})
-    return {"at": fleet.list_at, "hosts": hosts}
+            "role": _BACKEND_ROLES[server.kind], "service": server.service})
+    return {"at": fleet.host_list_version, "hosts": hosts}
 
 
-def _entry(node):
+def _entry_record(node):
     me = node.daemon.me
     return {"name": me.host, "address": me.address, "port": me.peer_port,
             "domain": me.domain, "region": me.region, "role": "entry"}
 
 
 def _intercept(world, node, effect):
-    if pauses.holds(world, node, effect):
+    if pauses.postpone(world, node, effect):
         return True
     match effect:
         case (effects.StoreGet() | effects.StorePut()
               | effects.StoreWatch() | effects.WantHostList()):
-            _PLATFORM[type(effect)](world.contexts[node.name], effect)
+            _PLATFORM_HANDLERS[type(effect)](world.contexts[node.name], effect)
         case effects.Answer(rid=rid, problem=problem):
-            callers.answered(world, rid, problem)
+            callers.handle_error(world, rid, problem)
         case effects.Record(kind="answered", rid=rid, fields=fields):
-            callers.finished(world, rid, dict(fields))
+            callers.handle_result(world, rid, dict(fields))
         case effects.Replay(rid=rid, held=held):
-            replays.here(world, node, rid, held)
+            replays.replay_local(world, node, rid, held)
         case effects.ReplayFrom(rid=rid, host=host, held=held):
-            replays.from_peer(world, node, rid, host, held)
+            replays.replay_from_peer(world, node, rid, host, held)
         case effects.OpenAttempt(rid=rid):
-            _note_booking(world, node, rid)
+            _record_first_run(world, node, rid)
             return False
         case _:
             return False
     return True
 
 
-def _note_booking(world, node, rid):
+def _record_first_run(world, node, rid):
     req = node.daemon.door.requests.get(rid)
     now = world.fleet.clock.now
-    if req is None or req.repeatable or now < world.since:
+    if req is None or req.repeatable or now < world.recovery_from:
         return
     slot = ending.claim_slot(node.daemon, ending.claim_key(req))
-    world.booked_at.setdefault(slot, now)
+    world.first_run_at.setdefault(slot, now)
 
 
 # Settings.
 
 def commit(world, edits):
-    """Accept a batch, as an operator's command would."""
+    """Commit a batch, as an operator's command would."""
     batch = conf.new_batch(
         "op", 0.0, world.tree.generation, edits)
-    made = storage.prepare(world.tree, world.head, batch).unwrap()
-    for part in made.parts:
+    change = storage.prepare(world.tree, world.head, batch).unwrap()
+    for part in change.parts:
         stores.put(world.store, storage.part_key(part.digest), part.blob,
                    0)
     version = world.store.objects.get(storage.HEAD_KEY, (0, b""))[0]
     stores.put(world.store, storage.HEAD_KEY,
-               storage.encode_head(made.head), version)
-    world.tree, world.head = made.tree, made.head
+               storage.encode_head(change.head), version)
+    world.tree, world.head = change.tree, change.head
 
 
-def watch_hosts(world):
-    """Sample each host's generation from now on."""
-    clocks.at(world.fleet.clock, SAMPLE_S, watch_hosts, world)
+def sample_generations(world):
+    """Sample each host's settings generation from now on."""
+    clocks.call_later(world.fleet.clock, SAMPLE_S, sample_generations, world)
     for node in world.fleet.nodes.values():
         number = follower.generation(node.daemon)
         if node.up and number:
-            shown = world.shown.get(node.name, 0)
-            world.backward += number < shown
-            world.shown[node.name] = max(number, shown)
+            max_generation = world.max_generation.get(node.name, 0)
+            world.generation_regressions += number < max_generation
+            world.max_generation[node.name] = max(number, max_generation)
 
 
-# Deaths.
+# Crashes and restarts.
 
-def kill(world, host):
-    """A host dies with all it holds."""
+def kill_host(world, host):
+    """Kill a host; all its state is lost."""
     fleet = world.fleet
     node = fleet.nodes[host]
     node.up = False
     node.died_at = fleet.clock.now
-    _cut_streams(fleet, host)
-    callers.lost_host(world, host)
+    _cancel_streams(fleet, host)
+    callers.reconnect_callers(world, host)
     for other in fleet.nodes.values():
-        clocks.at(fleet.clock, fleets.PEER_DOWN_S, fleets.deliver, fleet,
-                  other, events.PeerDown(host))
+        clocks.call_later(
+            fleet.clock, fleets.PEER_DOWN_S, fleets.deliver, fleet, other,
+            events.PeerDown(host))
 
 
-def _cut_streams(fleet, host):
+def _cancel_streams(fleet, host):
     for server in fleet.servers.values():
         for job in [*server.running.values(), *server.waiting.values()]:
             if job.host == host and job.call.policy.repeatable:
                 fleets.engines.cancel(server, job.rid, job.attempt)
 
 
-def restart(world, host):
-    """The host comes back knowing nothing but its seeds."""
+def restart_host(world, host):
+    """Restart a host without any state but its seeds."""
     fleet = world.fleet
     old = fleet.nodes[host].daemon.me
     me = dataclasses.replace(old, incarnation=old.incarnation + 1)
     node = fleets.Node(host, old.domain, None)
-    _boot(world, node, me)
+    _start_daemon(world, node, me)
     fleet.nodes[host] = node
     fleets.deliver(fleet, node, events.Started())
     for other in fleet.nodes.values():
         if other is not node:
-            clocks.at(fleet.clock, PEER_UP_S, pauses.connect, fleet, node,
-                      other)
-    _until_ready(world, node, fleet.clock.now)
+            clocks.call_later(
+                fleet.clock, PEER_UP_DELAY_S, pauses.connect, fleet, node,
+                other)
+    _poll_ready(world, node, fleet.clock.now)
 
 
-def _until_ready(world, node, since):
+def _poll_ready(world, node, started_at):
     now = world.fleet.clock.now
     if follower.ready(node.daemon, now) and node.daemon.backends.known:
-        world.ready_s.append(now - since)
+        world.restart_ready_s.append(now - started_at)
     else:
-        clocks.at(world.fleet.clock, PEER_UP_S, _until_ready, world, node,
-                  since)
+        clocks.call_later(
+            world.fleet.clock, PEER_UP_DELAY_S, _poll_ready, world, node,
+            started_at)
--- a/bench/policy/__init__.py
+++ b/bench/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded scenarios for the policy: the real reducers, fake engines."""
+"""Policy benchmark: seeded scenarios, real reducers and fake engines."""
--- a/bench/policy/__main__.py
+++ b/bench/policy/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.policy``: one JSON object a line, a run each."""
+"""``python -m bench.policy``: prints one JSON object per run."""
 
 import argparse
 import concurrent.futures
@@ -12,7 +12,7 @@
 
 
 def main():
-    """Run what the arguments ask for and print the figures."""
+    """Run the selected scenarios and print their figures."""
     args = _parse()
     runs = [(deployment, scenario, policy, args.seed)
             for deployment in args.deployment or load.DEPLOYMENTS
--- a/bench/policy/baselines.py
+++ b/bench/policy/baselines.py
@@ -1,7 +1,7 @@
-"""Policies to compare with: ``fifo``, ``priority`` and ``oracle``.
+"""Baseline policies: ``fifo``, ``priority`` and ``oracle``.
 
-Each is an order of the waiting calls and a choice of a server, over the
-same fake servers. Retries are made where they are safe.
+Each consists of an order of the waiting calls and a choice of server,
+over the same fake servers. Calls are retried only where that is safe.
 """
 
 import dataclasses
@@ -11,23 +11,25 @@
 from bench.policy import engine as engines
 from bench.policy import tally as tallies
 
-__all__ = ["Front", "arrive", "kill", "new_front", "silence"]
+__all__ = ["BaselineFleet", "arrive", "kill_host", "new_fleet",
+           "silence_connections"]
 
-HOP_S = 0.002
-REPORT_S = 0.5
-MAX_TRIES = 4
-PAUSE_S = 1.0
+HOP_LATENCY_S = 0.002
+REPORT_INTERVAL_S = 0.5
+MAX_ATTEMPTS = 4
+BACKOFF_S = 1.0
 RECONNECT_S = 0.3
-SILENCE_S = 2.0
-LOCATE_S = 5.0
+IDLE_TIMEOUT_S = 2.0
+LOCATE_LAG_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
-class Front:
-    """All hosts of a policy; ``queues`` maps a host to waiting calls.
+class BaselineFleet:
+    """All hosts of a policy; ``queues`` maps a host to its waiting calls.
 
-    ``order(call)`` sorts what waits; ``pick(host, call)`` names a
-    server or None. ``reports`` is the load as the hosts know it.
+    ``order(call)`` is the sort key of waiting calls; ``pick(host, call)``
+    returns a server or None. ``reports`` is the load that the hosts last
+    learned; ``sent_since_report`` counts the calls sent after that.
     """
 
     policy: str
@@ -40,260 +42,269 @@
     reports: dict[str, int]
     order: typing.Callable = None
     pick: typing.Callable = None
-    sent: dict = dataclasses.field(default_factory=dict)
-    off: dict = dataclasses.field(default_factory=dict)
-    dead: dict = dataclasses.field(default_factory=dict)
-    turn: int = 0
+    sent_since_report: dict = dataclasses.field(default_factory=dict)
+    backoff_until: dict = dataclasses.field(default_factory=dict)
+    died_at: dict = dataclasses.field(default_factory=dict)
+    next_host: int = 0
 
 
-def new_front(policy, deployment, clock, rng, servers, tally):
-    """Return the hosts of a policy, ready for calls."""
+def new_fleet(policy, deployment, clock, rng, servers, tally):
+    """Return the hosts of a policy, ready to accept calls."""
     hosts = [f"entry-{n}" for n in range(deployment.hosts)]
-    front = Front(policy, clock, rng, hosts, servers, tally,
-                  {host: [] for host in hosts}, {})
-    makers = {"fifo": _fifo, "priority": _priority, "oracle": _oracle}
-    front.order, front.pick = makers[policy](front)
+    fleet = BaselineFleet(policy, clock, rng, hosts, servers, tally,
+                          {host: [] for host in hosts}, {})
+    policies = {"fifo": _fifo, "priority": _priority, "oracle": _oracle}
+    fleet.order, fleet.pick = policies[policy](fleet)
     if policy == "oracle":
-        front.queues = dict.fromkeys(hosts, front.queues[hosts[0]])
-    clocks.at(clock, 0.0, _reports, front)
-    return front
+        fleet.queues = dict.fromkeys(hosts, fleet.queues[hosts[0]])
+    clocks.call_later(clock, 0.0, _collect_reports, fleet)
+    return fleet
 
 
-def _reports(front):
-    clocks.at(front.clock, REPORT_S, _reports, front)
-    seen = {name: len(server.running) + len(server.waiting)
-            for name, server in front.servers.items()}
-    clocks.at(front.clock, REPORT_S, _reported, front, seen)
+def _collect_reports(fleet):
+    clocks.call_later(fleet.clock, REPORT_INTERVAL_S, _collect_reports, fleet)
+    loads = {name: len(server.running) + len(server.waiting)
+             for name, server in fleet.servers.items()}
+    clocks.call_later(
+        fleet.clock, REPORT_INTERVAL_S, _apply_reports, fleet, loads)
 
 
-def _reported(front, seen):
-    front.reports.update(seen)
-    front.sent.clear()
-    for host in front.hosts:
-        _pump(front, host)
+def _apply_reports(fleet, loads):
+    fleet.reports.update(loads)
+    fleet.sent_since_report.clear()
+    for host in fleet.hosts:
+        _dispatch(fleet, host)
 
 
 # Policies.
 
-def _open_servers(front, host, call):
-    now = front.clock.now
-    return [server for server in front.servers.values()
+def _available_servers(fleet, host, call):
+    now = fleet.clock.now
+    return [server for server in fleet.servers.values()
             if server.service == call.policy.service
             and not server.leaving
-            and front.off.get((host, server.name), 0.0) <= now]
+            and fleet.backoff_until.get((host, server.name), 0.0) <= now]
 
 
-def _fifo(front):
+def _fifo(fleet):
     def pick(host, call):
-        names = _open_servers(front, host, call)
-        return front.rng.choice(names) if names else None
+        candidates = _available_servers(fleet, host, call)
+        return fleet.rng.choice(candidates) if candidates else None
 
-    return (lambda call: call.at), pick
+    return (lambda call: call.arrived_at), pick
 
 
-def _priority(front):
+def _priority(fleet):
     def load_of(host, server):
-        return (front.reports.get(server.name, 0)
-                + front.sent.get((host, server.name), 0))
+        return (fleet.reports.get(server.name, 0)
+                + fleet.sent_since_report.get((host, server.name), 0))
 
     def pick(host, call):
-        names = [server for server in _open_servers(front, host, call)
-                 if load_of(host, server) < server.slots]
-        return min(names, key=lambda s: (load_of(host, s),
-                                         front.rng.random()), default=None)
+        candidates = [server
+                      for server in _available_servers(fleet, host, call)
+                      if load_of(host, server) < server.slots]
+        return min(
+            candidates, key=lambda s: (load_of(host, s), fleet.rng.random()),
+            default=None)
 
-    return (lambda call: (call.policy.tier, call.at)), pick
+    return (lambda call: (call.policy.tier, call.arrived_at)), pick
 
 
-def _oracle(front):
-    """One queue, true state: strict tiers, who can be in time first."""
+def _oracle(fleet):
+    """One queue and exact state: strict tiers, calls still on time first."""
     def order(call):
-        late = front.clock.now > call.at + call.policy.target_ttft_s
+        late = fleet.clock.now > call.arrived_at + call.policy.target_ttft_s
         return (call.policy.tier, late, call.length)
 
     def pick(host, call):
-        names = [server for server in _open_servers(front, host, call)
-                 if server.up and not server.waiting
-                 and len(server.running) < _best_slots(server)]
-        return min(names, key=lambda s: (
-            s.slow * (1 + len(s.running) / s.slots), s.name), default=None)
+        candidates = [server
+                      for server in _available_servers(fleet, host, call)
+                      if server.up and not server.waiting
+                      and len(server.running) < _best_slots(server)]
+        return min(candidates, key=lambda s: (
+            s.time_factor * (1 + len(s.running) / s.slots), s.name),
+            default=None)
 
     return order, pick
 
 
 def _best_slots(server):
-    # More calls than that only share what a plain service can do.
+    # Above its knee a plain service gains no throughput.
     plain = server.kind == "plain"
     return engines.PLAIN_KNEE if plain else server.slots
 
 
-# The path of a call.
+# The life cycle of a call.
 
-def arrive(front, call):
-    """Let a call come to the next host."""
-    names = [host for host in front.hosts
-             if host not in front.dead
-             or front.clock.now - front.dead[host] < LOCATE_S]
-    front.turn += 1
-    host = names[front.turn % len(names)]
-    if host in front.dead:
-        clocks.at(front.clock, RECONNECT_S, arrive, front, call)
+def arrive(fleet, call):
+    """Send a call to the next host."""
+    candidates = [host for host in fleet.hosts
+                  if host not in fleet.died_at
+                  or fleet.clock.now - fleet.died_at[host] < LOCATE_LAG_S]
+    fleet.next_host += 1
+    host = candidates[fleet.next_host % len(candidates)]
+    if host in fleet.died_at:
+        clocks.call_later(fleet.clock, RECONNECT_S, arrive, fleet, call)
         return
     call.tries += 1
     call.rid = f"{host}.{call.id}.{call.tries}"
-    call.extra = host
-    left = call.at + call.policy.deadline_s - front.clock.now
-    clocks.at(front.clock, left, _deadline, front, call, call.rid)
-    _wait(front, host, call)
-    _pump(front, host)
+    call.driver_data = host
+    remaining_s = call.arrived_at + call.policy.deadline_s - fleet.clock.now
+    clocks.call_later(fleet.clock, remaining_s, _expire, fleet, call, call.rid)
+    _enqueue(fleet, host, call)
+    _dispatch(fleet, host)
 
 
-def _wait(front, host, call):
-    front.queues[host].append(call)
-    tallies.enqueued(front.tally, _cell(call), call.policy.name, call.rid,
-                     front.clock.now)
+def _enqueue(fleet, host, call):
+    fleet.queues[host].append(call)
+    tallies.record_enqueue(
+        fleet.tally, _cell(call), call.policy.name, call.rid, fleet.clock.now)
 
 
 def _cell(call):
     return call.policy.service + "/0"
 
 
-def _pump(front, host):
-    queue = front.queues[host]
-    stuck = set()
-    for call in sorted(queue, key=front.order):
-        # What fits no server holds up the calls behind it.
-        if call.policy.service in stuck:
+def _dispatch(fleet, host):
+    queue = fleet.queues[host]
+    blocked_services = set()
+    for call in sorted(queue, key=fleet.order):
+        # A call that no server can take blocks the later calls of its
+        # service.
+        if call.policy.service in blocked_services:
             continue
-        if front.policy == "oracle" and _is_useless(front, call):
+        if fleet.policy == "oracle" and _cannot_finish_in_time(fleet, call):
             queue.remove(call)
-            _refuse(front, call, "hopeless")
+            _refuse(fleet, call, "hopeless")
             continue
-        server = front.pick(host, call)
+        server = fleet.pick(host, call)
         if server is None:
-            stuck.add(call.policy.service)
+            blocked_services.add(call.policy.service)
             continue
         queue.remove(call)
-        _send(front, call, server)
+        _send(fleet, call, server)
 
 
-def _is_useless(front, call):
-    """Tell from the true length whether the answer comes too late."""
+def _cannot_finish_in_time(fleet, call):
+    """Tell from the true length whether the answer would be too late."""
     policy = call.policy
-    step = engines.TOKEN_S * 1.4 if policy.kind == "engine" else 1.0
-    end = front.clock.now + call.length * step
-    return policy.late == "drop" and end > call.at + policy.deadline_s
-
-
-def _send(front, call, server):
-    now = front.clock.now
-    host = call.extra
-    tallies.granted(front.tally, _cell(call), call.policy.name, call.rid,
-                    now)
-    call.waited_s = call.waited_s or now - call.at
-    attempt = len(call.sources) + 1
+    step_s = engines.TOKEN_STEP_S * 1.4 if policy.kind == "engine" else 1.0
+    end = fleet.clock.now + call.length * step_s
+    return policy.late == "drop" and end > call.arrived_at + policy.deadline_s
+
+
+def _send(fleet, call, server):
+    now = fleet.clock.now
+    host = call.driver_data
+    tallies.record_grant(fleet.tally, _cell(call), call.policy.name, call.rid,
+                         now)
+    call.waited_s = call.waited_s or now - call.arrived_at
+    attempt = len(call.jobs) + 1
     key = (host, server.name)
-    front.sent[key] = front.sent.get(key, 0) + 1
+    fleet.sent_since_report[key] = fleet.sent_since_report.get(key, 0) + 1
 
-    def tell(kind, job):
+    def notify(kind, job):
         if not job.silent:
-            clocks.at(front.clock, HOP_S, _heard, front, host, kind, job,
-                      job.tokens, server)
+            clocks.call_later(
+                fleet.clock, HOP_LATENCY_S, _handle_report, fleet, host, kind,
+                job, job.tokens, server)
 
-    tier = call.policy.tier if front.policy != "fifo" else 0
-    job = engines.Job(call, call.rid, attempt, host, tier, tell, now)
-    call.sources[(call.rid, attempt)] = job
+    tier = call.policy.tier if fleet.policy != "fifo" else 0
+    job = engines.Job(call, call.rid, attempt, host, tier, notify, now)
+    call.jobs[(call.rid, attempt)] = job
     engines.submit(server, job)
 
 
-def _heard(front, host, kind, job, tokens, server):
+def _handle_report(fleet, host, kind, job, tokens, server):
     call = job.call
     job.forwarded = max(job.forwarded, tokens)
-    if call.over or call.rid != job.rid or host in front.dead:
+    if call.is_finished or call.rid != job.rid or host in fleet.died_at:
         return
     if kind == "first":
-        call.first_at = call.first_at or front.clock.now
+        call.first_at = call.first_at or fleet.clock.now
     elif kind == "done":
-        call.done_at = front.clock.now
+        call.done_at = fleet.clock.now
         call.tokens = tokens
         if tokens > 1:
-            call.itl_s = (front.clock.now - job.first_at) / (tokens - 1)
+            call.itl_s = (fleet.clock.now - job.first_at) / (tokens - 1)
     elif kind != "progress":
-        _failed(front, host, kind, job, server)
+        _handle_failure(fleet, host, kind, job, server)
     if kind not in ("first", "progress"):
-        for other in front.hosts:
-            if front.queues[other]:
-                _pump(front, other)
-            if front.policy == "oracle":
+        for other in fleet.hosts:
+            if fleet.queues[other]:
+                _dispatch(fleet, other)
+            if fleet.policy == "oracle":
                 return
 
 
-def _failed(front, host, kind, job, server):
+def _handle_failure(fleet, host, kind, job, server):
     call = job.call
-    front.off[(host, server.name)] = front.clock.now + PAUSE_S
-    clocks.at(front.clock, PAUSE_S, _pump, front, host)
-    safe = kind in ("busy", "refused") or (
+    fleet.backoff_until[(host, server.name)] = fleet.clock.now + BACKOFF_S
+    clocks.call_later(fleet.clock, BACKOFF_S, _dispatch, fleet, host)
+    is_safe = kind in ("busy", "refused") or (
         call.policy.repeatable and not job.forwarded)
-    if safe and len(call.sources) < MAX_TRIES:
-        _wait(front, host, call)
+    if is_safe and len(call.jobs) < MAX_ATTEMPTS:
+        _enqueue(fleet, host, call)
     elif call.poison and call.tries < 6:
-        clocks.at(front.clock, RECONNECT_S, arrive, front, call)
+        clocks.call_later(fleet.clock, RECONNECT_S, arrive, fleet, call)
     else:
-        _refuse(front, call, "backend_lost")
+        _refuse(fleet, call, "backend_lost")
 
 
-def _refuse(front, call, reason):
-    call.refused_at = front.clock.now
-    call.waited_s = max(call.waited_s, call.refused_at - call.at)
+def _refuse(fleet, call, reason):
+    call.refused_at = fleet.clock.now
+    call.waited_s = max(call.waited_s, call.refused_at - call.arrived_at)
     call.reason = reason
-    tallies.left(front.tally, _cell(call), call.policy.name, call.rid)
+    tallies.record_leave(fleet.tally, _cell(call), call.policy.name, call.rid)
     if reason == "deadline":
-        tallies.refused(front.tally, _cell(call), call.policy.name)
+        tallies.record_refusal(fleet.tally, _cell(call), call.policy.name)
 
 
-def _deadline(front, call, rid):
-    if call.over or call.rid != rid:
+def _expire(fleet, call, rid):
+    if call.is_finished or call.rid != rid:
         return
-    queue = front.queues[call.extra]
+    queue = fleet.queues[call.driver_data]
     if call in queue:
         queue.remove(call)
-        _refuse(front, call, "deadline")
+        _refuse(fleet, call, "deadline")
     elif call.policy.late == "drop" and not call.first_at:
-        for job in call.sources.values():
-            for server in front.servers.values():
+        for job in call.jobs.values():
+            for server in fleet.servers.values():
                 engines.cancel(server, job.rid, job.attempt)
-        _refuse(front, call, "deadline")
+        _refuse(fleet, call, "deadline")
 
 
-def kill(front, host, calls):
-    """A host dies; its callers go to others."""
-    front.dead[host] = front.clock.now
-    for server in front.servers.values():
+def kill_host(fleet, host, calls):
+    """Kill a host; its callers reconnect to others."""
+    fleet.died_at[host] = fleet.clock.now
+    for server in fleet.servers.values():
         for job in [*server.running.values(), *server.waiting.values()]:
             if job.host == host and job.call.policy.repeatable:
                 engines.cancel(server, job.rid, job.attempt)
     for call in calls:
-        if call.extra == host and call.rid and not call.over:
-            _lose(front, host, call)
+        if call.driver_data == host and call.rid and not call.is_finished:
+            _reconnect(fleet, host, call)
 
 
-def _lose(front, host, call):
-    queue = front.queues[host]
+def _reconnect(fleet, host, call):
+    queue = fleet.queues[host]
     if call in queue:
         queue.remove(call)
-        tallies.left(front.tally, _cell(call), call.policy.name, call.rid)
+        tallies.record_leave(
+            fleet.tally, _cell(call), call.policy.name, call.rid)
     call.rid = ""
     if call.policy.repeatable or not call.starts:
-        clocks.at(front.clock, RECONNECT_S, arrive, front, call)
+        clocks.call_later(fleet.clock, RECONNECT_S, arrive, fleet, call)
     else:
-        # Without a ledger nobody can tell whether it ran.
-        _refuse(front, call, "backend_lost")
+        # Without a ledger it is unknown whether the call ran.
+        _refuse(fleet, call, "backend_lost")
 
 
-def silence(front, host, server):
-    """All open connections of a host to a server go silent for good."""
+def silence_connections(fleet, host, server):
+    """Silence all open connections of a host to a server for good."""
     for job in [*server.running.values(), *server.waiting.values()]:
         if job.host == host:
             job.silent = True
-            clocks.at(front.clock, SILENCE_S, _heard, front, host,
-                      "silent", job, job.forwarded, server)
+            clocks.call_later(
+                fleet.clock, IDLE_TIMEOUT_S, _handle_report, fleet, host,
+                "silent", job, job.forwarded, server)
--- a/bench/policy/clock.py
+++ b/bench/policy/clock.py
@@ -1,17 +1,17 @@
-"""A virtual clock: calls at times, run in order."""
+"""A virtual clock that runs scheduled calls in order of time."""
 
 import dataclasses
 import heapq
 
-__all__ = ["Clock", "at", "new_clock", "run"]
+__all__ = ["Clock", "call_later", "new_clock", "run"]
 
 
 @dataclasses.dataclass(slots=True)
 class Clock:
-    """``now`` in seconds; ``heap`` holds (time, order, call, args)."""
+    """``now`` in seconds; ``heap`` holds (time, sequence, call, args)."""
 
     now: float = 0.0
-    order: int = 0
+    sequence: int = 0
     heap: list = dataclasses.field(default_factory=list)
 
 
@@ -20,18 +20,18 @@
     return Clock()
 
 
-def at(clock, after_s, call, *args):
-    """Have ``call(*args)`` made after a span."""
-    clock.order += 1
+def call_later(clock, after_s, call, *args):
+    """Schedule ``call(*args)`` in ``after_s`` seconds."""
+    clock.sequence += 1
     due = clock.now + max(0.0, after_s)
-    heapq.heappush(clock.heap, (due, clock.order, call, args))
+    heapq.heappush(clock.heap, (due, clock.sequence, call, args))
 
 
-def run(clock, until, is_over):
-    """Make the calls due up to ``until``, or until ``is_over()``."""
+def run(clock, until, is_done):
+    """Run the calls due up to ``until``, or until ``is_done()``."""
     while clock.heap and clock.heap[0][0] <= until:
-        due, _order, call, args = heapq.heappop(clock.heap)
+        due, _sequence, call, args = heapq.heappop(clock.heap)
         clock.now = due
         call(*args)
-        if is_over():
+        if is_done():
             return
--- a/bench/policy/engine.py
+++ b/bench/policy/engine.py
@@ -1,8 +1,9 @@
 """Fake backend servers: batching engines and plain services.
 
-An engine makes one token a step for each running answer; a step takes
-longer above a knee of the batch and by the prompts it takes in. A plain
-service takes a hidden time a call, longer above its knee.
+An engine generates one token per step for each running answer; a step
+takes longer for batches above a knee and for each prompt that it
+prefills. A plain service takes a time per call that the policy does not
+know, longer above its own knee.
 """
 
 import collections
@@ -11,32 +12,32 @@
 
 from bench.policy import clock as clocks
 
-__all__ = ["Engine", "Job", "cancel", "crash", "find", "new_engine",
+__all__ = ["Engine", "Job", "cancel", "crash", "find_job", "new_engine",
            "submit"]
 
-KNEE = 5
-SLOPE = 0.12
-TOKEN_S = 0.025
-PREFILL_S = 0.0002
-HIT_SHARE = 0.2
-PREFIXES = 24
+BATCH_KNEE = 5
+BATCH_SLOPE = 0.12
+TOKEN_STEP_S = 0.025
+PREFILL_S_PER_TOKEN = 0.0002
+PREFIX_HIT_COST_SHARE = 0.2
+MAX_CACHED_PREFIXES = 24
 MAX_QUEUE = 32
 PLAIN_KNEE = 3
 POISON_TOKENS = 3
 PROGRESS_TOKENS = 8
-KEPT_JOBS = 512
+MAX_FINISHED_JOBS = 512
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One attempt on a server; ``tell(kind, job)`` reports of it."""
+    """One attempt on a server; ``notify(kind, job)`` reports on it."""
 
     call: typing.Any
     rid: str
     attempt: int
     host: str
     tier: int
-    tell: typing.Callable
+    notify: typing.Callable
     sent_at: float
     tokens: int = 0
     prefill: float = 0.0
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """One server; ``slow`` multiplies its times."""
+    """One server; ``time_factor`` multiplies its processing times."""
 
     name: str
     service: str
@@ -56,22 +57,22 @@
     kind: str
     slots: int
     clock: clocks.Clock
-    slow: float = 1.0
+    time_factor: float = 1.0
     up: bool = True
     boot: int = 1
     leaving: bool = False
     stepping: bool = False
-    order: int = 0
+    next_order: int = 0
     running: dict = dataclasses.field(default_factory=dict)
     waiting: dict = dataclasses.field(default_factory=dict)
-    kept: collections.OrderedDict = dataclasses.field(
+    finished: collections.OrderedDict = dataclasses.field(
         default_factory=collections.OrderedDict)
     prefixes: collections.OrderedDict = dataclasses.field(
         default_factory=collections.OrderedDict)
-    made: int = 0
+    work_done: int = 0
     crashes: int = 0
-    stored: list = dataclasses.field(default_factory=list)
-    removed: list = dataclasses.field(default_factory=list)
+    new_prefixes: list = dataclasses.field(default_factory=list)
+    evicted_prefixes: list = dataclasses.field(default_factory=list)
 
 
 def new_engine(name, service, domain, kind, slots, clock):
@@ -80,30 +81,30 @@
 
 
 def submit(engine, job):
-    """Start an attempt or let it wait; reports through ``job.tell``."""
+    """Start or queue an attempt; it reports through ``job.notify``."""
     if not engine.up:
-        job.tell("refused", job)
+        job.notify("refused", job)
     elif len(engine.waiting) >= MAX_QUEUE:
-        job.tell("busy", job)
+        job.notify("busy", job)
     else:
-        engine.order += 1
+        engine.next_order += 1
         job.call.starts += 1
-        key = (job.tier, engine.order)
+        key = (job.tier, engine.next_order)
         engine.waiting[key] = job
         _admit(engine)
 
 
-def find(engine, rid, attempt):
-    """Return the job of an attempt, also a lately ended one, or None."""
+def find_job(engine, rid, attempt):
+    """Return an attempt's job, running or recently ended, or None."""
     key = (rid, attempt)
     jobs = [job for job in (*engine.running.values(),
                             *engine.waiting.values())
             if (job.rid, job.attempt) == key]
-    return jobs[0] if jobs else engine.kept.get(key)
+    return jobs[0] if jobs else engine.finished.get(key)
 
 
 def cancel(engine, rid, attempt):
-    """Stop an attempt."""
+    """Cancel an attempt."""
     engine.running.pop((rid, attempt), None)
     for key, job in list(engine.waiting.items()):
         if (job.rid, job.attempt) == (rid, attempt):
@@ -111,18 +112,18 @@
     _admit(engine)
 
 
-def crash(engine, back_after_s):
-    """Lose everything; come back empty after a while."""
-    lost = [*engine.running.values(), *engine.waiting.values()]
+def crash(engine, restart_after_s):
+    """Lose all state; restart empty after ``restart_after_s``."""
+    lost_jobs = [*engine.running.values(), *engine.waiting.values()]
     engine.running.clear()
     engine.waiting.clear()
-    engine.kept.clear()
+    engine.finished.clear()
     engine.prefixes.clear()
     engine.up = False
     engine.crashes += 1
-    for job in lost:
-        job.tell("broken", job)
-    clocks.at(engine.clock, back_after_s, _restart, engine)
+    for job in lost_jobs:
+        job.notify("broken", job)
+    clocks.call_later(engine.clock, restart_after_s, _restart, engine)
 
 
 def _restart(engine):
@@ -143,42 +144,44 @@
 
 
 def _start_plain(engine, job):
-    crowd = max(1.0, len(engine.running) / PLAIN_KNEE)
-    span = job.call.length * crowd * engine.slow
-    clocks.at(engine.clock, span, _end_plain, engine, job, engine.boot)
+    load_factor = max(1.0, len(engine.running) / PLAIN_KNEE)
+    duration_s = job.call.length * load_factor * engine.time_factor
+    clocks.call_later(
+        engine.clock, duration_s, _finish_plain, engine, job, engine.boot)
 
 
-def _end_plain(engine, job, boot):
+def _finish_plain(engine, job, boot):
     key = (job.rid, job.attempt)
     if boot == engine.boot and engine.running.get(key) is job:
-        engine.made += 1
+        engine.work_done += 1
         job.first_at = engine.clock.now
-        job.tell("first", job)
-        _end(engine, job)
+        job.notify("first", job)
+        _finish(engine, job)
         _admit(engine)
 
 
 def _prefill(engine, job):
     prefix = job.call.prefix
-    share = HIT_SHARE if prefix in engine.prefixes else 1.0
+    cost_share = PREFIX_HIT_COST_SHARE if prefix in engine.prefixes else 1.0
     if prefix not in engine.prefixes:
-        engine.stored.append(prefix)
+        engine.new_prefixes.append(prefix)
     engine.prefixes[prefix] = True
     engine.prefixes.move_to_end(prefix)
-    if len(engine.prefixes) > PREFIXES:
-        engine.removed.append(engine.prefixes.popitem(last=False)[0])
-    return job.call.prompt * PREFILL_S * share
+    if len(engine.prefixes) > MAX_CACHED_PREFIXES:
+        engine.evicted_prefixes.append(engine.prefixes.popitem(last=False)[0])
+    return job.call.prompt * PREFILL_S_PER_TOKEN * cost_share
 
 
 def _begin_step(engine):
     engine.stepping = True
     jobs = list(engine.running.values())
-    crowd = 1.0 + SLOPE * max(0, len(jobs) - KNEE)
-    span = TOKEN_S * crowd + sum(job.prefill for job in jobs)
+    load_factor = 1.0 + BATCH_SLOPE * max(0, len(jobs) - BATCH_KNEE)
+    duration_s = TOKEN_STEP_S * load_factor + sum(job.prefill for job in jobs)
     for job in jobs:
         job.prefill = 0.0
-    clocks.at(engine.clock, span * engine.slow, _end_step, engine, jobs,
-              engine.boot)
+    clocks.call_later(
+        engine.clock, duration_s * engine.time_factor, _end_step, engine, jobs,
+        engine.boot)
 
 
 def _end_step(engine, jobs, boot):
@@ -189,31 +192,31 @@
         return
     for job in jobs:
         if engine.running.get((job.rid, job.attempt)) is job:
-            _token(engine, job)
+            _generate_token(engine, job)
         if not engine.up:
             return
     _admit(engine)
 
 
-def _token(engine, job):
+def _generate_token(engine, job):
     job.tokens += 1
-    engine.made += 1
+    engine.work_done += 1
     if job.tokens == 1:
         job.first_at = engine.clock.now
-        job.tell("first", job)
+        job.notify("first", job)
     elif job.tokens % PROGRESS_TOKENS == 0:
-        job.tell("progress", job)
+        job.notify("progress", job)
     if job.call.poison and job.tokens == POISON_TOKENS:
         crash(engine, 2.0)
     elif job.tokens >= job.call.length:
-        _end(engine, job)
+        _finish(engine, job)
 
 
-def _end(engine, job):
+def _finish(engine, job):
     key = (job.rid, job.attempt)
     engine.running.pop(key, None)
     job.ended = "done"
-    engine.kept[key] = job
-    if len(engine.kept) > KEPT_JOBS:
-        engine.kept.popitem(last=False)
-    job.tell("done", job)
+    engine.finished[key] = job
+    if len(engine.finished) > MAX_FINISHED_JOBS:
+        engine.finished.popitem(last=False)
+    job.notify("done", job)
--- a/bench/policy/load.py
+++ b/bench/policy/load.py
@@ -1,7 +1,7 @@
 """Deployments and their seeded workloads.
 
-Classes and workspaces come from the example settings; shares, lengths
-and times of the calls are ours.
+Classes and workspaces come from the example settings; the shares,
+lengths and arrival times of calls are defined here.
 """
 
 import dataclasses
@@ -13,19 +13,20 @@
 
 from crocuskeel import conf
 
-__all__ = ["Call", "DEPLOYMENTS", "Deployment", "arrivals", "load"]
+__all__ = ["Call", "DEPLOYMENTS", "Deployment", "arrivals",
+           "load_deployment"]
 
 _EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
-SIGMA = 0.8
-CHUNK_S = 0.05
+LENGTH_SIGMA = 0.8
+STEP_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mix:
-    """Share of its service's calls, and their sizes.
+    """A class's share of its service's calls, and their sizes.
 
-    ``size`` is the mean output in tokens, or seconds for a plain
-    service.
+    ``size`` is the mean output in tokens, or the mean duration in seconds
+    for a plain service; ``prompt`` is the typical prompt in tokens.
     """
 
     share: float
@@ -35,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """``capacity`` maps a service to its calls a second at most."""
+    """``capacity`` maps a service to its maximum rate in calls/s."""
 
     name: str
     tree: conf.Tree
@@ -61,8 +62,9 @@
         }),
     "wellness": dict(
         hosts=8, servers={"advisor-pool": 6, "booking-desk": 4},
-        # All of booking-desk is of the top tier, and no policy protects a
-        # tier from itself: its load only doubles, to below capacity.
+        # All classes of booking-desk are in the top tier, and no policy
+        # protects a tier from itself. Its capacity is therefore set so
+        # that a doubled load stays below what the servers can do.
         capacity={"advisor-pool": 11.0, "booking-desk": 40.0},
         mix={
             "guest-advice": Mix(0.40, 80, 300),
@@ -76,14 +78,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One caller's request; ``length`` is hidden from the policy.
+    """One caller's request; the policy doesn't know its ``length``.
 
-    ``sources`` maps (rid, attempt) to the tokens that reached the
-    caller from it; ``starts`` counts runs begun on servers.
+    ``jobs`` maps (rid, attempt) to the attempt's job on a server;
+    ``starts`` counts the runs that servers began. ``driver_data`` belongs
+    to the code that drives the run.
     """
 
     id: int
-    at: float
+    arrived_at: float
     workspace: str
     policy: conf.ClassPolicy
     length: float
@@ -103,44 +106,44 @@
     refused_at: float = 0.0
     reason: str = ""
     outcome: str = ""
-    sources: dict = dataclasses.field(default_factory=dict)
-    extra: typing.Any = None
+    jobs: dict = dataclasses.field(default_factory=dict)
+    driver_data: typing.Any = None
 
     @property
-    def over(self):
-        """Whether the caller has its final answer."""
+    def is_finished(self):
+        """Whether the caller has received its final answer."""
         return bool(self.done_at or self.refused_at)
 
 
-def load(name):
+def load_deployment(name):
     """Return a :class:`Deployment` by name."""
-    text = (_EXAMPLES / f"{name}.jsonc").read_text(encoding="utf-8")
-    tree = conf.parse(text).unwrap()
+    document = (_EXAMPLES / f"{name}.jsonc").read_text(encoding="utf-8")
+    tree = conf.parse(document).unwrap()
     domains = tuple(tree.common["deployment"]["failure_domains"])
-    body = DEPLOYMENTS[name]
+    parameters = DEPLOYMENTS[name]
     workspaces = tuple(sorted(dict(conf.workspaces(tree))))
-    return Deployment(name, tree, domains, workspaces=workspaces, **body)
+    return Deployment(name, tree, domains, workspaces=workspaces, **parameters)
 
 
 def token_of(workspace):
-    """Return the SHA-256 of the workspace's demo token."""
-    clear = f"{workspace}-token".encode()
-    return hashlib.sha256(clear).hexdigest()
+    """Return the SHA-256 digest of the workspace's demo token."""
+    token = f"{workspace}-token".encode()
+    return hashlib.sha256(token).hexdigest()
 
 
-def arrivals(deployment, factor, seed, seconds):
-    """Return the calls of a run, by time.
+def arrivals(deployment, load_share, seed, seconds):
+    """Return the calls of a run in order of arrival.
 
-    ``factor(t, class_name, workspace)`` is the load at a time as a
-    share of the service's capacity.
+    ``load_share(t, class_name, workspace)`` is the load at time ``t`` as
+    a share of the service's capacity.
     """
     rng = random.Random(f"{deployment.name}/{seed}")
     calls = []
     for class_name in deployment.mix:
         for workspace in deployment.workspaces:
-            calls += _stream(deployment, class_name, workspace, factor,
-                             rng, seconds)
-    calls.sort(key=lambda call: call.at)
+            calls += _class_arrivals(
+                deployment, class_name, workspace, load_share, rng, seconds)
+    calls.sort(key=lambda call: call.arrived_at)
     for number, call in enumerate(calls):
         call.id = number
         call.key = f"key-{number}"
@@ -148,25 +151,26 @@
     return calls
 
 
-def _stream(deployment, class_name, workspace, factor, rng, seconds):
+def _class_arrivals(
+        deployment, class_name, workspace, load_share, rng, seconds):
     policy = conf.resolve(deployment.tree, workspace, class_name)
     mix = deployment.mix[class_name]
-    total = sum(_size_of(deployment, name) for name in
+    total = sum(_weight_of(deployment, name) for name in
                 deployment.workspaces)
     rate = (deployment.capacity[policy.service] * mix.share
-            * _size_of(deployment, workspace) / total)
+            * _weight_of(deployment, workspace) / total)
     calls = []
     now = 0.0
     while now < seconds:
-        level = factor(now, class_name, workspace)
-        for _ in range(_poisson(rng, rate * level * CHUNK_S)):
-            at = now + rng.random() * CHUNK_S
-            calls.append(_call(rng, at, policy, mix))
-        now += CHUNK_S
+        share = load_share(now, class_name, workspace)
+        for _ in range(_poisson(rng, rate * share * STEP_S)):
+            arrived_at = now + rng.random() * STEP_S
+            calls.append(_call(rng, arrived_at, policy, mix))
+        now += STEP_S
     return calls
 
 
-def _size_of(deployment, workspace):
+def _weight_of(deployment, workspace):
     weight = conf.resolve(
         deployment.tree, workspace, next(iter(deployment.mix))).weight
     return max(weight, 1.0)
@@ -182,20 +186,21 @@
     return count
 
 
-def _call(rng, at, policy, mix):
+def _call(rng, arrived_at, policy, mix):
     if policy.kind == "plain":
         length = mix.size * rng.lognormvariate(-0.045, 0.3)
-        return Call(0, at, policy.workspace, policy, length)
-    # Output lengths have a heavy tail; their mean is the mix's size.
+        return Call(0, arrived_at, policy.workspace, policy, length)
+    # Output lengths have a heavy tail with ``mix.size`` as their mean.
     length = rng.lognormvariate(
-        math.log(mix.size) - SIGMA ** 2 / 2, SIGMA)
+        math.log(mix.size) - LENGTH_SIGMA ** 2 / 2, LENGTH_SIGMA)
     length = min(max(4, round(length)), policy.max_tokens)
     prompt = max(20, round(mix.prompt * rng.lognormvariate(0, 0.4)))
-    prefix = 1 + hash_of(policy.workspace, policy.name, rng.randrange(3))
-    return Call(0, at, policy.workspace, policy, length, prompt, prefix)
+    prefix = 1 + prefix_hash(policy.workspace, policy.name, rng.randrange(3))
+    return Call(
+        0, arrived_at, policy.workspace, policy, length, prompt, prefix)
 
 
-def hash_of(*parts):
-    """Return a stable positive number for a prompt's prefix."""
+def prefix_hash(*parts):
+    """Return a stable positive number that identifies a prompt prefix."""
     digest = hashlib.sha256("/".join(map(str, parts)).encode()).digest()
     return int.from_bytes(digest[:6], "big")
--- a/bench/policy/scenarios.py
+++ b/bench/policy/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: the load over time and the faults, and how one is run."""
+"""Scenarios: load over time, injected faults, and the runner."""
 
 import random
 
@@ -14,64 +14,66 @@
 __all__ = ["POLICIES", "SCENARIOS", "run"]
 
 POLICIES = ("ours", "fifo", "priority", "oracle")
-START_S = 4.0
-SECONDS = 60.0
+WARMUP_S = 4.0
+LOAD_S = 60.0
 DRAIN_S = 320.0
-FAULT_S = 20.0
-BACK_S = 5.0
-# A dead dispatcher is noticed within 3 s; its successor settles.
+FAULT_AT_S = 20.0
+RESTART_S = 5.0
+# A dead dispatcher is detected within 3 s; the rest is the time until
+# its successor is in operation.
 TAKEOVER_S = 4.0
-STEADY = 0.7
-BURST = 2.0
+STEADY_LOAD = 0.7
+BURST_LOAD = 2.0
 BURST_FROM_S = 15.0
 BURST_TO_S = 35.0
-BULLY = 6.0
+NOISY_FACTOR = 6.0
 SLOTS = {"engine": 8, "plain": 16}
-BULLY_CLASS = {"paddlegum": "safety-question", "wellness": "day-package"}
+NOISY_CLASS = {"paddlegum": "safety-question", "wellness": "day-package"}
 
 
 def _in_burst(t):
     return BURST_FROM_S <= t < BURST_TO_S
 
 
-def _factor(scenario, deployment):
-    bully_class = BULLY_CLASS[deployment.name]
+def _load_profile(scenario, deployment):
+    noisy_class = NOISY_CLASS[deployment.name]
 
-    def factor(t, class_name, workspace):
+    def load_share(t, class_name, workspace):
         if not _in_burst(t):
-            return STEADY
+            return STEADY_LOAD
         if scenario == "burst":
-            return BURST
-        if scenario == "bully-class" and class_name == bully_class:
-            return STEADY * BULLY
-        if scenario == "bully-workspace" and workspace == _bully(deployment):
-            return STEADY * BULLY
-        return STEADY
+            return BURST_LOAD
+        if scenario == "bully-class" and class_name == noisy_class:
+            return STEADY_LOAD * NOISY_FACTOR
+        if (scenario == "bully-workspace"
+                and workspace == _noisy_workspace(deployment)):
+            return STEADY_LOAD * NOISY_FACTOR
+        return STEADY_LOAD
 
-    return factor
+    return load_share
 
 
-def _bully(deployment):
-    """Return the large workspace that bursts."""
+def _noisy_workspace(deployment):
+    """Return the large workspace that sends the burst."""
     return deployment.workspaces[-2]
 
 
-def _is_bully(scenario, deployment):
+def _noisy_filter(scenario, deployment):
     if scenario == "bully-workspace":
-        return lambda call: call.workspace == _bully(deployment)
+        return lambda call: call.workspace == _noisy_workspace(deployment)
     return lambda call: False
 
 
 def _servers(deployment, clock):
-    out = {}
+    servers = {}
     for service, count in deployment.servers.items():
         kind = loads.conf.service(deployment.tree, service).kind
         for number in range(count):
             name = f"{service}-{number}"
             domain = deployment.domains[number % len(deployment.domains)]
-            out[name] = engines.new_engine(
+            servers[name] = engines.new_engine(
                 name, service, domain, kind, SLOTS[kind], clock)
-    return out
+    return servers
 
 
 def _engines(servers):
@@ -81,54 +83,63 @@
 
 # Faults.
 
-def _stragglers(front, side, servers, calls):
-    first, second = _engines(servers)[:2]
+def _stragglers(fleet, driver, servers, calls):
+    first_engine, second_engine = _engines(servers)[:2]
 
-    def slow(server, factor):
-        server.slow = factor
+    def slow_down(server, time_factor):
+        server.time_factor = time_factor
 
-    clocks.at(front.clock, FAULT_S, slow, first, 4.0)
-    clocks.at(front.clock, FAULT_S + 5.0, slow, second, 2.5)
-    clocks.at(front.clock, FAULT_S + 25.0, slow, first, 1.0)
-    clocks.at(front.clock, FAULT_S + 30.0, slow, second, 1.0)
+    clocks.call_later(fleet.clock, FAULT_AT_S, slow_down, first_engine, 4.0)
+    clocks.call_later(
+        fleet.clock, FAULT_AT_S + 5.0, slow_down, second_engine, 2.5)
+    clocks.call_later(
+        fleet.clock, FAULT_AT_S + 25.0, slow_down, first_engine, 1.0)
+    clocks.call_later(
+        fleet.clock, FAULT_AT_S + 30.0, slow_down, second_engine, 1.0)
 
 
-def _engine_crash(front, side, servers, calls):
-    group = _engines(servers)
-    clocks.at(front.clock, FAULT_S, engines.crash, group[1], BACK_S)
-    clocks.at(front.clock, FAULT_S * 2, engines.crash, group[3], BACK_S)
+def _engine_crash(fleet, driver, servers, calls):
+    engine_servers = _engines(servers)
+    clocks.call_later(
+        fleet.clock, FAULT_AT_S, engines.crash, engine_servers[1], RESTART_S)
+    clocks.call_later(
+        fleet.clock, FAULT_AT_S * 2, engines.crash, engine_servers[3],
+        RESTART_S)
 
 
-def _dispatcher(front, servers):
+def _dispatcher_host(fleet, servers):
     service = _engines(servers)[0].service
-    if not isinstance(front, fleets.Fleet):
-        return front.hosts[0]
-    live = membership.live(next(iter(front.nodes.values())).daemon)
+    if not isinstance(fleet, fleets.Fleet):
+        return fleet.hosts[0]
+    live = membership.live(next(iter(fleet.nodes.values())).daemon)
     return placement.owner(f"{service}/0", live)
 
 
-def _dispatcher_loss(front, side, servers, calls):
-    host = _dispatcher(front, servers)
-    clocks.at(front.clock, FAULT_S, side.kill, front, host, calls)
+def _dispatcher_loss(fleet, driver, servers, calls):
+    host = _dispatcher_host(fleet, servers)
+    clocks.call_later(
+        fleet.clock, FAULT_AT_S, driver.kill_host, fleet, host, calls)
 
 
-def _host_loss(front, side, servers, calls):
-    names = getattr(front, "nodes", None) or front.hosts
-    spared = _dispatcher(front, servers)
-    host = next(name for name in names if name != spared)
-    clocks.at(front.clock, FAULT_S, side.kill, front, host, calls)
+def _host_loss(fleet, driver, servers, calls):
+    names = getattr(fleet, "nodes", None) or fleet.hosts
+    dispatcher = _dispatcher_host(fleet, servers)
+    host = next(name for name in names if name != dispatcher)
+    clocks.call_later(
+        fleet.clock, FAULT_AT_S, driver.kill_host, fleet, host, calls)
 
 
-def _silent(front, side, servers, calls):
-    group = _engines(servers)
-    for number, server in enumerate(group[:3]):
-        clocks.at(front.clock, FAULT_S, side.silence, front,
-                  f"entry-{number}", server)
+def _silent_connections(fleet, driver, servers, calls):
+    engine_servers = _engines(servers)
+    for number, server in enumerate(engine_servers[:3]):
+        clocks.call_later(
+            fleet.clock, FAULT_AT_S, driver.silence_connections, fleet,
+            f"entry-{number}", server)
 
 
-def _poison(front, side, servers, calls):
+def _poison(fleet, driver, servers, calls):
     for call in calls:
-        if call.at >= FAULT_S and call.policy.kind == "engine" and (
+        if call.arrived_at >= FAULT_AT_S and call.policy.kind == "engine" and (
                 call.policy.tier == 2 and call.length > 20):
             call.poison = True
             return
@@ -136,54 +147,57 @@
 
 _FAULTS = {"stragglers": _stragglers, "engine-crash": _engine_crash,
            "dispatcher-loss": _dispatcher_loss, "host-loss": _host_loss,
-           "silent-connection": _silent, "poison": _poison}
+           "silent-connection": _silent_connections, "poison": _poison}
 SCENARIOS = ("steady", "burst", "bully-class", "bully-workspace",
              *_FAULTS)
 
 
 def run(deployment_name, scenario, policy, seed):
     """Run one scenario; return its figures as a dict for JSON."""
-    deployment = loads.load(deployment_name)
+    deployment = loads.load_deployment(deployment_name)
     clock = clocks.new_clock()
     rng = random.Random(f"{scenario}/{seed}")
     servers = _servers(deployment, clock)
-    counts = tallies.new_tally(deployment)
+    tally = tallies.new_tally(deployment)
     if policy == "ours":
-        side = fleets
-        front = fleets.new_fleet(
-            deployment, clock, rng, servers, counts, seed)
+        driver = fleets
+        fleet = fleets.new_fleet(
+            deployment, clock, rng, servers, tally, seed)
     else:
-        side = baselines
-        front = baselines.new_front(
-            policy, deployment, clock, rng, servers, counts)
+        driver = baselines
+        fleet = baselines.new_fleet(
+            policy, deployment, clock, rng, servers, tally)
     calls = loads.arrivals(
-        deployment, _factor(scenario, deployment), seed, SECONDS)
+        deployment, _load_profile(scenario, deployment), seed, LOAD_S)
     for call in calls:
-        call.at += START_S
-        clocks.at(clock, call.at, side.arrive, front, call)
+        call.arrived_at += WARMUP_S
+        clocks.call_later(clock, call.arrived_at, driver.arrive, fleet, call)
     if scenario in _FAULTS:
-        _FAULTS[scenario](front, side, servers, calls)
-    clocks.run(clock, START_S + SECONDS, lambda: False)
-    clocks.run(clock, START_S + SECONDS + DRAIN_S, _all_over(calls, clock))
-    extra_s = TAKEOVER_S if scenario == "dispatcher-loss" else 0.0
-    out = tallies.report(
-        deployment, counts, calls, servers, SECONDS,
-        _is_bully(scenario, deployment), extra_s)
-    out["crashes"] = sum(server.crashes for server in servers.values())
-    out["quarantined"] = len(counts.quarantined)
-    out["suspects"] = len(counts.suspects)
+        _FAULTS[scenario](fleet, driver, servers, calls)
+    clocks.run(clock, WARMUP_S + LOAD_S, lambda: False)
+    clocks.run(
+        clock, WARMUP_S + LOAD_S + DRAIN_S, _completion_check(calls, clock))
+    takeover_s = TAKEOVER_S if scenario == "dispatcher-loss" else 0.0
+    figures = tallies.report(
+        deployment, tally, calls, servers, LOAD_S,
+        _noisy_filter(scenario, deployment), takeover_s)
+    figures["crashes"] = sum(server.crashes for server in servers.values())
+    figures["quarantined"] = len(tally.quarantined)
+    figures["suspects"] = len(tally.suspects)
     return {"deployment": deployment_name, "scenario": scenario,
-            "policy": policy, "seed": seed, **out}
+            "policy": policy, "seed": seed, **figures}
 
 
-def _all_over(calls, clock):
-    left = {"calls": [call for call in calls if not call.over], "at": 0.0}
+def _completion_check(calls, clock):
+    unfinished = {
+        "calls": [call for call in calls if not call.is_finished], "at": 0.0}
 
-    def is_over():
-        if clock.now - left["at"] < 1.0:
+    def is_done():
+        if clock.now - unfinished["at"] < 1.0:
             return False
-        left["at"] = clock.now
-        left["calls"] = [c for c in left["calls"] if not c.over]
-        return not left["calls"]
+        unfinished["at"] = clock.now
+        unfinished["calls"] = [
+            c for c in unfinished["calls"] if not c.is_finished]
+        return not unfinished["calls"]
 
-    return is_over
+    return is_done
--- a/bench/policy/tally.py
+++ b/bench/policy/tally.py
@@ -1,4 +1,4 @@
-"""What is counted in a run, and the report of it."""
+"""Counts the events of a run and reports its figures."""
 
 import dataclasses
 
@@ -6,13 +6,14 @@
 from crocuskeel.core.dispatch import floors
 from crocuskeel.core.dispatch import state as states
 
-__all__ = ["Tally", "enqueued", "granted", "inversions", "judge",
-           "left", "new_tally", "refused", "report"]
+__all__ = ["Tally", "count_inversions", "new_tally", "record_effects",
+           "record_enqueue", "record_grant", "record_leave",
+           "record_refusal", "report"]
 
 TIER_WEIGHTS = {1: 4.0, 2: 2.0, 3: 1.0}
-_SHED = ("deadline", "overload", "queue_full")
-# Waits end at the next tick of a dispatcher and cross the network.
-SLACK_S = 0.3
+_SHED_REASONS = ("deadline", "overload", "queue_full")
+# A wait ends at the next tick of a dispatcher, plus network latency.
+WAIT_SLACK_S = 0.3
 DEFAULT_SLOTS = 48
 
 
@@ -20,18 +21,19 @@
 class Tally:
     """Waiting calls and gaps between grants, by (cell, class).
 
-    ``floors`` maps a class to its tier and floor; ``slots`` a cell to
-    the fewest usable slots seen.
+    ``floors`` maps a class to its tier and floor; ``slots`` maps a cell
+    to the lowest number of usable slots observed; ``shed_calls`` lists
+    the (cell, class) of refusals that are not yet checked.
     """
 
     floors: dict[str, tuple[int, float]]
     waiting: dict = dataclasses.field(default_factory=dict)
-    since: dict = dataclasses.field(default_factory=dict)
+    gap_started_at: dict = dataclasses.field(default_factory=dict)
     gaps: dict = dataclasses.field(default_factory=dict)
     slots: dict = dataclasses.field(default_factory=dict)
-    held: dict = dataclasses.field(default_factory=dict)
-    longest_s: dict = dataclasses.field(default_factory=dict)
-    judged: list = dataclasses.field(default_factory=list)
+    held_slots: dict = dataclasses.field(default_factory=dict)
+    longest_hold_s: dict = dataclasses.field(default_factory=dict)
+    shed_calls: list = dataclasses.field(default_factory=list)
     inversions: int = 0
     suspects: set = dataclasses.field(default_factory=set)
     quarantined: set = dataclasses.field(default_factory=set)
@@ -39,64 +41,69 @@
 
 def new_tally(deployment):
     """Return an empty tally."""
-    known = {}
+    class_floors = {}
     for name in deployment.mix:
         policy = load.conf.resolve(
             deployment.tree, deployment.workspaces[0], name)
-        known[name] = (policy.tier, policy.floor)
-    return Tally(known)
+        class_floors[name] = (policy.tier, policy.floor)
+    return Tally(class_floors)
 
 
-def enqueued(tally, cell, name, rid, now):
-    """A call begins to wait."""
+def record_enqueue(tally, cell, name, rid, now):
+    """Record that a call begins to wait."""
     group = tally.waiting.setdefault((cell, name), set())
     if not group:
-        tally.since[(cell, name)] = now
+        tally.gap_started_at[(cell, name)] = now
     group.add(rid)
 
 
-def left(tally, cell, name, rid):
-    """A call waits no more without a grant."""
+def record_leave(tally, cell, name, rid):
+    """Record that a call stops waiting without a grant."""
     tally.waiting.get((cell, name), set()).discard(rid)
 
 
-def granted(tally, cell, name, rid, now):
-    """A waiting call gets a slot: the class's gap ends."""
+def record_grant(tally, cell, name, rid, now):
+    """Record a grant to a waiting call: the gap of its class ends."""
     key = (cell, name)
     if rid not in tally.waiting.get(key, ()):
         return
-    gap = now - tally.since[key]
+    gap = now - tally.gap_started_at[key]
     tally.gaps[name] = max(gap, tally.gaps.get(name, 0.0))
-    tally.since[key] = now
+    tally.gap_started_at[key] = now
     tally.waiting[key].discard(rid)
-    tally.held[rid] = (cell, now)
+    tally.held_slots[rid] = (cell, now)
 
 
-def ended(tally, rid, now):
-    """A slot is free again."""
-    cell, since = tally.held.pop(rid, ("", now))
-    tally.longest_s[cell] = max(now - since, tally.longest_s.get(cell, 0))
+def record_release(tally, rid, now):
+    """Record that a slot is released."""
+    cell, granted_at = tally.held_slots.pop(rid, ("", now))
+    tally.longest_hold_s[cell] = max(
+        now - granted_at, tally.longest_hold_s.get(cell, 0))
 
 
-def refused(tally, cell, name):
-    """A call is refused: lower tiers may hold only their seats."""
+def record_refusal(tally, cell, name):
+    """Record a refusal; count an inversion if a lower tier is favored.
+
+    At that time the lower tiers may have no more waiting calls than
+    their reserved slots.
+    """
     tier = tally.floors[name][0]
     for (other_cell, other), rids in tally.waiting.items():
         if other_cell != cell or tally.floors[other][0] <= tier:
             continue
-        if len(rids) > _seats(tally, cell, other):
+        if len(rids) > _reserved_slots(tally, cell, other):
             tally.inversions += 1
             return
 
 
-def _seats(tally, cell, name):
+def _reserved_slots(tally, cell, name):
     tier, floor = tally.floors[name]
     group = states.ClassQueue(name, tier, floor)
     return floors.seats(group, tally.slots.get(cell, DEFAULT_SLOTS))
 
 
-def judge(tally, out, now):
-    """Take the records of one event of a daemon in."""
+def record_effects(tally, out, now):
+    """Record the effects of one event of a daemon."""
     for effect in out:
         kind = getattr(effect, "kind", "")
         if not hasattr(effect, "fields"):
@@ -104,99 +111,102 @@
         fields = dict(effect.fields)
         name, cell = fields.get("class", ""), fields.get("cell", "")
         if kind == "enqueued":
-            enqueued(tally, cell, name, effect.rid, now)
+            record_enqueue(tally, cell, name, effect.rid, now)
         elif kind == "granted" and "batch" in fields:
-            granted(tally, cell, name, effect.rid, now)
+            record_grant(tally, cell, name, effect.rid, now)
         elif kind == "closed":
-            ended(tally, effect.rid, now)
+            record_release(tally, effect.rid, now)
         elif kind == "quarantined":
             tally.quarantined.add(fields["fingerprint"])
         elif kind == "suspect":
             tally.suspects.add(fields["fingerprint"])
         elif kind == "answered":
-            left(tally, cell, name, effect.rid)
-            if fields["reason"] in _SHED and not fields.get("engine"):
-                tally.judged.append((cell, name))
+            record_leave(tally, cell, name, effect.rid)
+            if fields["reason"] in _SHED_REASONS and not fields.get("engine"):
+                tally.shed_calls.append((cell, name))
 
 
-def inversions(tally, cells):
-    """Judge the refusals of one moment by the dispatchers' queues.
+def count_inversions(tally, cells):
+    """Check the latest refusals against the dispatchers' queues.
 
     ``cells(name)`` yields each dispatcher's cell and its slots.
     """
-    for cell_name, name in tally.judged:
+    for cell_name, name in tally.shed_calls:
         tier = tally.floors[name][0]
         for cell, slots in cells(cell_name):
             if any(group.tier > tier
                    and group.waiting > floors.seats(group, slots)
                    for group in cell.classes.values()):
                 tally.inversions += 1
-    tally.judged.clear()
+    tally.shed_calls.clear()
 
 
 # The report.
 
 def attained(call):
-    """Tell whether a call's whole answer met its class's target."""
+    """Tell whether a call's complete answer met the target of its class."""
     policy = call.policy
-    if not call.done_at or call.first_at - call.at > policy.target_ttft_s:
+    if (not call.done_at
+            or call.first_at - call.arrived_at > policy.target_ttft_s):
         return False
     if policy.kind == "engine" and call.itl_s > policy.target_itl_s:
         return False
-    return not worthless(call)
+    return not is_worthless(call)
 
 
-def worthless(call):
-    """Tell whether nobody wants the call's answer any more."""
-    late = call.done_at - call.at > call.policy.deadline_s
+def is_worthless(call):
+    """Tell whether the call has no answer or one that came too late."""
+    late = call.done_at - call.arrived_at > call.policy.deadline_s
     return not call.done_at or (call.policy.late == "drop" and late)
 
 
 def is_wrong(call):
-    """Tell whether a caller got other than its own whole answer.
+    """Tell whether a caller got anything but its own complete answer.
 
-    A caller that lost its entry host sends anew under another rid and
-    throws the part that it had away.
+    A caller that lost its entry host resends under another rid and
+    discards the partial answer.
     """
     if not call.done_at or call.policy.kind != "engine":
         return False
-    relayed = [job for (rid, _), job in call.sources.items()
+    relayed = [job for (rid, _), job in call.jobs.items()
                if rid == call.rid and job.forwarded]
     return len(relayed) != 1 or relayed[0].forwarded != call.length or (
         relayed[0].call is not call)
 
 
-def report(deployment, tally, calls, servers, seconds, bully, extra_s):
+def report(deployment, tally, calls, servers, seconds, is_noisy, takeover_s):
     """Return the figures of a run as a dict for JSON.
 
-    ``bully(call)`` tells whether the call is of the workspace or class
-    that bursts; ``extra_s`` is what a fault adds to the bounds of gaps.
+    ``is_noisy(call)`` tells whether the call is of the workspace that
+    sends the burst; ``takeover_s`` is what a fault adds to the bounds of
+    gaps.
     """
     classes = {}
     for name in deployment.mix:
-        mine = [call for call in calls if call.policy.name == name]
-        classes[name] = _class_row(deployment, tally, name, mine, extra_s)
-        others = [call for call in mine if not bully(call)]
-        if 0 < len(others) < len(mine):
+        class_calls = [call for call in calls if call.policy.name == name]
+        classes[name] = _class_row(
+            deployment, tally, name, class_calls, takeover_s)
+        others = [call for call in class_calls if not is_noisy(call)]
+        if 0 < len(others) < len(class_calls):
             classes[name]["others_attainment"] = _attainment(others)
-    top = [call for call in calls if call.policy.tier == 1]
-    scored = sum(TIER_WEIGHTS[row["tier"]] * row["attainment"]
-                 for row in classes.values())
+    top_tier = [call for call in calls if call.policy.tier == 1]
+    weighted_sum = sum(TIER_WEIGHTS[row["tier"]] * row["attainment"]
+                       for row in classes.values())
     total = sum(TIER_WEIGHTS[row["tier"]] for row in classes.values())
     wasted_tokens, wasted_calls = _waste(calls, servers)
-    hit = [call for call in calls if attained(call)]
+    attained_calls = [call for call in calls if attained(call)]
     return {
         "classes": classes,
-        "goodput": round(len(hit) / seconds, 3),
-        "top_tier_attainment": _attainment(top),
-        "weighted_attainment": round(scored / total, 4),
+        "goodput": round(len(attained_calls) / seconds, 3),
+        "top_tier_attainment": _attainment(top_tier),
+        "weighted_attainment": round(weighted_sum / total, 4),
         "wasted_work": round(max(wasted_tokens, wasted_calls), 5),
         "wasted_tokens": round(wasted_tokens, 5),
         "wasted_calls": round(wasted_calls, 5),
         "duplicated_runs": sum(max(0, call.starts - 1) for call in calls
                                if not call.policy.repeatable),
         "wrong_answers": sum(map(is_wrong, calls)),
-        "unanswered": sum(not call.over for call in calls),
+        "unanswered": sum(not call.is_finished for call in calls),
         "tier_inversions": tally.inversions,
     }
 
@@ -205,7 +215,7 @@
     return round(sum(map(attained, calls)) / max(1, len(calls)), 4)
 
 
-def _class_row(deployment, tally, name, calls, extra_s):
+def _class_row(deployment, tally, name, calls, takeover_s):
     policy = calls[0].policy if calls else None
     waits = [call.waited_s for call in calls] or [0.0]
     row = {
@@ -220,30 +230,30 @@
     }
     if policy is not None:
         deadline = max(call.policy.deadline_s for call in calls)
-        row["wait_bound_s"] = round(deadline + SLACK_S, 3)
+        row["wait_bound_s"] = round(deadline + WAIT_SLACK_S, 3)
         row["gap_bound_s"] = round(
-            _gap_bound(deployment, tally, policy) + extra_s, 3)
+            _gap_bound(deployment, tally, policy) + takeover_s, 3)
     return row
 
 
 def _gap_bound(deployment, tally, policy):
     cells = [cell for cell in tally.slots
              if cell.startswith(policy.service + "/")]
-    same = [name for name in deployment.mix if load.conf.resolve(
+    service_classes = [name for name in deployment.mix if load.conf.resolve(
         deployment.tree, policy.workspace, name).service == policy.service]
     bounds = [floors.wait_bound(
-        policy.floor, len(same), tally.slots[cell],
-        tally.longest_s.get(cell, 0.0)) for cell in cells]
+        policy.floor, len(service_classes), tally.slots[cell],
+        tally.longest_hold_s.get(cell, 0.0)) for cell in cells]
     return max(bounds, default=0.0)
 
 
 def _waste(calls, servers):
     shares = []
     for kind in ("engine", "plain"):
-        made = sum(server.made for server in servers.values()
-                   if server.kind == kind)
-        used = sum(call.length if kind == "engine" else 1
-                   for call in calls if call.policy.kind == kind
-                   and not worthless(call))
-        shares.append((made - used) / made if made else 0.0)
+        work_done = sum(server.work_done for server in servers.values()
+                        if server.kind == kind)
+        useful = sum(call.length if kind == "engine" else 1
+                     for call in calls if call.policy.kind == kind
+                     and not is_worthless(call))
+        shares.append((work_done - useful) / work_done if work_done else 0.0)
     return shares
--- a/tests/outage/test_outage.py
+++ b/tests/outage/test_outage.py
@@ -1,72 +1,76 @@
-"""The platform is away: nothing runs twice, nobody waits for ever."""
+"""Platform outage: no duplicate runs, and every caller gets an answer."""
 
 import unittest
 
 from bench.outage import callers
 from bench.outage import report
 from bench.outage import scenarios
-from tests.claims import world as worlds
+from tests.claims import world as claims_world
 
-# A caller's patience with refusals, its last resend and its run.
-LONGEST_S = 60.0
+# A caller's maximum retry time, its last resend and the run itself.
+MAX_ANSWER_S = 60.0
 
 
 def plan(**kwargs):
-    """Return a short outage that begins with lost answers."""
+    """Return the plan of a short outage that begins with lost answers."""
     return scenarios.Plan(
         "paddlegum", "lost-answers", before_s=6.0, outage_s=10.0,
-        after_s=10.0, level=0.4, **kwargs)
+        after_s=10.0, load_share=0.4, **kwargs)
 
 
-def longest_s(run):
+def longest_answer_s(run):
     """Return the longest time to a final answer of any caller."""
-    return max(call.extra.ended_at - call.at for call in run.calls)
+    return max(
+        call.driver_data.final_at - call.arrived_at for call in run.calls)
 
 
 class OutageTest(unittest.TestCase):
-    """Real reducers and platform clients of six hosts."""
+    """Six hosts with real reducers and platform clients."""
 
-    def test_lost_answers_and_a_paused_owner(self):
-        """A canoe is booked twice on the morning of an outage.
+    def test_lost_answers_and_paused_owner(self):
+        """Guards against a duplicate run of a non-repeatable request.
 
-        Claims are written, their answers are lost; an owner sleeps with
-        a write in hand, wakes and sends it; then the platform is away.
-        All the while callers lose connections and resend their keys.
+        Claims are written but their answers are lost; an owner is paused
+        with a write not yet sent and sends it when it resumes; then the
+        platform is down. Meanwhile callers lose connections and resend
+        their keys.
         """
-        run = scenarios.run(plan(seed=3, cut_share=0.5))
+        run = scenarios.run(plan(seed=3, disconnect_share=0.5))
         store = run.world.store
         self.assertEqual(
-            dict.fromkeys(report.MUST_BE_0, 0), report.breaches(run))
-        self.assertEqual(0, report.false_of_sending(run))
-        self.assertLess(longest_s(run), LONGEST_S)
-        # Without these the run would show nothing.
-        self.assertEqual(1, run.world.slept)
-        self.assertTrue(store.lost and store.late and store.conflicts)
-        refused = {said.reason for call in run.calls
-                   for said in call.extra.said}
+            dict.fromkeys(report.MUST_BE_0, 0), report.violations(run))
+        self.assertEqual(0, report.false_not_run_of_sending(run))
+        self.assertLess(longest_answer_s(run), MAX_ANSWER_S)
+        # The run proves nothing unless these faults occurred.
+        self.assertEqual(1, run.world.pause_count)
+        self.assertTrue(
+            store.lost_writes and store.late_writes and store.conflicts)
+        refused = {error.reason for call in run.calls
+                   for error in call.driver_data.errors}
         self.assertIn("claim_unavailable", refused)
-        last = [call for call in run.calls[-100:]
-                if call.extra.ended == callers.SERVED]
-        self.assertGreater(len(last), 90)
+        last_served = [call for call in run.calls[-100:]
+                       if call.driver_data.final_status == callers.SERVED]
+        self.assertGreater(len(last_served), 90)
 
-    def test_pause_shorter_than_the_links_silence(self):
-        """A confirmation waits four minutes in an idle system.
+    def test_pause_shorter_than_link_timeout(self):
+        """Guards against a request that waits four minutes in an idle system.
 
-        Its host sleeps 2.8 s: long enough to be taken for dead, so that
-        the dispatcher drops what it waits for, too short for its links
-        to end. It wakes, is alive again, and nobody asks it anew.
+        Its host pauses for 2.8 s: long enough to be declared dead, so
+        that the dispatcher drops its queued requests, but too short for
+        its links to close. After the pause the host is alive again, but
+        was not asked to enqueue its requests again.
         """
         run = scenarios.run(plan(seed=9, pause_s=2.8))
-        self.assertLess(longest_s(run), LONGEST_S)
+        self.assertLess(longest_answer_s(run), MAX_ANSWER_S)
 
-    def test_resend_of_what_ran_while_the_store_is_out(self):
-        """A caller is told ``not_run`` of the booking that just ran.
+    def test_resend_after_run_during_store_outage(self):
+        """Guards against ``not_run`` for a booking that has just run.
 
-        The claim is granted and settled, the commit of the outcome
-        fails; a resend asks the same owner, which knows the claim but
-        answers "unavailable" for as long as its back-off lasts.
+        The claim is granted and settled, but the commit of the outcome
+        fails. A resend reaches the same owner, which knows the claim but
+        used to answer "unavailable" for the time of its back-off.
         """
-        world = worlds.World(epoch_s=10.0, kept_epochs=2)
+        world = claims_world.World(epoch_s=10.0, kept_epochs=2)
         first = world.ask("k")
         world.calm(1.0)
         world.end(first, True, 0)
