--- a/bench/report/__init__.py
+++ b/bench/report/__init__.py
@@ -1,1 +1,1 @@
-"""The page of benchmarks: kept figures, plots and their history."""
+"""The page of benchmarks: stored figures, plots and their history."""
--- a/bench/report/__main__.py
+++ b/bench/report/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench.report``: measure, keep, and write the page."""
+"""``python -m bench.report``: measure, store results, write the page."""
 
 import argparse
 import datetime
@@ -8,25 +8,25 @@
 
 from bench import capacity
 from bench.report import history
-from bench.report import kept as kept_figures
 from bench.report import page
+from bench.report import results
 
-FOLDER = capacity.ROOT / "docs" / "benchmarks"
-POLICY = (("policy", ("-m", "bench.policy")),)
+PAGE_DIRECTORY = capacity.ROOT / "docs" / "benchmarks"
+POLICY_SOURCES = (("policy", ("-m", "bench.policy")),)
 MEASURED_CODE = ("crocuskeel", "bench", ":!bench/results")
 
 
 def _measure(sources):
-    """Run benchmarks; a failed one leaves its kept figures as they are."""
+    """Run benchmarks; if one fails, its stored figures remain."""
     for name, command in sources:
         print(f"measuring {name}", file=sys.stderr, flush=True)
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, *command], cwd=capacity.ROOT, check=True,
             stdout=subprocess.PIPE, text=True, timeout=capacity.TIMEOUT_S)
         path = capacity.RESULTS / f"{name}.jsonl"
-        fresh = path.with_suffix(".new")
-        fresh.write_text(done.stdout)
-        os.replace(fresh, path)
+        new_path = path.with_suffix(".new")
+        new_path.write_text(process.stdout)
+        os.replace(new_path, path)
 
 
 def _git(*args):
@@ -36,7 +36,7 @@
 
 
 def _commit():
-    """Return the short commit, with a + if the code differs from it."""
+    """Return the short commit hash, with a + if the code differs from it."""
     changed = _git("status", "--porcelain", "--", *MEASURED_CODE)
     return _git("rev-parse", "--short", "HEAD") + ("+" if changed else "")
 
@@ -45,31 +45,31 @@
     """Return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m bench.report",
                                      description=__doc__)
-    which = parser.add_mutually_exclusive_group()
-    which.add_argument("--measure", action="store_true",
-                       help="run all benchmarks (about ten minutes)")
-    which.add_argument("--kept", action="store_true",
-                       help="run none; just write the page")
+    mode = parser.add_mutually_exclusive_group()
+    mode.add_argument("--measure", action="store_true",
+                      help="run all benchmarks (about ten minutes)")
+    mode.add_argument("--kept", action="store_true",
+                      help="run none; only write the page")
     args = parser.parse_args(argv)
     if args.measure:
         capacity.measure()
-        _measure(kept_figures.HOSTS)
+        _measure(results.LOOPBACK_SOURCES)
     if not args.kept:
-        _measure(POLICY)
-    _write(args.kept)
+        _measure(POLICY_SOURCES)
+    _write_page(args.kept)
     return 0
 
 
-def _write(is_old):
-    kept = kept_figures.read(capacity.RESULTS)
+def _write_page(only_stored):
+    stored = results.read(capacity.RESULTS)
     path = capacity.RESULTS / "history.jsonl"
-    if is_old:
+    if only_stored:
         rows = history.load(path)
     else:
         date = datetime.datetime.now(datetime.UTC).date().isoformat()
-        figures = history.headlines(kept_figures.Asked(kept))
-        rows = history.keep(path, date, _commit(), figures)
-    page.write(kept, rows, FOLDER)
+        figures = history.headlines(results.FigureReader(stored))
+        rows = history.append(path, date, _commit(), figures)
+    page.write(stored, rows, PAGE_DIRECTORY)
 
 
 if __name__ == "__main__":
--- a/bench/report/history.py
+++ b/bench/report/history.py
@@ -1,12 +1,12 @@
-"""Headline figures of each commit, kept for comparison."""
+"""Headline figures of each commit, stored for comparison."""
 
 import json
 
 from bench.report import policy_plots
 
-__all__ = ["HEADLINES", "headlines", "keep", "load", "table"]
+__all__ = ["HEADLINES", "append", "headlines", "load", "table"]
 
-# Key, what the page calls it, figure's name and n (None: greatest n).
+# Key, title on the page, name of the figure and n (None: greatest n).
 HEADLINES = (
     ("in_force_max_s", "a change in force everywhere, 470 hosts, s",
      "settings_in_force_max", 470),
@@ -27,41 +27,41 @@
      "claims.window_0.33s.load_10.writes_a_claim", None),
     ("daemon_mb", "a daemon's memory, MB", "memory_daemon", None),
 )
-SHOWN = 6
-UNKNOWN = "not measured"
+SHOWN_COMMITS = 6
+NOT_MEASURED = "not measured"
 
 
-def headlines(asked):
-    """Return a dozen figures by key; None where not measured."""
-    found = {}
+def headlines(reader):
+    """Return the headline figures by key; None where not measured."""
+    figures = {}
     for deployment in policy_plots.DEPLOYMENTS:
-        found |= _of_policy(asked, deployment)
+        figures |= _policy_headlines(reader, deployment)
     for key, _, name, n in HEADLINES:
-        found[key] = asked.get(name, n)
-    return found
+        figures[key] = reader.get(name, n)
+    return figures
 
 
-def _of_policy(asked, deployment):
-    steady = asked.run(deployment, "steady", "ours")
-    burst = asked.run(deployment, "burst", "ours")
-    oracle = asked.run(deployment, "burst", "oracle")
+def _policy_headlines(reader, deployment):
+    steady = reader.run(deployment, "steady", "ours")
+    burst = reader.run(deployment, "burst", "ours")
+    oracle = reader.run(deployment, "burst", "oracle")
     key = "top_tier_attainment"
     return {
-        f"{deployment}.top_of_steady": _ratio(burst, steady, key),
-        f"{deployment}.weighted_of_oracle": _ratio(
+        f"{deployment}.top_of_steady": _figure_ratio(burst, steady, key),
+        f"{deployment}.weighted_of_oracle": _figure_ratio(
             burst, oracle, "weighted_attainment"),
         f"{deployment}.burst_waste_pct": (
             None if burst is None else 100 * burst["wasted_work"]),
     }
 
 
-def _ratio(part, whole, key):
-    if part is None or whole is None or not whole[key]:
+def _figure_ratio(numerator, denominator, key):
+    if numerator is None or denominator is None or not denominator[key]:
         return None
-    return part[key] / whole[key]
+    return numerator[key] / denominator[key]
 
 
-_POLICY_NAMES = {
+_POLICY_TITLES = {
     "top_of_steady": "burst: top tier's attainment of steady's",
     "weighted_of_oracle": "burst: weighted attainment of oracle's",
     "burst_waste_pct": "burst: wasted work, %"}
@@ -70,19 +70,19 @@
 def _titles():
     titles = {f"{deployment}.{key}": f"{deployment}, {title}"
               for deployment in policy_plots.DEPLOYMENTS
-              for key, title in _POLICY_NAMES.items()}
+              for key, title in _POLICY_TITLES.items()}
     return titles | {key: title for key, title, _, _ in HEADLINES}
 
 
 def load(path):
-    """Return the kept lines, oldest first; none without the file."""
+    """Return the stored rows, oldest first; none if the file is missing."""
     if not path.exists():
         return []
     return [json.loads(line) for line in path.read_text().splitlines()]
 
 
-def keep(path, date, commit, figures):
-    """Add a commit's line; a repeat for the newest commit replaces it."""
+def append(path, date, commit, figures):
+    """Append a commit's row, replacing the last if it is of this commit."""
     rows = load(path)
     if rows and rows[-1]["commit"] == commit:
         rows.pop()
@@ -94,8 +94,8 @@
 
 
 def table(rows):
-    """Return header and rows for the page: newest commits last."""
-    rows = rows[-SHOWN:]
+    """Return the header and rows of the page's table, newest commit last."""
+    rows = rows[-SHOWN_COMMITS:]
     header = ["Figure"] + [f"{row['commit']}, {row['date']}"
                            for row in rows]
     lines = [[title] + [_cell(row["figures"].get(key)) for row in rows]
@@ -104,4 +104,4 @@
 
 
 def _cell(value):
-    return UNKNOWN if value is None else f"{value:g}"
+    return NOT_MEASURED if value is None else f"{value:g}"
--- a/bench/report/page.py
+++ b/bench/report/page.py
@@ -1,4 +1,4 @@
-"""Writes the page and its plots from what is kept."""
+"""Writes the page and its plots from the stored results."""
 
 import dataclasses
 import re
@@ -9,16 +9,16 @@
 from bench.report import canvas
 from bench.report import fleet_plots
 from bench.report import history
-from bench.report import kept as kept_figures
 from bench.report import policy_plots
+from bench.report import results
 
 __all__ = ["SECTIONS", "write"]
 
 PAGE = "README.md"
 WIDTH = 79
-_NAME = re.compile(r"`[^`]*`")
-_GAP = "\0"
-HEAD = """\
+_QUOTED_NAME = re.compile(r"`[^`]*`")
+_SPACE_MARK = "\0"
+INTRODUCTION = """\
 # Benchmarks
 
 Written by `make bench` (`python -m bench.report`): it runs the policy
@@ -42,7 +42,7 @@
     title: str
     command: str
     units: str
-    draw: typing.Callable[[kept_figures.Asked], canvas.Plot]
+    draw: typing.Callable[[results.FigureReader], canvas.Plot]
 
 
 SECTIONS = (
@@ -81,51 +81,51 @@
 )
 
 
-def write(kept, rows, folder):
-    """Write the page and its plots into a folder.
+def write(stored, rows, directory):
+    """Write the page and its plots into a directory.
 
-    ``rows`` are the lines of :mod:`bench.report.history`. The same
-    figures give the same bytes.
+    ``rows`` are those of :mod:`bench.report.history`. Equal figures give
+    equal bytes.
     """
-    folder.mkdir(parents=True, exist_ok=True)
-    parts = [HEAD]
-    parts += [_section(section, kept, folder) for section in SECTIONS]
-    parts.append(_history(rows))
-    (folder / PAGE).write_text("\n".join(parts))
-
-
-def _section(section, kept, folder):
-    asked = kept_figures.Asked(kept)
-    with canvas.style():
-        plot = section.draw(asked)
-        image = plot.figure and canvas.png(plot.figure)
-    path = folder / f"{section.slug}.png"
+    directory.mkdir(parents=True, exist_ok=True)
+    parts = [INTRODUCTION]
+    parts += [_section(section, stored, directory) for section in SECTIONS]
+    parts.append(_history_section(rows))
+    (directory / PAGE).write_text("\n".join(parts))
+
+
+def _section(section, stored, directory):
+    reader = results.FigureReader(stored)
+    with canvas.plot_style():
+        plot = section.draw(reader)
+        image = plot.figure and canvas.to_png(plot.figure)
+    path = directory / f"{section.slug}.png"
     lines = [f"## {section.title}", ""]
     if image is None:
         path.unlink(missing_ok=True)
         lines += ["**Not measured.**", ""]
     else:
         path.write_bytes(image)
-        lines += [_wrap(plot.reading), "",
+        lines += [_wrap(plot.summary), "",
                   f"![{section.title}]({path.name})", ""]
     lines += [_wrap(f"Unit: {section.units}."), "",
               f"Source: `{section.command}`", ""]
-    if asked.missing:
-        lines += [_missing(asked.missing), ""]
+    if reader.missing:
+        lines += [_missing_figures(reader.missing), ""]
     return "\n".join(lines)
 
 
-def _missing(names):
+def _missing_figures(names):
     listed = ", ".join(f"`{name}`" for name in dict.fromkeys(names))
     return _wrap(f"Not measured: {listed}.")
 
 
-def _history(rows):
+def _history_section(rows):
     header, lines = history.table(rows)
     text = ("Each commit's line is in `bench/results/history.jsonl`; the "
-            f"newest {history.SHOWN} are shown. A `+` marks figures of a "
-            "tree with changes on top of that commit. A line holds the kept "
-            "figures of its day: but for the policy benchmark they may "
+            f"newest {history.SHOWN_COMMITS} are shown. A `+` marks figures "
+            "of a tree with changes on top of that commit. A line holds the "
+            "kept figures of its day: but for the policy benchmark they may "
             "have been measured at an earlier commit. Figures of "
             "processor time and latency compare only between runs on a "
             "machine as busy.")
@@ -135,8 +135,9 @@
 
 
 def _wrap(text):
-    # A name is not cut at its spaces, or a reader can't search for it.
-    whole = _NAME.sub(lambda each: each[0].replace(" ", _GAP), text)
-    lines = textwrap.fill(whole, WIDTH, break_long_words=False,
+    # Names are not wrapped at spaces, so that they can be searched for.
+    marked = _QUOTED_NAME.sub(
+        lambda match: match[0].replace(" ", _SPACE_MARK), text)
+    lines = textwrap.fill(marked, WIDTH, break_long_words=False,
                           break_on_hyphens=False)
-    return lines.replace(_GAP, " ")
+    return lines.replace(_SPACE_MARK, " ")
--- a/tests/bench/test_report.py
+++ b/tests/bench/test_report.py
@@ -1,4 +1,4 @@
-"""The page of benchmarks says what was measured, and what was not."""
+"""The page of benchmarks shows what was measured and what was not."""
 
 import json
 import pathlib
@@ -6,8 +6,8 @@
 import unittest
 
 from bench.report import history
-from bench.report import kept
 from bench.report import page
+from bench.report import results
 
 CLASSES = {
     "quote": {"tier": 1, "attainment": 0.9, "longest_wait_s": 0.5,
@@ -28,59 +28,60 @@
     {"name": "hosts_3.ttft_added_p95", "n": 9, "value": 3.5})
 
 
-def _fill(folder):
+def _write_results(directory):
     for name, rows in (("policy", RUNS), ("core", CORE),
                        ("loopback", LOOPBACK)):
         text = "".join(json.dumps(row) + "\n" for row in rows)
-        (folder / f"{name}.jsonl").write_text(text)
+        (directory / f"{name}.jsonl").write_text(text)
 
 
-def _make(results, pages):
-    """Keep two commits' lines, write the page; return files by name."""
-    found = kept.read(results)
-    figures = history.headlines(kept.Asked(found))
-    path = results / "history.jsonl"
-    history.keep(path, "2030-01-01", "aaa", figures | {"token_us": 50.0})
+def _write_page(results_directory, page_directory):
+    """Store two commits' rows, write the page; return files by name."""
+    stored = results.read(results_directory)
+    figures = history.headlines(results.FigureReader(stored))
+    path = results_directory / "history.jsonl"
+    history.append(path, "2030-01-01", "aaa", figures | {"token_us": 50.0})
     for _ in range(2):
-        rows = history.keep(path, "2030-01-02", "bbb", figures)
-    page.write(found, rows, pages)
+        rows = history.append(path, "2030-01-02", "bbb", figures)
+    page.write(stored, rows, page_directory)
     path.unlink()
-    return {each.name: each.read_bytes() for each in pages.iterdir()}
+    return {file.name: file.read_bytes() for file in page_directory.iterdir()}
 
 
 class ReportTest(unittest.TestCase):
-    """From a tiny set of figures."""
+    """A page written from a small set of figures."""
 
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.root = pathlib.Path(folder.name)
-        _fill(self.root)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.root = pathlib.Path(directory.name)
+        _write_results(self.root)
 
     def test_page(self):
-        """A reader of the page takes a guess for a measurement.
+        """Guards against a page that hides missing or missed figures.
 
         One benchmark was not run, another ran in part, a third missed
-        its goal. The page must name each of these, keep the earlier
-        commit's line beside the new one, and change only when the
-        figures do, or every run shows as a change to review.
+        its goal. The page must name each of these, show the earlier
+        commit's figures beside the new ones, and change only when the
+        figures do; otherwise each run would produce a change to review.
         """
-        first = _make(self.root, self.root / "one")
+        first = _write_page(self.root, self.root / "one")
         text = first["README.md"].decode()
-        self.assertEqual(first, _make(self.root, self.root / "two"))
-        self._check_what_is_missing(first, text)
-        plain = " ".join(text.split())
-        self.assertIn("together 0.970 (goal 0.990, **missed**)", plain)
-        self.assertIn("wastes 1.23 % in burst (goal 1 %, **missed**;", plain)
-        self.assertIn("A token costs 44 µs with 3 hosts (met).", plain)
-        self.assertIn("3.5 ms with 3 hosts (**missed**)", plain)
+        self.assertEqual(first, _write_page(self.root, self.root / "two"))
+        self._check_missing_figures(first, text)
+        unwrapped = " ".join(text.split())
+        self.assertIn("together 0.970 (goal 0.990, **missed**)", unwrapped)
+        self.assertIn(
+            "wastes 1.23 % in burst (goal 1 %, **missed**;", unwrapped)
+        self.assertIn("A token costs 44 µs with 3 hosts (met).", unwrapped)
+        self.assertIn("3.5 ms with 3 hosts (**missed**)", unwrapped)
         self.assertIn("| Figure | aaa, 2030-01-01 | bbb, 2030-01-02 |\n",
                       text)
         self.assertIn("| µs a token, 3 hosts | 50 | 44 |", text)
         self.assertIn("470 hosts, s | not measured | not measured |", text)
 
-    def _check_what_is_missing(self, files, text):
-        plots = {f"{each.slug}.png" for each in page.SECTIONS}
+    def _check_missing_figures(self, files, text):
+        plots = {f"{file.slug}.png" for file in page.SECTIONS}
         drawn = {"attainment.png", "waste.png", "waits.png",
                  "requests.png", "relay.png"}
         self.assertEqual(drawn | {"README.md"}, set(files))
