--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,11 +1,12 @@
-"""Reruns the slopes and rewrites the tables of docs/CAPACITY.md.
+"""Reruns the benchmarks and rewrites the tables of docs/CAPACITY.md.
 
-Each figure of the page is worked out here from figures that the other
-benchmarks print, so that the page can't drift from the code. Between two
-marker comments the page is generated; the words around are by hand.
+Each figure of the page is computed here from figures that the other
+benchmarks print, so that the page can't drift from the code. The page is
+generated between two marker comments; the text around them is written by
+hand.
 
-Run as ``python -m bench.capacity`` (``make capacity``); ``--kept`` works
-from the figures of the last run in ``bench/results``.
+Run as ``python -m bench.capacity`` (``make capacity``); ``--kept`` uses
+the figures of the last run, which are stored in ``bench/results``.
 """
 
 import argparse
@@ -34,14 +35,14 @@
 
 
 class Figures:
-    """Figures by name and n, with the command that printed each."""
+    """Figures by name and n, and the command that printed each."""
 
     def __init__(self):
         self.values = {}
         self.commands = {}
 
     def add(self, text, command):
-        """Take the JSON lines that a benchmark printed."""
+        """Add the JSON lines that a benchmark printed."""
         for line in text.splitlines():
             row = json.loads(line)
             self.values[row["name"], row["n"]] = row["value"]
@@ -50,34 +51,34 @@
     def get(self, name, n=None):
         """Return a figure; without ``n`` the one of the greatest n.
 
-        Raises KeyError for one that no benchmark printed.
+        Raises KeyError for a figure that no benchmark printed.
         """
         if n is None:
-            found = [key for key in self.values if key[0] == name]
-            if not found:
+            keys = [key for key in self.values if key[0] == name]
+            if not keys:
                 raise KeyError(name)
-            n = max(found, key=lambda key: key[1])[1]
+            n = max(keys, key=lambda key: key[1])[1]
         return self.values[name, n]
 
     def slope(self, name, low, high):
-        """Return the growth of a figure by one more n."""
+        """Return the growth of a figure per increment of n."""
         change = self.get(name, high) - self.get(name, low)
         return change / (high - low)
 
 
 def measure():
-    """Run every benchmark; keep what they print."""
+    """Run every benchmark and store its output."""
     RESULTS.mkdir(exist_ok=True)
     for name, command in SOURCES:
         print(f"measuring {name}", file=sys.stderr, flush=True)
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, *command], cwd=ROOT, check=True,
             capture_output=True, text=True, timeout=TIMEOUT_S)
-        (RESULTS / f"{name}.jsonl").write_text(done.stdout)
+        (RESULTS / f"{name}.jsonl").write_text(process.stdout)
 
 
 def read():
-    """Return the kept :class:`Figures`."""
+    """Return the stored :class:`Figures`."""
     figures = Figures()
     for name, command in SOURCES:
         text = (RESULTS / f"{name}.jsonl").read_text()
@@ -102,14 +103,14 @@
 
 
 def rewrite(page, part):
-    """Return the page's text with its generated part replaced."""
+    """Return the text of the page with its generated part replaced."""
     head, _, rest = page.partition(BEGIN)
     _, _, tail = rest.partition(END)
     return f"{head}{BEGIN}\n\n{part}\n\n{END}{tail}"
 
 
 def main(argv=None):
-    """Measure unless told not to, and rewrite the page."""
+    """Measure, unless ``--kept`` is given, and rewrite the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--kept", action="store_true",
                         help="don't measure anew")
--- a/bench/control_figures.py
+++ b/bench/control_figures.py
@@ -1,7 +1,7 @@
-"""Figures of the control daemon's reducer: processor time by engines.
+"""Figures of the control program's reducer: CPU time by engine count.
 
-Prints one JSON object a line: name, value, unit, n (engines). Virtual
-clock, fakes of store and engines; HTTP is not in it.
+Prints one JSON object per figure: name, value, unit, n (engines). Uses a
+virtual clock and fakes of the store and the engines; HTTP is excluded.
 
 Run as ``python -m bench.control_figures``.
 """
@@ -15,28 +15,28 @@
 SERVICES = 7
 DOMAINS = "abcdefgh"
 SETTLE_S = 25
-SPAN_S = 60
+MEASURE_S = 60
 
 
-def _world(count):
+def _new_world(count):
     world = worlds.World(count=0)
     for number in range(count):
         domain = DOMAINS[number * len(DOMAINS) // count]
         world.add_engine(f"e{number}", f"s{number % SERVICES}", domain,
                          True)
-    _want(world, "m:1")
+    _set_model(world, "m:1")
     world.run(SETTLE_S, "x")
     return world
 
 
-def _want(world, model):
+def _set_model(world, model):
     for number in range(SERVICES):
         world.want(f"s{number}", model)
 
 
-def _spent(world):
+def _measure_cpu_s(world):
     before = time.process_time()
-    world.run(SPAN_S, "x")
+    world.run(MEASURE_S, "x")
     return time.process_time() - before
 
 
@@ -47,13 +47,13 @@
 
 
 def main():
-    """Measure an idle holder and one in the middle of a rollout."""
+    """Measure a lease holder while idle and during a rollout."""
     for count in ENGINES:
-        world = _world(count)
-        emit("control_cpu_idle", _spent(world) / SPAN_S * 100,
+        world = _new_world(count)
+        emit("control_cpu_idle", _measure_cpu_s(world) / MEASURE_S * 100,
              "% of a core", count)
-        _want(world, "m:2")
-        emit("control_cpu_rollout", _spent(world) / SPAN_S * 100,
+        _set_model(world, "m:2")
+        emit("control_cpu_rollout", _measure_cpu_s(world) / MEASURE_S * 100,
              "% of a core", count)
 
 
--- a/bench/core_figures.py
+++ b/bench/core_figures.py
@@ -1,9 +1,9 @@
-"""Figures of the request path's control work: processor time and bytes.
+"""Figures of the control work per request: CPU time and bytes.
 
-Two real daemons' reducers without any I/O: one holds the callers (door),
-the other dispatches the cell. Each request goes the whole way: arrives,
-is queued, granted, opened, reports progress, closes, is released. Prints
-one JSON object a line: name, value, unit, n.
+Runs the reducers of two daemons without I/O: one is the entry host of the
+callers, the other dispatches the cell. Each request passes through all
+stages: it arrives, is queued, granted, opened, reports progress, closes
+and is released. Prints one JSON object per figure: name, value, unit, n.
 
 Run as ``python -m bench.core_figures``.
 """
@@ -23,12 +23,12 @@
 from crocuskeel import wire
 
 CELL_SIZES = (4, 8, 16, 32, 64)
-QUEUES = (0, 100, 1000)
+QUEUE_LENGTHS = (0, 100, 1000)
 LOCATE_HOSTS = (9, 81, 470)
 REQUESTS = 1500
-PROGRESSES = 4
+PROGRESS_REPORTS = 4
 SERVICE = "llm"
-SHA = "a" * 64
+TOKEN_SHA256 = "a" * 64
 SLOTS = 8
 DOCUMENT = {
     "deployment": {"name": "d", "failure_domains": ["a", "b"]},
@@ -37,20 +37,21 @@
                            "max_slots_per_engine": SLOTS}},
     "classes": {"chat": {"service": SERVICE, "tier": 1,
                          "deadline_s": 3600.0, "queue_limit": 5000}},
-    "workspaces": {"ws": {"tokens": [{"caller": "c", "sha256": SHA}]}},
+    "workspaces": {
+        "ws": {"tokens": [{"caller": "c", "sha256": TOKEN_SHA256}]}},
 }
 
 
-class Pair:
-    """Two daemons and the processor time each spent reducing."""
+class DaemonPair:
+    """Two daemons and the CPU time that each spent reducing."""
 
     def __init__(self, engines):
         seeds = (("h1", "127.0.0.1", 1), ("h2", "127.0.0.2", 1))
         self.now = 100.0
-        self.spent = collections.Counter()
+        self.cpu_s = collections.Counter()
         self.bytes = 0
         self.messages = 0
-        self.granted = collections.deque()
+        self.opened_attempts = collections.deque()
         self.refused = 0
         document = DOCUMENT | {"cell_size": engines}
         tree = conf_tree.from_document(document, 1)
@@ -59,39 +60,39 @@
             me = states.Identity("d", name, "a", "r", address, port, 2, 1,
                                  seeds)
             self.daemons[name] = factory.new_daemon(me, tree=tree)
-        self.owner = placement.owner(f"{SERVICE}/0", ("h1", "h2"))
-        self.door = "h2" if self.owner == "h1" else "h1"
+        self.dispatcher_host = placement.owner(f"{SERVICE}/0", ("h1", "h2"))
+        self.entry_host = "h2" if self.dispatcher_host == "h1" else "h1"
         servers = tuple(
             messages.Backend(f"e{n}", SERVICE, "http://x", "ab"[n % 2])
             for n in range(engines))
         for name in self.daemons:
-            self.feed(name, events.Started())
+            self.deliver(name, events.Started())
         for name in self.daemons:
-            self.feed(name, events.HostListSeen(1, (), servers))
-        self.settle()
+            self.deliver(name, events.HostListSeen(1, (), servers))
+        self.run_until_settled()
 
-    def settle(self):
-        """Let members meet and the dispatcher's settling time pass."""
+    def run_until_settled(self):
+        """Run until the members know each other and the dispatcher settled."""
         for _ in range(60):
             self.now += 0.1
             for name, daemon in self.daemons.items():
-                for key in list(self.timers_of(daemon)):
-                    self.feed(name, events.TimerFired(key))
+                for key in list(self.pop_timers(daemon)):
+                    self.deliver(name, events.TimerFired(key))
 
-    def timers_of(self, daemon):
-        return self.pending.pop(daemon.me.host, ())
+    def pop_timers(self, daemon):
+        return self.pending_timers.pop(daemon.me.host, ())
 
-    pending: dict = {}
+    pending_timers: dict = {}
 
-    def feed(self, name, event):
-        """Reduce one event, time it, deliver what it sends."""
+    def deliver(self, name, event):
+        """Reduce one event, measure the time, execute its effects."""
         before = time.perf_counter()
         out = reducer.reduce(self.daemons[name], event, self.now)
-        self.spent[name] += time.perf_counter() - before
+        self.cpu_s[name] += time.perf_counter() - before
         for effect in out:
-            self._do(name, effect)
+            self._execute(name, effect)
 
-    def _do(self, name, effect):
+    def _execute(self, name, effect):
         match effect:
             case effects.Send(host=host, message=message):
                 self._send(name, host, message)
@@ -100,9 +101,9 @@
                     if host != name:
                         self._send(name, host, message)
             case effects.SetTimer(key=key):
-                self.pending.setdefault(name, []).append(key)
+                self.pending_timers.setdefault(name, []).append(key)
             case effects.OpenAttempt():
-                self.granted.append(effect)
+                self.opened_attempts.append(effect)
             case effects.Answer():
                 self.refused += 1
 
@@ -111,25 +112,25 @@
             return
         self.bytes += wire.to_frame(message).ByteSize()
         self.messages += 1
-        self.feed(host, events.Received(name, 1, message, 1))
+        self.deliver(host, events.Received(name, 1, message, 1))
 
     def arrive(self, number):
-        """A caller's request reaches the door."""
-        self.feed(self.door, events.RequestArrived(
-            f"{self.door}.1.{number}", SHA, "POST", "/v1/chat/completions",
-            "chat", "m", True, 200, 200, number % 50, f"d{number}",
-            f"f{number}"))
-
-    def run_one(self):
-        """Let the oldest granted attempt run to its end."""
-        opened = self.granted.popleft()
+        """Deliver a caller's request to the entry host."""
+        self.deliver(self.entry_host, events.RequestArrived(
+            f"{self.entry_host}.1.{number}", TOKEN_SHA256, "POST",
+            "/v1/chat/completions", "chat", "m", True, 200, 200, number % 50,
+            f"d{number}", f"f{number}"))
+
+    def run_attempt(self):
+        """Run the oldest granted attempt to completion."""
+        opened = self.opened_attempts.popleft()
         rid, attempt = opened.rid, opened.attempt
-        self.feed(self.door, events.AttemptOpened(rid, attempt, 0.2))
-        for number in range(PROGRESSES):
-            self.feed(self.door, events.AttemptProgress(
+        self.deliver(self.entry_host, events.AttemptOpened(rid, attempt, 0.2))
+        for number in range(PROGRESS_REPORTS):
+            self.deliver(self.entry_host, events.AttemptProgress(
                 rid, attempt, 50 * number))
         self.now += 0.001
-        self.feed(self.door, events.AttemptClosed(
+        self.deliver(self.entry_host, events.AttemptClosed(
             rid, attempt, events.AttemptEnd.DONE, 200, 200, 0.2, 0.03))
 
 
@@ -140,25 +141,25 @@
 
 
 def measure(engines, queued):
-    """Emit what a request costs with this many engines and waiters."""
-    pair = Pair(engines)
+    """Emit the costs of a request with ``queued`` waiting requests."""
+    pair = DaemonPair(engines)
     total = 0
-    while len(pair.granted) < 1 or total < queued + engines:
+    while len(pair.opened_attempts) < 1 or total < queued + engines:
         pair.arrive(total)
         total += 1
-    if not pair.granted:
-        raise RuntimeError("nothing was granted")
-    pair.spent.clear()
+    if not pair.opened_attempts:
+        raise RuntimeError("no request was granted")
+    pair.cpu_s.clear()
     pair.bytes = pair.messages = 0
     for _ in range(REQUESTS):
-        pair.run_one()
+        pair.run_attempt()
         pair.arrive(total)
         total += 1
     suffix = f"_queue_{queued}"
     emit("door_cpu_a_request" + suffix,
-         pair.spent[pair.door] / REQUESTS * 1e6, "us", engines)
+         pair.cpu_s[pair.entry_host] / REQUESTS * 1e6, "us", engines)
     emit("dispatcher_cpu_a_request" + suffix,
-         pair.spent[pair.owner] / REQUESTS * 1e6, "us", engines)
+         pair.cpu_s[pair.dispatcher_host] / REQUESTS * 1e6, "us", engines)
     emit("grant_bytes_a_request" + suffix, pair.bytes / REQUESTS, "B",
          engines)
     emit("grant_messages_a_request" + suffix, pair.messages / REQUESTS,
@@ -168,7 +169,7 @@
 
 
 def measure_locate(hosts):
-    """Emit what one answer to ``GET locate`` costs in a fleet."""
+    """Emit the CPU time of one answer to ``GET locate``."""
     me = states.Identity("d", "h000", "a", "r", "127.0.0.1", 1, 2, 1)
     daemon = factory.new_daemon(
         me, tree=conf_tree.from_document(DOCUMENT, 1))
@@ -180,36 +181,38 @@
         reducer.reduce(daemon, events.Received(
             update.host, 1, messages.Probe(1, (update,)), 0,
             update.address), 1.0)
-    tries = 300
+    iterations = 300
     answered = 0
     before = time.perf_counter()
-    for number in range(tries):
-        ask = events.LocateAsked(f"h000.1.{number}", SHA, "z1", "chat")
+    for number in range(iterations):
+        ask = events.LocateAsked(
+            f"h000.1.{number}", TOKEN_SHA256, "z1", "chat")
         out = reducer.reduce(daemon, ask, 2.0)
-        answered += sum(type(e) is effects.AnswerLocate for e in out)
-    spent = time.perf_counter() - before
-    if answered != tries:
-        raise RuntimeError(f"{answered} answers to {tries} questions")
-    emit("locate_cpu_an_answer", spent / tries * 1e6, "us", hosts)
+        answered += sum(type(effect) is effects.AnswerLocate for effect in out)
+    cpu_s = time.perf_counter() - before
+    if answered != iterations:
+        raise RuntimeError(
+            f"{answered} answers to {iterations} locate requests")
+    emit("locate_cpu_an_answer", cpu_s / iterations * 1e6, "us", hosts)
 
 
 def measure_wire():
-    """Emit the cost of one message through codec and seal."""
+    """Emit the CPU time of encoding and decoding one message."""
     message = messages.Enqueue("h1.1.1", 1, "llm/0", SERVICE, "chat", "ws",
                                1, fingerprint="f" * 32)
-    tries = 5000
+    iterations = 5000
     before = time.perf_counter()
-    for _ in range(tries):
+    for _ in range(iterations):
         wire.from_frame(wire.to_frame(message))
-    spent = time.perf_counter() - before
-    emit("wire_cpu_a_message_both_ends", spent / tries * 1e6, "us", 1)
+    cpu_s = time.perf_counter() - before
+    emit("wire_cpu_a_message_both_ends", cpu_s / iterations * 1e6, "us", 1)
 
 
 def main():
     """Measure all sizes."""
     for engines in CELL_SIZES:
         measure(engines, 0)
-    for queued in QUEUES[1:]:
+    for queued in QUEUE_LENGTHS[1:]:
         measure(8, queued)
     for hosts in LOCATE_HOSTS:
         measure_locate(hosts)
--- a/bench/membership_figures.py
+++ b/bench/membership_figures.py
@@ -2,8 +2,8 @@
 
 ``python -m bench.membership_figures`` prints JSON lines with ``name``,
 ``value``, ``unit`` and ``n``. Bytes are those of the sealed datagram
-without IP and UDP headers; CPU is this process's whole time, the
-virtual clock's own work included, spread over the hosts.
+without IP and UDP headers. CPU is the CPU time of this whole process,
+including the virtual clock, divided by the number of hosts.
 """
 
 import heapq
@@ -32,10 +32,10 @@
 
 
 class Fleet:
-    """Daemons by address, and what is under way between them.
+    """Daemons by address, and the messages in transit between them.
 
-    ``lost(sender, receiver)`` decides on each datagram; ``deaths`` are
-    (time, who declared, host declared) in order.
+    ``lost(sender, receiver)`` tells of each datagram whether it is lost.
+    ``deaths`` lists (time, declaring host, declared host) in order.
     """
 
     def __init__(self, seed):
@@ -62,39 +62,39 @@
             me, state.Limits(), rng, follower.new_state(),
             membership.new_state(me), *([None] * 5))
         self.daemons[me.address] = daemon
-        self._put(self.now, me.address, events.Started())
+        self._schedule(self.now, me.address, events.Started())
         return me.address
 
     def stop(self, address):
-        """Let a daemon crash."""
+        """Crash a daemon; return it."""
         return self.daemons.pop(address)
 
-    def pause(self, address, span):
-        """Let a daemon stand still; what comes in waits."""
+    def pause(self, address, duration_s):
+        """Pause a daemon; its incoming events are queued."""
         self.paused[address] = []
-        self._put(self.now + span, address, None)
+        self._schedule(self.now + duration_s, address, None)
 
-    def run(self, span):
+    def run(self, duration_s):
         """Advance the clock."""
-        end = self.now + span
+        end = self.now + duration_s
         while self._heap and self._heap[0][0] <= end:
             self.now, _, address, event = heapq.heappop(self._heap)
             self._deliver(address, event)
         self.now = end
 
-    def _put(self, at, address, event):
-        heapq.heappush(self._heap, (at, next(self._order), address, event))
+    def _schedule(self, due_at, address, event):
+        heapq.heappush(self._heap, (due_at, next(self._order), address, event))
 
     def _deliver(self, address, event):
         daemon = self.daemons.get(address)
         if daemon is None:
             return
         if event is None:
-            # As twisted's reactor: due timers first, then datagrams.
-            held = self.paused.pop(address)
-            held.sort(key=lambda e: type(e) is not tuple)
-            for waiting in held:
-                self._deliver(address, waiting)
+            # As in twisted's reactor, due timers precede datagrams.
+            queued = self.paused.pop(address)
+            queued.sort(key=lambda event: type(event) is not tuple)
+            for queued_event in queued:
+                self._deliver(address, queued_event)
         elif address in self.paused:
             self.paused[address].append(event)
         else:
@@ -107,21 +107,21 @@
                 return
             event = events.TimerFired(event[0])
         elif type(event) is bytes:
-            event = _open(event, daemon)
+            event = _open_sealed(event, daemon)
         self.tell(daemon, event)
 
     def tell(self, daemon, event):
-        """Reduce an event and carry out its effects."""
+        """Reduce an event and execute its effects."""
         for effect in membership.handle(daemon, event, self.now):
-            self._effect(daemon, effect)
+            self._execute(daemon, effect)
 
-    def _effect(self, daemon, effect):
+    def _execute(self, daemon, effect):
         me = daemon.me.address
         match effect:
-            case effects.SetTimer(key=key, after_s=span):
+            case effects.SetTimer(key=key, after_s=duration_s):
                 token = next(self._order)
                 self._timers[me, key] = token
-                self._put(self.now + span, me, (key, token))
+                self._schedule(self.now + duration_s, me, (key, token))
             case effects.Send():
                 self._send(daemon, effect)
             case effects.Record(kind=kind, fields=fields):
@@ -141,7 +141,7 @@
             self.sent[1] += len(event)
         if not self.lost(daemon.me.address, address):
             delay = self.rng.uniform(0.0005, 0.005)
-            self._put(self.now + delay, address, event)
+            self._schedule(self.now + delay, address, event)
 
 
 def sealed(daemon, effect):
@@ -154,7 +154,7 @@
     return wire.seal(KEY, batch).SerializeToString()
 
 
-def _open(data, daemon):
+def _open_sealed(data, daemon):
     batch = wire.open_sealed(KEY, pb.Sealed.FromString(data),
                              daemon.me.deployment, daemon.me.host)
     return events.Received(batch.sender, batch.incarnation,
@@ -162,170 +162,174 @@
 
 
 def new_fleet(hosts, seed=0, loss=0.0):
-    """Return a fleet whose hosts know each other, 6 s after start."""
+    """Return a fleet, 6 s after its start, whose hosts know each other."""
     fleet = Fleet(seed)
     names = [f"entry-{index:03}" for index in range(hosts)]
-    # Hosts of one failure domain are named in a row, as sites do.
+    # Hosts of one failure domain have consecutive names, as is usual at
+    # real sites.
     for index, host in enumerate(names):
         fleet.add(host, f"domain-{index * DOMAINS // hosts}")
-    infos = tuple(d.members.me for d in fleet.daemons.values())
+    members = tuple(daemon.members.me for daemon in fleet.daemons.values())
     for daemon in fleet.daemons.values():
-        told = messages.ProbeAck(0, infos)
-        membership.handle(daemon, events.HostListSeen(1, infos, ()), 0.0)
-        membership.handle(daemon, events.Received("", 0, told), 0.0)
+        ack = messages.ProbeAck(0, members)
+        membership.handle(daemon, events.HostListSeen(1, members, ()), 0.0)
+        membership.handle(daemon, events.Received("", 0, ack), 0.0)
         daemon.members.queue.clear()
     fleet.lost = lambda sender, receiver: fleet.rng.random() < loss
     fleet.run(6.0)
     return fleet
 
 
-def _print(name, value, unit, n):
+def _emit(name, value, unit, n):
     print(json.dumps({"name": name, "value": round(value, 5),
                       "unit": unit, "n": n}), flush=True)
 
 
-def _bare():
-    # What one heartbeat without updates would cost.
+def _measure_bare_datagram():
+    # The size of a heartbeat without updates.
     fleet = new_fleet(2)
     daemon, other = fleet.daemons.values()
     send = effects.Send(other.me.host, messages.Probe(100000))
-    _print("membership.bare_datagram", len(sealed(daemon, send)),
-           "bytes", 1)
+    _emit("membership.bare_datagram", len(sealed(daemon, send)),
+          "bytes", 1)
 
 
-def _costs():
-    span = {3: 60, 9: 60, 27: 30, 81: 15, 243: 8, 470: 6}
+def _measure_costs():
+    duration_s = {3: 60, 9: 60, 27: 30, 81: 15, 243: 8, 470: 6}
     rows = []
     for hosts in SIZES:
         fleet = new_fleet(hosts)
         fleet.run(20.0 if hosts < 200 else 5.0)
         fleet.encode = True
-        began = time.process_time()
-        fleet.run(span[hosts])
-        used = time.process_time() - began
-        total = hosts * span[hosts]
-        row = (fleet.sent[0] / total, fleet.sent[1] / total,
-               100 * used / total)
+        started_at = time.process_time()
+        fleet.run(duration_s[hosts])
+        cpu_used_s = time.process_time() - started_at
+        host_seconds = hosts * duration_s[hosts]
+        row = (fleet.sent[0] / host_seconds, fleet.sent[1] / host_seconds,
+               100 * cpu_used_s / host_seconds)
         rows.append(row)
         for name, value, unit in zip(
                 ("datagrams", "bytes", "cpu"), row,
                 ("datagrams/s/host", "bytes/s/host", "% of a core")):
-            _print(f"membership.{name}", value, unit, hosts)
-    for at, name in enumerate(("datagrams", "bytes", "cpu")):
-        # The period grows up to some hundred hosts; what counts for
-        # larger fleets is the slope of the upper sizes.
+            _emit(f"membership.{name}", value, unit, hosts)
+    for index, name in enumerate(("datagrams", "bytes", "cpu")):
+        # The probe period grows up to a few hundred hosts, so the slope
+        # of the largest sizes predicts the cost of larger fleets.
         slope = statistics.linear_regression(
-            SIZES[-3:], [row[at] for row in rows[-3:]]).slope
-        _print(f"membership.{name}.slope_81_to_470", slope,
-               "a further host", 3)
+            SIZES[-3:], [row[index] for row in rows[-3:]]).slope
+        _emit(f"membership.{name}.slope_81_to_470", slope,
+              "a further host", 3)
 
 
-def _detection(hosts, loss, trials):
-    spans = []
-    false = 0
+def _measure_detection(hosts, loss, trials):
+    durations_s = []
+    false_deaths = 0
     for seed in range(trials):
         fleet = new_fleet(hosts, seed, loss)
         fleet.run(fleet.rng.uniform(0, 2))
         address = fleet.rng.choice(sorted(fleet.daemons))
         victim = fleet.stop(address).me.host
-        at = fleet.now
+        died_at = fleet.now
         fleet.run(6.0 if hosts < 30 else 15.0)
-        seen = {who: when - at for when, who, host in fleet.deaths
-                if host == victim}
-        spans += [seen.get(d.me.host, math.inf)
-                  for d in fleet.daemons.values()]
-        false += sum(host != victim for _, _, host in fleet.deaths)
+        detected_after_s = {
+            reporter: when - died_at
+            for when, reporter, host in fleet.deaths if host == victim}
+        durations_s += [detected_after_s.get(daemon.me.host, math.inf)
+                        for daemon in fleet.daemons.values()]
+        false_deaths += sum(host != victim for _, _, host in fleet.deaths)
     label = f"membership.detection.{hosts}hosts.loss{loss:.0%}"
-    _print(label + ".p50", statistics.median(spans), "s", len(spans))
-    _print(label + ".max", max(spans), "s", len(spans))
-    _print(label + ".false_deaths", false, "deaths", trials)
+    _emit(
+        label + ".p50", statistics.median(durations_s), "s", len(durations_s))
+    _emit(label + ".max", max(durations_s), "s", len(durations_s))
+    _emit(label + ".false_deaths", false_deaths, "deaths", trials)
 
 
-def _pauses(hosts, loss, trials):
-    false = 0
+def _measure_pauses(hosts, loss, trials):
+    false_deaths = 0
     for seed in range(trials):
         fleet = new_fleet(hosts, seed, loss)
         fleet.run(fleet.rng.uniform(0, 2))
         fleet.pause(fleet.rng.choice(sorted(fleet.daemons)), 2.0)
         fleet.run(10.0)
-        false += len(fleet.deaths)
-    _print(f"membership.pause2s.{hosts}hosts.loss{loss:.0%}.false_deaths",
-           false, "deaths", trials)
+        false_deaths += len(fleet.deaths)
+    _emit(f"membership.pause2s.{hosts}hosts.loss{loss:.0%}.false_deaths",
+          false_deaths, "deaths", trials)
 
 
-def _quiet(hosts, loss, span):
+def _measure_quiet(hosts, loss, duration_s):
     fleet = new_fleet(hosts, 1, loss)
-    fleet.run(span)
-    _print(f"membership.quiet.{hosts}hosts.loss{loss:.0%}.false_deaths",
-           len(fleet.deaths), "deaths", int(span * hosts))
+    fleet.run(duration_s)
+    _emit(f"membership.quiet.{hosts}hosts.loss{loss:.0%}.false_deaths",
+          len(fleet.deaths), "deaths", int(duration_s * hosts))
 
 
-def _agreed(fleet):
-    want = tuple(sorted(d.me.host for d in fleet.daemons.values()))
-    return all(membership.live(d) == want
-               for d in fleet.daemons.values())
+def _members_agree(fleet):
+    expected = tuple(
+        sorted(daemon.me.host for daemon in fleet.daemons.values()))
+    return all(membership.live(daemon) == expected
+               for daemon in fleet.daemons.values())
 
 
-def _until_agreed(fleet, limit):
-    began = fleet.now
-    while not _agreed(fleet) and fleet.now < began + limit:
+def _time_to_agreement(fleet, timeout_s):
+    started_at = fleet.now
+    while not _members_agree(fleet) and fleet.now < started_at + timeout_s:
         fleet.run(0.1)
-    return fleet.now - began if _agreed(fleet) else math.inf
+    return fleet.now - started_at if _members_agree(fleet) else math.inf
 
 
-def _split(hosts, trials):
-    spans = []
+def _measure_split(hosts, trials):
+    durations_s = []
     for seed in range(trials):
         fleet = new_fleet(hosts, seed)
-        half = set(sorted(fleet.daemons)[:hosts // 2])
-        fleet.lost = lambda a, b: (a in half) != (b in half)
+        first_half = set(sorted(fleet.daemons)[:hosts // 2])
+        fleet.lost = lambda a, b: (a in first_half) != (b in first_half)
         fleet.run(30.0)
         fleet.lost = lambda a, b: False
-        spans.append(_until_agreed(fleet, 120.0))
-    _print(f"membership.split_healed.{hosts}hosts.max", max(spans), "s",
-           trials)
+        durations_s.append(_time_to_agreement(fleet, 120.0))
+    _emit(f"membership.split_healed.{hosts}hosts.max", max(durations_s), "s",
+          trials)
 
 
-def _joins(hosts):
+def _measure_join(hosts):
     fleet = new_fleet(hosts, loss=0.02)
-    seeds = [(d.me.host, d.me.address, d.me.peer_port)
-             for d in list(fleet.daemons.values())[:3]]
+    seeds = [(daemon.me.host, daemon.me.address, daemon.me.peer_port)
+             for daemon in list(fleet.daemons.values())[:3]]
     fleet.add("newcomer", "domain-0", seeds)
-    _print(f"membership.joined.{hosts}hosts.loss2%",
-           _until_agreed(fleet, 60.0), "s", 1)
+    _emit(f"membership.joined.{hosts}hosts.loss2%",
+          _time_to_agreement(fleet, 60.0), "s", 1)
 
 
-def _domain_lost(hosts, trials):
-    spans = []
+def _measure_domain_loss(hosts, trials):
+    durations_s = []
     for seed in range(trials):
         fleet = new_fleet(hosts, seed)
         fleet.run(fleet.rng.uniform(0, 2))
         for address, daemon in list(fleet.daemons.items()):
             if daemon.me.domain == "domain-0":
                 fleet.stop(address)
-        spans.append(_until_agreed(fleet, 60.0))
+        durations_s.append(_time_to_agreement(fleet, 60.0))
     label = f"membership.domain_lost.{hosts}hosts"
-    _print(label + ".p50", statistics.median(spans), "s", trials)
-    _print(label + ".max", max(spans), "s", trials)
+    _emit(label + ".p50", statistics.median(durations_s), "s", trials)
+    _emit(label + ".max", max(durations_s), "s", trials)
 
 
 def main():
     """Print all figures."""
-    _bare()
-    _costs()
+    _measure_bare_datagram()
+    _measure_costs()
     for loss in (0.0, 0.02, 0.05):
-        _detection(9, loss, 40)
-        _pauses(9, loss, 40)
-        _quiet(9, loss, 200.0)
-    _detection(6, 0.02, 40)
-    _detection(470, 0.02, 1)
-    _pauses(470, 0.02, 1)
-    _joins(9)
-    _joins(470)
-    _split(9, 10)
-    _split(81, 2)
-    _domain_lost(9, 40)
-    _domain_lost(470, 1)
+        _measure_detection(9, loss, 40)
+        _measure_pauses(9, loss, 40)
+        _measure_quiet(9, loss, 200.0)
+    _measure_detection(6, 0.02, 40)
+    _measure_detection(470, 0.02, 1)
+    _measure_pauses(470, 0.02, 1)
+    _measure_join(9)
+    _measure_join(470)
+    _measure_split(9, 10)
+    _measure_split(81, 2)
+    _measure_domain_loss(9, 40)
+    _measure_domain_loss(470, 1)
 
 
 if __name__ == "__main__":
--- a/bench/process_figures.py
+++ b/bench/process_figures.py
@@ -1,7 +1,7 @@
-"""Resident memory of a process with ever more of the product imported.
+"""Resident memory of a process by the modules that it imports.
 
-Each figure comes from a fresh interpreter. Prints one JSON object a
-line: name, value, unit, n. Run as ``python -m bench.process_figures``.
+Each figure is measured in a new interpreter. Prints one JSON object per
+figure: name, value, unit, n. Run as ``python -m bench.process_figures``.
 """
 
 import json
@@ -20,7 +20,7 @@
      "a.install()\n"
      "import crocuskeel.runtime.program"),
 )
-PROBE = """
+SCRIPT = """
 {stage}
 with open("/proc/self/status") as status:
     print(next(line for line in status if line.startswith("VmRSS")))
@@ -28,11 +28,11 @@
 
 
 def resident_mb(stage):
-    """Return the resident memory of a process that ran ``stage``."""
-    done = subprocess.run(
-        [sys.executable, "-c", PROBE.format(stage=stage)], check=True,
+    """Return the resident memory in MB of a process that ran ``stage``."""
+    process = subprocess.run(
+        [sys.executable, "-c", SCRIPT.format(stage=stage)], check=True,
         capture_output=True, text=True, timeout=60)
-    return int(done.stdout.split()[1]) / 1024
+    return int(process.stdout.split()[1]) / 1024
 
 
 def main():
