--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -113,7 +113,7 @@
     """Measure, unless ``--kept`` is given, and rewrite the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--kept", action="store_true",
-                        help="don't measure anew")
+                        help="don't measure again")
     args = parser.parse_args(argv)
     if not args.kept:
         measure()
--- a/bench/capacity_rows.py
+++ b/bench/capacity_rows.py
@@ -69,7 +69,7 @@
     return count
 
 
-def _door_pct(figures):
+def _entry_host_pct(figures):
     request_us = figures.get("door_cpu_a_request_queue_0", CELL_SIZE)
     return _cpu_percent(_requests_per_host() * request_us)
 
@@ -108,7 +108,7 @@
     membership = figures.get("membership.cpu", TARGET.daemons)
     busiest = _busiest_cells()
     rows = [
-        ("door: reducer", _door_pct(figures),
+        ("door: reducer", _entry_host_pct(figures),
          f"{_requests_per_host():.1f} requests/s a host"),
         ("peer messages: codec and seal", _wire_pct(figures),
          "3 messages a request"),
--- a/bench/report/policy_plots.py
+++ b/bench/report/policy_plots.py
@@ -86,7 +86,7 @@
 
 
 def _burst_goals(runs):
-    """Return (label, score of ours, goal) where measured."""
+    """Return (label, score of ``ours``, goal) where measured."""
     steady, burst = runs["steady", "ours"], runs["burst", "ours"]
     oracle = runs["burst", "oracle"]
     goals = []
@@ -118,7 +118,7 @@
 
 
 def _must_be_0_summary(runs):
-    """Describe the counts that must be 0, summed over the runs of ours."""
+    """Describe the counts that must be 0, summed over runs of ``ours``."""
     ours = [row for (_, _, policy), row in runs.items()
             if policy == "ours"]
     counts = [f"{sum(row[key] for row in ours)} {name}"
@@ -183,7 +183,7 @@
 
 
 def waits(reader):
-    """Plot the longest waits of ours in relation to their bounds."""
+    """Plot the longest waits of ``ours`` in relation to their bounds."""
     fig, axes = canvas.new_figure(2, 2, 4.6, sharex=True)
     worst = []
     for axes_row, deployment in zip(axes, DEPLOYMENTS):
