--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,5 +1,6 @@
-"""Entry hosts under load on a virtual clock, for experiments in seconds.
+"""A discrete-event simulation of entry hosts under load.
 
-The hosts are the product's own reducers: nothing of what they decide is
-written twice. Engines, plain services, the network and callers are models.
+It runs on a virtual clock, so an experiment takes seconds. The hosts run
+the product's own reducers, so that no decision logic is duplicated.
+Engines, plain services, the network and callers are models.
 """
--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -1,7 +1,7 @@
-"""Play deployments: ``python -m emulator run|compare|ablate|sweep``.
+"""Simulate deployments: ``python -m emulator run|compare|ablate|sweep``.
 
-Without a name all deployments that come with it are played. Seeds run
-side by side; the same seed gives the same figures.
+Without a name all bundled deployments are simulated. Seeds run in
+parallel; the same seed always gives the same figures.
 """
 
 import argparse
@@ -16,9 +16,9 @@
 from emulator import report
 from emulator import run
 
-EXIT_BAD = 2
-# Engines and load of a sweep, as multiples of the deployment's.
-SIZES = (1, 3, 10)
+EXIT_INVALID = 2
+# Factors that a sweep applies to a deployment's engines and load.
+SWEEP_FACTORS = (1, 3, 10)
 
 
 def new_parser():
@@ -28,20 +28,20 @@
         formatter_class=argparse.RawDescriptionHelpFormatter)
     verbs = parser.add_subparsers(dest="verb", required=True)
     for name, text in (
-            ("run", "play, and print means over seeds"),
-            ("compare", "play, and set beside a file that run kept"),
-            ("ablate", "what each mechanism is worth"),
-            ("sweep", "the same load an engine, in larger fleets")):
+            ("run", "simulate, and print means over seeds"),
+            ("compare", "simulate, and compare with a file written by --keep"),
+            ("ablate", "measure the effect of disabling each mechanism"),
+            ("sweep", "the same load per engine, in larger fleets")):
         verb = verbs.add_parser(name, help=text)
         verb.add_argument("deployments", nargs="*", metavar="DEPLOYMENT",
-                          help="a known name or a file")
+                          help="name of a bundled deployment, or a file")
         verb.add_argument("--seeds", type=int, default=3)
         verb.add_argument("--jobs", type=int, default=(
             os.cpu_count() or 2) // 2)
         verb.add_argument("--without", action="append", default=[],
                           choices=list(mechanisms.MECHANISMS),
                           metavar="MECHANISM",
-                          help="switch off; ablate lists all")
+                          help="mechanism to disable; ablate lists all")
         verb.add_argument("--keep", metavar="FILE", type=pathlib.Path)
         verb.add_argument("--plot", metavar="FILE")
         if name == "compare":
@@ -50,39 +50,39 @@
     return parser
 
 
-def _play(asked):
-    """Play one run; return (what was asked, its Result)."""
-    deployment, variant, seed = asked
+def _simulate(job):
+    """Simulate one run; return the job and its Result."""
+    deployment, variant, seed = job
     with mechanisms.without(variant):
-        return asked, run.play(deployment, seed)
+        return job, run.play(deployment, seed)
 
 
-def _play_all(found, variants, args):
+def _simulate_all(selected, variants, args):
     """Return {(deployment, variant): Results by seed}."""
-    asked = [(each, variant, seed) for each in found
-             for variant in variants for seed in range(args.seeds)]
-    played = {(each.name, variant): [] for each in found
-              for variant in variants}
+    jobs = [(each, variant, seed) for each in selected
+            for variant in variants for seed in range(args.seeds)]
+    results_by_run = {(each.name, variant): [] for each in selected
+                      for variant in variants}
     with concurrent.futures.ProcessPoolExecutor(
             max(1, args.jobs)) as pool:
-        for number, (what, result) in enumerate(pool.map(_play, asked), 1):
-            played[what[0].name, what[1]].append(result)
-            print(f"\r{number} of {len(asked)} runs", end="",
+        for number, (job, result) in enumerate(pool.map(_simulate, jobs), 1):
+            results_by_run[job[0].name, job[1]].append(result)
+            print(f"\r{number} of {len(jobs)} runs", end="",
                   file=sys.stderr, flush=True)
     print(file=sys.stderr)
-    return played
+    return results_by_run
 
 
-def _rows(played):
+def _result_rows(results_by_run):
     return {key: [result.row() for result in results]
-            for key, results in played.items()}
+            for key, results in results_by_run.items()}
 
 
-def _ablate(found, args):
+def _run_ablation(selected, args):
     names = args.without or list(mechanisms.MECHANISMS)
-    rows = _rows(_play_all(found, ["", *names], args))
-    base = {each.name: rows[each.name, ""] for each in found}
-    variants = {name: {each.name: rows[each.name, name] for each in found}
+    rows = _result_rows(_simulate_all(selected, ["", *names], args))
+    base = {each.name: rows[each.name, ""] for each in selected}
+    variants = {name: {each.name: rows[each.name, name] for each in selected}
                 for name in names}
     print(report.table({(name, ""): each for name, each in base.items()}))
     print()
@@ -92,33 +92,33 @@
     return rows
 
 
-def _larger(deployment, times):
+def _scale_deployment(deployment, factor):
     engines = dataclasses.replace(
-        deployment.engines, count=deployment.engines.count * times)
+        deployment.engines, count=deployment.engines.count * factor)
     plain = dataclasses.replace(
-        deployment.plain, count=deployment.plain.count * times)
+        deployment.plain, count=deployment.plain.count * factor)
     kinds = tuple(dataclasses.replace(
-        kind, a_second=kind.a_second * times) for kind in deployment.kinds)
+        kind, a_second=kind.a_second * factor) for kind in deployment.kinds)
     faults = tuple(dataclasses.replace(
-        fault, count=fault.count * times) for fault in deployment.faults)
+        fault, count=fault.count * factor) for fault in deployment.faults)
     return dataclasses.replace(
-        deployment, name=f"{deployment.name} x{times}",
-        hosts=deployment.hosts * times, engines=engines, plain=plain,
+        deployment, name=f"{deployment.name} x{factor}",
+        hosts=deployment.hosts * factor, engines=engines, plain=plain,
         kinds=kinds, faults=faults)
 
 
-def _read(args):
-    """Return the deployments and what to set them beside, or None.
+def _load_inputs(args):
+    """Return the deployments and the rows to compare with, or None.
 
-    What is wrong with a file is printed.
+    Errors in a file are printed.
     """
     try:
-        found = [deployments.read(name) for name
-                 in args.deployments or deployments.known()]
+        selected = [deployments.read(name) for name
+                    in args.deployments or deployments.bundled_names()]
         if args.verb != "compare":
-            return found, {}
-        return found, _named(report.kept(args.other))
-    except deployments.BadDeployment as exc:
+            return selected, {}
+        return selected, _label_as_before(report.load_rows(args.other))
+    except deployments.InvalidDeploymentError as exc:
         for error in exc.errors:
             print(error, file=sys.stderr)
     except OSError as exc:
@@ -129,37 +129,38 @@
     return None
 
 
-def _run(found, before, args):
-    """Play, print a table, and draw if that is asked for."""
-    played = _play_all(found, args.without or [""], args)
-    rows = _rows(played)
-    print(report.table({**before, **rows}))
+def _run_and_report(selected, baseline_rows, args):
+    """Simulate, print a table, and write a plot if requested."""
+    results_by_run = _simulate_all(selected, args.without or [""], args)
+    rows = _result_rows(results_by_run)
+    print(report.table({**baseline_rows, **rows}))
     if args.plot:
         report.plot(args.plot, {
             f"{name} {variant}".strip(): results[0]
-            for (name, variant), results in played.items()})
+            for (name, variant), results in results_by_run.items()})
     return rows
 
 
 def main(argv=None):
-    """Play what the arguments ask for; return the exit code."""
+    """Execute the requested command; return the exit code."""
     args = new_parser().parse_args(argv)
-    read = _read(args)
-    if read is None:
-        return EXIT_BAD
-    found, before = read
+    inputs = _load_inputs(args)
+    if inputs is None:
+        return EXIT_INVALID
+    selected, baseline_rows = inputs
     if args.verb == "sweep":
-        found = [_larger(each, times) for each in found for times in SIZES]
+        selected = [_scale_deployment(each, factor)
+                    for each in selected for factor in SWEEP_FACTORS]
     if args.verb == "ablate":
-        rows = _ablate(found, args)
+        rows = _run_ablation(selected, args)
     else:
-        rows = _run(found, before, args)
+        rows = _run_and_report(selected, baseline_rows, args)
     if args.keep:
-        report.keep(args.keep, rows)
+        report.save_rows(args.keep, rows)
     return 0
 
 
-def _named(rows):
+def _label_as_before(rows):
     return {(name, f"{variant} before".strip()): each
             for (name, variant), each in rows.items()}
 
--- a/emulator/callers.py
+++ b/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they ask a host, come back once after a refusal, and give up."""
+"""Callers: they send a request, retry after a refusal, and time out."""
 
 import dataclasses
 
@@ -6,10 +6,10 @@
 
 __all__ = ["Caller", "new_request"]
 
-HOST = "desk"
-# A caller keeps the addresses that it was told for so long, s.
-TOLD_S = 2.0
-# Tokens of an answer beyond those that its events hold.
+ROUTE_HOST = "desk"
+# How long callers cache the resolved host addresses, s.
+ADDRESS_TTL_S = 2.0
+# Output token limit of a request, relative to its events' tokens.
 OUTPUT_SLACK = 1.5
 
 
@@ -22,16 +22,17 @@
         prompt = model.Prompt(
             parts, kind.shared + kind.own,
             int(kind.events * event_tokens * OUTPUT_SLACK))
-    return model.Request(rid, "POST", HOST, f"/{kind.name}/1", "",
+    return model.Request(rid, "POST", ROUTE_HOST, f"/{kind.name}/1", "",
                          left_s, prompt, rid)
 
 
 @dataclasses.dataclass(slots=True)
 class Caller:
-    """One caller with one matter, from its first attempt to the end.
+    """One caller with one request, from its first attempt to the outcome.
 
-    ``first_at`` is when its first event came, ``pause_s`` its longest
-    pause. ``outcome`` is empty until it is over.
+    ``first_event_at`` is the arrival time of its first event,
+    ``longest_gap_s`` its longest gap between events. ``outcome`` is empty
+    until it has ended.
     """
 
     world: object
@@ -41,76 +42,77 @@
     at: float
     attempts: int = 0
     events: int = 0
-    first_at: float | None = None
-    last_at: float = 0.0
-    pause_s: float = 0.0
+    first_event_at: float | None = None
+    last_event_at: float = 0.0
+    longest_gap_s: float = 0.0
     outcome: str = ""
     host: object = None
     key: int | None = None
 
-    def ask(self):
-        """Ask one of the hosts that it was told of."""
-        left_s = self._ends_at() - self.world.clock.now
+    def send(self):
+        """Send the request to one of the known hosts."""
+        left_s = self._deadline() - self.world.clock.now
         if left_s <= 0:
-            self._end("gave up")
+            self._finish("gave up")
             return
         self.attempts += 1
         self.host = self.world.host_for_caller()
         request = new_request(
             f"{self.rid}-{self.attempts}", self.kind, self.subject, left_s,
             self.world.deployment.engines.event_tokens)
-        self.key = None if self.host is None else self.host.ask(
+        self.key = None if self.host is None else self.host.receive_request(
             self, request)
         if self.key is None and not self.outcome:
-            self._again(0.2)
+            self._retry_after(0.2)
 
-    def give_up(self):
-        """Its time is over."""
+    def time_out(self):
+        """End the request: its time limit has passed."""
         if self.outcome:
             return
-        self._end("gave up")
+        self._finish("gave up")
         if self.host is not None and self.key is not None:
-            self.host.left(self.key)
+            self.host.caller_disconnected(self.key)
 
-    def event(self):
-        """Take an event of a stream."""
+    def receive_event(self):
+        """Handle an event of a stream."""
         now = self.world.clock.now
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.pause_s = max(self.pause_s, now - self.last_at)
-        self.last_at = now
+            self.longest_gap_s = max(
+                self.longest_gap_s, now - self.last_event_at)
+        self.last_event_at = now
         self.events += 1
 
-    def ended(self):
-        """Take the whole answer."""
-        if self.first_at is None:
-            self.first_at = self.world.clock.now
-        on_time = (self.first_at - self.at <= self.kind.goal_ms / 1e3
-                   and self.pause_s <= self.kind.gap_ms / 1e3)
-        self._end("on time" if on_time else "late")
+    def response_ended(self):
+        """Handle the end of a complete response."""
+        if self.first_event_at is None:
+            self.first_event_at = self.world.clock.now
+        on_time = (self.first_event_at - self.at <= self.kind.goal_ms / 1e3
+                   and self.longest_gap_s <= self.kind.gap_ms / 1e3)
+        self._finish("on time" if on_time else "late")
 
-    def refused(self, status, retry_s):
-        """Take a failure; "not run" is true with a time to come back."""
+    def request_refused(self, status, retry_s):
+        """Handle an error response; a 503 may be retried after a delay."""
         if status == 503 and self.attempts <= self.kind.retries:
-            self._again(retry_s or 0.0)
+            self._retry_after(retry_s or 0.0)
             return
-        self._end("refused" if status == 503 else "failed")
+        self._finish("refused" if status == 503 else "failed")
 
-    def cut(self):
-        """Its connection broke."""
-        self._end("failed")
+    def connection_lost(self):
+        """Handle the loss of the connection."""
+        self._finish("failed")
 
-    def _again(self, span_s):
-        if self.world.clock.now + span_s >= self._ends_at():
-            self._end("refused")
+    def _retry_after(self, delay_s):
+        if self.world.clock.now + delay_s >= self._deadline():
+            self._finish("refused")
             return
-        self.world.clock.after(span_s, self.ask)
+        self.world.clock.after(delay_s, self.send)
 
-    def _ends_at(self):
+    def _deadline(self):
         return self.at + self.kind.limit_ms / 1e3
 
-    def _end(self, outcome):
+    def _finish(self, outcome):
         if not self.outcome:
             self.outcome = outcome
-            self.world.tally.note_end(self)
+            self.world.tally.record_outcome(self)
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""Deployments to play: JSON with comments, checked as it is read."""
+"""Deployments to simulate: JSON with comments, validated on reading."""
 
 import dataclasses
 import pathlib
@@ -6,26 +6,26 @@
 from crocuskeel.programs import config_files
 from emulator import faults
 
-__all__ = ["BadDeployment", "Deployment", "Engines", "Fault", "Kind",
-           "Plain", "known", "read"]
+__all__ = ["Deployment", "Engines", "Fault", "InvalidDeploymentError",
+           "Kind", "Plain", "bundled_names", "read"]
 
-REQUESTS = ("stream", "safe", "unsafe")
+REQUEST_KINDS = ("stream", "safe", "unsafe")
 FAULTS = tuple(faults.FAULTS)
-FOLDER = pathlib.Path(__file__).parent / "deployments"
+DEPLOYMENTS_DIR = pathlib.Path(__file__).parent / "deployments"
 
 
-class BadDeployment(config_files.InvalidFileError):
-    """A file that can't be played."""
+class InvalidDeploymentError(config_files.InvalidFileError):
+    """A deployment file is invalid."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engines:
     """Model engines: tokens, tokens a second, milliseconds.
 
-    A step makes a token for each running request and takes ``step_ms``
-    and ``running_ms`` more for each. ``chunk`` tokens of prompts are read
-    between two steps. ``fetch_token_us`` passes for each token that one
-    engine sends another; 0 if they don't.
+    A step generates a token for each running request and takes
+    ``step_ms`` plus ``running_ms`` for each. Up to ``chunk`` prompt tokens
+    are prefilled between two steps. ``fetch_token_us`` is the transfer
+    time of a token from one engine to another; 0 if they transfer none.
     """
 
     count: int = 6
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plain:
-    """Servers of a plain service; each works on ``slots`` calls at once."""
+    """Servers of a plain service; each runs up to ``slots`` calls at once."""
 
     count: int = 3
     slots: int = 6
@@ -52,10 +52,11 @@
 class Kind:
     """A kind of request: ``stream``, ``safe`` or ``unsafe``.
 
-    ``a_second`` come in the mean. Prompts share ``shared`` tokens among
-    ``subjects``; ``own`` more follow. ``worth`` is earned on time,
-    ``late`` by an answer after ``goal_ms`` or with a pause over
-    ``gap_ms``. Callers come back ``retries`` times after a refusal.
+    ``a_second`` is the mean arrival rate. Prompts begin with ``shared``
+    tokens, the same for all prompts of one of the ``subjects``; ``own``
+    more follow. A response on time earns ``worth``, one after ``goal_ms``
+    or with a gap over ``gap_ms`` earns ``late``. Callers retry up to
+    ``retries`` times after a refusal.
     """
 
     name: str
@@ -78,9 +79,9 @@
 class Fault:
     """``kind`` of :mod:`emulator.faults`, at ``at`` s, for ``for_s``.
 
-    ``count`` engines are hit, or the load is ``times`` as much; with
-    ``limit`` an engine takes ``times`` requests a second, with ``rest`` it
-    asks for ``times`` s of rest.
+    ``count`` is the number of engines or hosts affected; ``times`` is the
+    factor on load or step time. With ``limit`` an engine accepts ``times``
+    requests a second, with ``rest`` it asks for a backoff of ``times`` s.
     """
 
     kind: str
@@ -92,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """``way_ms`` is a message's time between any two processes."""
+    """``way_ms`` is the one-way network delay between any two processes."""
 
     name: str
     hosts: int
@@ -104,71 +105,72 @@
     faults: tuple
 
 
-def known():
-    """Return the names of the deployments that come with the emulator."""
-    return sorted(path.stem for path in FOLDER.glob("*.jsonc"))
+def bundled_names():
+    """Return the names of the bundled deployments."""
+    return sorted(path.stem for path in DEPLOYMENTS_DIR.glob("*.jsonc"))
 
 
 def read(name):
-    """Return a Deployment, of a known name or a file's path.
+    """Return the Deployment of a bundled name or a file's path.
 
-    Raises BadDeployment, or OSError for a file that can't be read.
+    Raises BadDeployment, or OSError if the file can't be read.
     """
-    path = FOLDER / f"{name}.jsonc"
+    path = DEPLOYMENTS_DIR / f"{name}.jsonc"
     if not path.exists():
         path = pathlib.Path(name)
     try:
         text = path.read_text(encoding="utf-8")
     except UnicodeDecodeError as exc:
-        raise BadDeployment([config_files.FileError(
+        raise InvalidDeploymentError([config_files.FileError(
             "emulator.E001", f"not JSON with comments: {exc}",
-            "write it in UTF-8")]) from exc
-    found = config_files.parse_object(text, "emulator", BadDeployment)
-    return _deployment(path.stem, found)
+            "encode the file in UTF-8")]) from exc
+    found = config_files.parse_object(text, "emulator", InvalidDeploymentError)
+    return _parse_deployment(path.stem, found)
 
 
-def _deployment(name, found):
+def _parse_deployment(name, found):
     problems = []
-    made = Deployment(
+    deployment = Deployment(
         name=name,
-        hosts=_number(found, "hosts", 6, problems),
-        seconds=_number(found, "seconds", 30.0, problems),
-        way_ms=_number(found, "way_ms", 1.0, problems),
-        engines=_part(Engines, found.get("engines", {}), problems),
-        plain=_part(Plain, found.get("plain", {}), problems),
-        kinds=_parts(Kind, found.get("kinds"), problems),
-        faults=_parts(Fault, found.get("faults", []), problems))
+        hosts=_parse_number(found, "hosts", 6, problems),
+        seconds=_parse_number(found, "seconds", 30.0, problems),
+        way_ms=_parse_number(found, "way_ms", 1.0, problems),
+        engines=_parse_fields(Engines, found.get("engines", {}), problems),
+        plain=_parse_fields(Plain, found.get("plain", {}), problems),
+        kinds=_parse_list(Kind, found.get("kinds"), problems),
+        faults=_parse_list(Fault, found.get("faults", []), problems))
     unknown = set(found) - {field.name for field
                             in dataclasses.fields(Deployment)}
-    problems += [_unknown(each) for each in sorted(unknown)]
-    problems += _wrong_words(made)
-    if not made.kinds:
+    problems += [_unknown_name(each) for each in sorted(unknown)]
+    problems += _unknown_kinds(deployment)
+    if not deployment.kinds:
         problems.append(config_files.FileError(
             "emulator.E005", "no kinds of requests",
-            "name one at least under kinds"))
+            "list at least one under kinds"))
     if problems:
-        raise BadDeployment(problems)
-    return made
-
-
-def _wrong_words(made):
-    """Return the problems with what kinds and faults are said to be."""
-    rows = [(kind.kind, REQUESTS) for kind in made.kinds]
-    rows += [(fault.kind, FAULTS) for fault in made.faults]
-    found = [config_files.FileError("emulator.E008", f"kind is {word!r}",
-                                    f"one of {', '.join(words)}")
-             for word, words in rows if word not in words]
+        raise InvalidDeploymentError(problems)
+    return deployment
+
+
+def _unknown_kinds(deployment):
+    """Return the errors in the kinds of requests and faults."""
+    rows = [(kind.kind, REQUEST_KINDS) for kind in deployment.kinds]
+    rows += [(fault.kind, FAULTS) for fault in deployment.faults]
+    found = [config_files.FileError("emulator.E008", f"kind is {kind_name!r}",
+                                    f"one of {', '.join(known_kinds)}")
+             for kind_name, known_kinds in rows
+             if kind_name not in known_kinds]
     found += [
         config_files.FileError("emulator.E003",
                                f"a_second is {kind.a_second!r}",
                                "a number above zero")
-        for kind in made.kinds if not kind.a_second]
+        for kind in deployment.kinds if not kind.a_second]
     return found
 
 
-def _number(found, name, default, problems):
+def _parse_number(found, name, default, problems):
     value = found.get(name, default)
-    if not _fits(value, type(default)) or value <= 0:
+    if not _is_valid(value, type(default)) or value <= 0:
         problems.append(config_files.FileError(
             "emulator.E003", f"{name} is {value!r}",
             f"a {type(default).__name__} above zero"))
@@ -176,38 +178,38 @@
     return value
 
 
-def _parts(kind, rows, problems):
+def _parse_list(kind, rows, problems):
     if not isinstance(rows, list):
         problems.append(config_files.FileError(
-            "emulator.E004", f"{rows!r} is no list", "write [ ... ]"))
+            "emulator.E004", f"{rows!r} is not a list", "write [ ... ]"))
         return ()
     return tuple(each for row in rows
-                 if (each := _part(kind, row, problems)) is not None)
+                 if (each := _parse_fields(kind, row, problems)) is not None)
 
 
-def _part(kind, row, problems):
-    """Return a dataclass of a table's fields, or None."""
+def _parse_fields(kind, row, problems):
+    """Return a dataclass of an object's fields, or None if invalid."""
     fields = {field.name: field for field in dataclasses.fields(kind)}
     if not isinstance(row, dict):
         problems.append(config_files.FileError(
-            "emulator.E004", f"{row!r} is no object", "write { ... }"))
+            "emulator.E004", f"{row!r} is not an object", "write { ... }"))
         return None
-    wrong = [_unknown(name) for name in row if name not in fields]
+    errors = [_unknown_name(name) for name in row if name not in fields]
     for name, field in fields.items():
-        if name in row and not _fits(row[name], field.type):
-            wrong.append(config_files.FileError(
+        if name in row and not _is_valid(row[name], field.type):
+            errors.append(config_files.FileError(
                 "emulator.E003", f"{name} is {row[name]!r}",
                 f"a {field.type.__name__} that is not negative"))
     needed = [name for name, field in fields.items()
               if field.default is dataclasses.MISSING and name not in row]
-    wrong += [config_files.FileError("emulator.E006", f"{name} is missing",
-                                     f"each {kind.__name__} has one")
-              for name in needed]
-    problems += wrong
-    return None if wrong else kind(**row)
+    errors += [config_files.FileError("emulator.E006", f"{name} is missing",
+                                      f"each {kind.__name__} needs it")
+               for name in needed]
+    problems += errors
+    return None if errors else kind(**row)
 
 
-def _fits(value, kind):
+def _is_valid(value, kind):
     if isinstance(value, bool):
         return False
     if kind is float:
@@ -217,6 +219,6 @@
     return isinstance(value, kind)
 
 
-def _unknown(name):
-    return config_files.FileError("emulator.E007", f"{name} is not known",
+def _unknown_name(name):
+    return config_files.FileError("emulator.E007", f"unknown name {name}",
                                   "see docs/howto/emulator.md for the names")
--- a/emulator/engine.py
+++ b/emulator/engine.py
@@ -1,8 +1,8 @@
-"""Models of backend servers: what they do with requests, and when.
+"""Models of backend servers and of how long they take for requests.
 
-An engine makes one token for each of its running requests a step, and
-reads a chunk of a prompt between two steps; a plain server works on a few
-calls at once. Both say what happens to who sent the request.
+An engine generates one token for each of its running requests per step,
+and prefills a chunk of one prompt between two steps; a plain server runs a
+few calls at once. Both notify the listener of a request.
 """
 
 import collections
@@ -12,37 +12,38 @@
 
 __all__ = ["Arrival", "Engine", "PlainServer", "Run"]
 
-# Requests that wait before a full server; one more is refused.
-QUEUE = 32
+# Queue length of a server with no free slot; further requests are refused.
+MAX_WAITING = 32
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """A request at a server, and whom to tell what comes of it.
-
-    Of ``listener`` the methods ``opened``, ``progressed``, ``ended`` and
-    ``broken`` are called with the run. ``unread`` tokens of its prompt
-    have to be read, until ``ready_at`` parts of it are on their way from
-    another engine. ``events`` are to be made; ``made`` counts tokens,
-    ``told`` events so far.
+    """A request at a server, and the listener for its progress.
+
+    The methods ``opened``, ``progressed``, ``ended`` and ``broken`` of
+    ``listener`` are called with the run. ``unread_tokens`` is the number
+    of prompt tokens still to prefill; until ``ready_at`` cached parts are
+    being transferred from another engine. ``events`` is the number of
+    events to send; ``generated_tokens`` and ``events_sent`` are counts of
+    what was generated and sent so far.
     """
 
     listener: object
     prompt: object
     events: int
     priority: int
-    unread: int = 0
-    made: int = 0
-    told: int = 0
-    over: bool = False
+    unread_tokens: int = 0
+    generated_tokens: int = 0
+    events_sent: int = 0
+    finished: bool = False
     ready_at: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached a server: when, from which host.
+    """The arrival of a request at a server: the time and the sending host.
 
-    Its caller had asked that host at ``asked_at``.
+    That host had received it from the caller at ``asked_at``.
     """
 
     at: float
@@ -51,22 +52,23 @@
 
 
 class _Server:
-    """What all servers have. ``factor`` is how much slower it works.
-
-    Its answers name ``rate_limit``, requests a second, and say that it is
-    ``leaving``. With ``rest_s`` it refuses all, and asks for so much rest.
-    ``arrivals`` are those of all requests, ``told`` is when each host
-    first passed on an answer that names a rate, ``told_leaving`` one that
-    says that it leaves; ``rests`` holds (time, host, s) of its refusals.
+    """Base class of servers. ``slowdown`` multiplies its processing time.
+
+    Its responses carry ``rate_limit``, requests a second, and the
+    ``leaving`` flag. With ``rest_s`` it refuses all requests and asks for
+    that backoff. ``arrivals`` lists all requests that arrived; ``told`` maps
+    each host to its first response with a rate limit, ``told_leaving`` to
+    the first with the leaving flag; ``rests`` holds (time, host, s) of the
+    refusals.
     """
 
     def __init__(self, clock, sid, cfg):
         self.clock = clock
         self.sid = sid
         self.cfg = cfg
-        self.factor = 1.0
+        self.slowdown = 1.0
         self.down = False
-        self.dark = False
+        self.unresponsive = False
         self.waiting = []
         self.running = []
         self.rate_limit = None
@@ -78,74 +80,74 @@
         self.rests = []
 
     def hints(self):
-        """Return what its answers say of what it takes."""
+        """Return the hints on its capacity that its responses carry."""
         return model.Hints(self.rate_limit, self.leaving, self.rest_s)
 
     def cancel(self, run):
-        """Drop a request whose connection closed."""
-        if not run.over:
+        """Drop a request whose connection was closed."""
+        if not run.finished:
             self._remove(run)
-            self._go_on()
+            self._schedule_work()
 
     def load(self):
-        """Return (running, waiting, slots), as it says of itself."""
+        """Return (running, waiting, slots) as the server reports them."""
         return len(self.running), len(self.waiting), self.cfg.slots
 
     def crash(self):
-        """End all connections, and take none."""
+        """Break all connections and refuse new ones."""
         self.down = True
         runs, self.running, self.waiting = (
             self.running + self.waiting, [], [])
         for run in runs:
-            run.over = True
+            run.finished = True
             run.listener.broken(run)
 
-    def set_dark(self, dark):
-        """Say nothing more, with all connections open."""
-        self.dark = dark
-        self._go_on()
+    def set_unresponsive(self, unresponsive):
+        """Stop or resume work, with all connections left open."""
+        self.unresponsive = unresponsive
+        self._schedule_work()
 
     def _remove(self, run):
-        run.over = True
+        run.finished = True
         if run in self.running:
             self.running.remove(run)
         if run in self.waiting:
             self.waiting.remove(run)
 
-    def _go_on(self):
+    def _schedule_work(self):
         raise NotImplementedError
 
 
 class Engine(_Server):
     """A model engine.
 
-    ``parts`` holds what it keeps of prompts, least recently used first.
+    ``parts`` is its prefix cache, least recently used first.
     """
 
     def __init__(self, clock, sid, cfg, tally):
         super().__init__(clock, sid, cfg)
         self.tally = tally
         self.parts = collections.OrderedDict()
-        self.parts_tokens = 0
-        self.links_until = 0.0
-        self.stepping = None
+        self.cached_tokens = 0
+        self.transfers_until = 0.0
+        self.step_timer = None
 
-    def begin(self, run, source=None):
-        """Take a request, or return False if all is full.
+    def submit(self, run, source=None):
+        """Accept a request, or return False if the server is full.
 
         ``source`` is an engine to fetch shared parts from.
         """
-        if len(self.waiting) >= QUEUE or self.rest_s is not None:
+        if len(self.waiting) >= MAX_WAITING or self.rest_s is not None:
             return False
         fetched = self._fetch(run, source)
-        run.unread = self._unread(run.prompt)
-        self.tally.note_read(run.prompt, run.unread, fetched)
+        run.unread_tokens = self._uncached_tokens(run.prompt)
+        self.tally.record_prefill(run.prompt, run.unread_tokens, fetched)
         for part, tokens in run.prompt.parts:
-            self._keep(part, tokens)
+            self._cache_part(part, tokens)
         self.waiting.append(run)
         self.waiting.sort(key=lambda each: each.priority)
         self._admit()
-        self._go_on()
+        self._schedule_work()
         return True
 
     def _fetch(self, run, source):
@@ -154,88 +156,98 @@
         tokens = 0
         for part, count in run.prompt.parts[:-1]:
             if part not in self.parts and part in source.parts:
-                self._keep(part, count)
+                self._cache_part(part, count)
                 tokens += count
-        span = tokens * self.cfg.fetch_token_us / 1e6
-        begins = max(self.clock.now, self.links_until, source.links_until)
-        self.links_until = source.links_until = begins + span
-        run.ready_at = begins + span if tokens else 0.0
+        duration = tokens * self.cfg.fetch_token_us / 1e6
+        starts_at = max(
+            self.clock.now,
+            self.transfers_until,
+            source.transfers_until)
+        self.transfers_until = source.transfers_until = starts_at + duration
+        run.ready_at = starts_at + duration if tokens else 0.0
         return tokens
 
-    def _unread(self, prompt):
-        unread = prompt.tokens
+    def _uncached_tokens(self, prompt):
+        unread_tokens = prompt.tokens
         for part, tokens in prompt.parts:
             if part not in self.parts:
                 break
-            unread -= tokens
-        return unread
+            unread_tokens -= tokens
+        return unread_tokens
 
-    def _keep(self, part, tokens):
+    def _cache_part(self, part, tokens):
         if part in self.parts:
             self.parts.move_to_end(part)
             return
         self.parts[part] = tokens
-        self.parts_tokens += tokens
-        self._make_room()
+        self.cached_tokens += tokens
+        self._evict_parts()
 
-    def _make_room(self):
+    def _evict_parts(self):
         used = sum(run.prompt.max_output_tokens for run in self.running)
-        while self.parts and self.parts_tokens + used > self.cfg.memory:
+        while self.parts and self.cached_tokens + used > self.cfg.memory:
             _, dropped = self.parts.popitem(last=False)
-            self.parts_tokens -= dropped
+            self.cached_tokens -= dropped
 
-    def _go_on(self):
-        if self.stepping is None and not (self.down or self.dark):
+    def _schedule_work(self):
+        if self.step_timer is None and not (self.down or self.unresponsive):
             self._admit()
             if self.running:
-                self._plan()
+                self._schedule_step()
 
     def _admit(self):
         while self.waiting and len(self.running) < self.cfg.slots:
             self.running.append(self.waiting.pop(0))
-            self._make_room()
+            self._evict_parts()
 
-    def _plan(self):
-        """Set when the next step ends; steps that only go on are one."""
-        reading = self._reading()
-        span = self.cfg.step_ms + self.cfg.running_ms * len(self.running)
+    def _schedule_step(self):
+        """Schedule the end of the next step.
+
+        Steps without a prefill are merged up to the next event.
+        """
+        prefilling = self._next_prefill()
+        duration = self.cfg.step_ms + self.cfg.running_ms * len(self.running)
         steps = 1
-        if reading is not None:
-            span += 1e3 * min(
-                self.cfg.chunk, reading.unread) / self.cfg.read_tokens_s
+        if prefilling is not None:
+            duration += 1e3 * min(
+                self.cfg.chunk,
+                prefilling.unread_tokens) / self.cfg.read_tokens_s
         else:
-            steps = self._steps_until_event()
-        self.stepping = self.clock.after(
-            steps * span * self.factor / 1e3, self._stepped, reading, steps)
+            steps = self._steps_until_next_event()
+        self.step_timer = self.clock.after(
+            steps * duration * self.slowdown / 1e3, self._finish_step,
+            prefilling, steps)
 
-    def _reading(self):
-        """Return the run whose prompt is read next, or None.
+    def _next_prefill(self):
+        """Return the run to prefill next, or None.
 
-        Priorities order who gets a slot; prompts are read as they came.
+        Priority decides who gets a slot; prefills run in order of admission.
         """
-        return next((run for run in self.running if run.unread > 0
+        return next((run for run in self.running if run.unread_tokens > 0
                      and run.ready_at <= self.clock.now), None)
 
-    def _steps_until_event(self):
-        left = [self.cfg.event_tokens - run.made % self.cfg.event_tokens
-                for run in self.running if run.unread <= 0]
-        return min(left, default=1)
+    def _steps_until_next_event(self):
+        remaining = [self.cfg.event_tokens
+                     - run.generated_tokens % self.cfg.event_tokens
+                     for run in self.running if run.unread_tokens <= 0]
+        return min(remaining, default=1)
 
-    def _stepped(self, reading, steps):
-        self.stepping = None
+    def _finish_step(self, prefilling, steps):
+        self.step_timer = None
         for run in list(self.running):
-            if run.unread <= 0 and not run.over:
-                run.made += steps
-                self._tell(run)
-        if reading is not None and not reading.over:
-            reading.unread -= min(self.cfg.chunk, reading.unread)
-        self._go_on()
-
-    def _tell(self, run):
-        events = run.made // self.cfg.event_tokens
-        if events <= run.told:
+            if run.unread_tokens <= 0 and not run.finished:
+                run.generated_tokens += steps
+                self._emit_events(run)
+        if prefilling is not None and not prefilling.finished:
+            prefilling.unread_tokens -= min(self.cfg.chunk,
+                                            prefilling.unread_tokens)
+        self._schedule_work()
+
+    def _emit_events(self, run):
+        events = run.generated_tokens // self.cfg.event_tokens
+        if events <= run.events_sent:
             return
-        run.told = events
+        run.events_sent = events
         if events == 1:
             run.listener.opened(run)
         else:
@@ -245,45 +257,45 @@
             run.listener.ended(run)
 
     def crash(self):
-        """End all connections, and take none."""
-        self._halt()
+        """Break all connections and refuse new ones."""
+        self._cancel_step()
         super().crash()
         self.parts.clear()
-        self.parts_tokens = 0
+        self.cached_tokens = 0
 
-    def set_dark(self, dark):
-        """Say nothing more, with all connections open."""
-        if dark:
-            self._halt()
-        super().set_dark(dark)
+    def set_unresponsive(self, unresponsive):
+        """Stop or resume work, with all connections left open."""
+        if unresponsive:
+            self._cancel_step()
+        super().set_unresponsive(unresponsive)
 
-    def _halt(self):
-        if self.stepping is not None:
-            self.clock.cancel(self.stepping)
-            self.stepping = None
+    def _cancel_step(self):
+        if self.step_timer is not None:
+            self.clock.cancel(self.step_timer)
+            self.step_timer = None
 
 
 class PlainServer(_Server):
     """A server of a plain service."""
 
-    def begin(self, run, source=None):
-        """Take a request, or return False if all is full."""
-        if len(self.waiting) >= QUEUE or self.rest_s is not None:
+    def submit(self, run, source=None):
+        """Accept a request, or return False if the server is full."""
+        if len(self.waiting) >= MAX_WAITING or self.rest_s is not None:
             return False
         self.waiting.append(run)
-        self._go_on()
+        self._schedule_work()
         return True
 
-    def _go_on(self):
+    def _schedule_work(self):
         while (self.waiting and len(self.running) < self.cfg.slots
-               and not (self.down or self.dark)):
+               and not (self.down or self.unresponsive)):
             run = self.waiting.pop(0)
             self.running.append(run)
-            self.clock.after(self.cfg.work_ms * self.factor / 1e3,
-                             self._done, run)
+            self.clock.after(self.cfg.work_ms * self.slowdown / 1e3,
+                             self._finish, run)
 
-    def _done(self, run):
-        if not run.over and not self.dark:
+    def _finish(self, run):
+        if not run.finished and not self.unresponsive:
             self._remove(run)
-            self._go_on()
+            self._schedule_work()
             run.listener.ended(run)
--- a/emulator/faults.py
+++ b/emulator/faults.py
@@ -1,112 +1,113 @@
-"""Troubles of a run; each ends by itself."""
+"""Faults to inject into a run; each is undone after its duration."""
 
 __all__ = ["FAULTS"]
 
-# A server's entry lapses so long after it ended, s; another one under a
-# new id serves this long after the end.
-LAPSE_S = 3.6
-NEW_S = 2.0
+# Delay from a server's crash to the expiry of its entry, and to the start
+# of its replacement under a new id, s.
+ENTRY_EXPIRY_S = 3.6
+REPLACEMENT_DELAY_S = 2.0
 
 
 def _burst(world, fault):
-    world.pace *= fault.times
-    world.clock.after(fault.for_s, _calm, world, fault)
+    world.load_factor *= fault.times
+    world.clock.after(fault.for_s, _end_burst, world, fault)
 
 
-def _calm(world, fault):
-    world.pace /= fault.times
+def _end_burst(world, fault):
+    world.load_factor /= fault.times
 
 
-def _engines(world, fault):
-    """Return engines drawn at random that serve."""
+def _pick_engines(world, fault):
+    """Return random engines among those that are up."""
     found = [server for server in world.engines() if not server.down]
     return world.rng.sample(found, min(fault.count, len(found)))
 
 
 def _crash(world, fault):
-    for server in _engines(world, fault):
+    for server in _pick_engines(world, fault):
         server.crash()
-        world.clock.after(LAPSE_S, world.remove, server.sid)
-        world.clock.after(NEW_S, world.add_engine)
+        world.clock.after(ENTRY_EXPIRY_S, world.remove_server, server.sid)
+        world.clock.after(REPLACEMENT_DELAY_S, world.add_engine)
 
 
-def _dark(world, fault):
-    for server in _engines(world, fault):
-        server.set_dark(True)
-        world.clock.after(fault.for_s, server.set_dark, False)
+def _hang(world, fault):
+    for server in _pick_engines(world, fault):
+        server.set_unresponsive(True)
+        world.clock.after(fault.for_s, server.set_unresponsive, False)
 
 
-def _slow(world, fault):
-    for server in _engines(world, fault):
-        server.factor = max(1.0, fault.times)
-        world.clock.after(fault.for_s, _heal, server)
+def _slow_down(world, fault):
+    for server in _pick_engines(world, fault):
+        server.slowdown = max(1.0, fault.times)
+        world.clock.after(fault.for_s, _end_slowdown, server)
 
 
-def _heal(server):
-    server.factor = 1.0
+def _end_slowdown(server):
+    server.slowdown = 1.0
 
 
 def _limit(world, fault):
-    """Engines take ``times`` requests a second from all hosts together."""
-    for server in _engines(world, fault):
+    """Engines limit all hosts together to ``times`` requests a second."""
+    for server in _pick_engines(world, fault):
         server.rate_limit = fault.times
-        world.clock.after(fault.for_s, _lift, server)
+        world.clock.after(fault.for_s, _end_limit, server)
 
 
-def _lift(server):
+def _end_limit(server):
     server.rate_limit = None
 
 
 def _leave(world, fault):
-    """Engines leave and say so in their answers; the store says nothing."""
-    for server in _engines(world, fault):
+    """Engines announce in responses that they leave; the store does not."""
+    for server in _pick_engines(world, fault):
         server.leaving = True
         world.add_engine()
-        world.clock.after(fault.for_s, world.end, server.sid)
+        world.clock.after(fault.for_s, world.end_server, server.sid)
 
 
-def _rest(world, fault):
-    """Engines refuse all, and ask for ``times`` s of rest."""
-    for server in _engines(world, fault):
+def _ask_backoff(world, fault):
+    """Engines refuse all requests and ask for a backoff of ``times`` s."""
+    for server in _pick_engines(world, fault):
         server.rest_s = fault.times
-        world.clock.after(fault.for_s, _rested, server)
+        world.clock.after(fault.for_s, _end_backoff, server)
 
 
-def _rested(server):
+def _end_backoff(server):
     server.rest_s = None
 
 
 def _drain(world, fault):
-    """Engines leave as planned, and others come."""
-    for server in _engines(world, fault):
+    """Engines are drained, and replaced by new ones."""
+    for server in _pick_engines(world, fault):
         world.add_engine()
         world.drain(server.sid)
-        world.clock.after(fault.for_s, world.end, server.sid)
+        world.clock.after(fault.for_s, world.end_server, server.sid)
 
 
-def _kill(world, fault):
+def _kill_hosts(world, fault):
     names = world.rng.sample(world.names, min(fault.count, len(world.names)))
     for name in names:
         world.hosts[name].stop()
         world.clock.after(fault.for_s, world.hosts[name].start)
 
 
-def _part(world, fault):
-    """Hosts hear no others, and no others hear them."""
-    world.parted = set(world.names[:fault.count])
-    world.clock.after(fault.for_s, world.parted.clear)
+def _partition(world, fault):
+    """Some hosts are partitioned from all others."""
+    world.partitioned = set(world.names[:fault.count])
+    world.clock.after(fault.for_s, world.partitioned.clear)
 
 
-def _hot(world, fault):
-    """One subject of each kind gets most of its requests."""
-    world.hot = 0
-    world.clock.after(fault.for_s, _cool, world)
+def _skew(world, fault):
+    """One subject of each kind gets most of the requests."""
+    world.hot_subject = 0
+    world.clock.after(fault.for_s, _end_skew, world)
 
 
-def _cool(world):
-    world.hot = None
+def _end_skew(world):
+    world.hot_subject = None
 
 
-FAULTS = {"burst": _burst, "crash": _crash, "dark": _dark, "slow": _slow,
-          "limit": _limit, "leave": _leave, "rest": _rest,
-          "drain": _drain, "kill": _kill, "part": _part, "hot": _hot}
+FAULTS = {"burst": _burst, "crash": _crash, "dark": _hang, "slow": _slow_down,
+          "limit": _limit, "leave": _leave, "rest": _ask_backoff,
+          "drain": _drain, "kill": _kill_hosts, "part": _partition,
+          "hot": _skew}
--- a/emulator/hosts.py
+++ b/emulator/hosts.py
@@ -1,4 +1,4 @@
-"""An entry host: the product's reducer, its network and its requests."""
+"""An entry host: the product's reducer with a simulated network."""
 
 import dataclasses
 import random
@@ -16,25 +16,25 @@
 
 
 def _peer(name, boot=1):
-    """Return a host of this name as others know it."""
+    """Return the Peer record of a host."""
     return model.Peer(name, boot, "a", f"{name}:80", (name, 81),
                       (name, 82), 1.0)
 
 
 @dataclasses.dataclass(slots=True)
-class _Asked:
-    """A request at this host; ``runs`` are its attempts by number."""
+class _PendingRequest:
+    """A pending request; ``runs`` maps attempt numbers to (server, run)."""
 
     caller: object
     request: model.Request
     at: float
     runs: dict = dataclasses.field(default_factory=dict)
     timer: list | None = None
-    passing: int | None = None
+    forwarded_attempt: int | None = None
 
 
 class _Listener:
-    """Tells a host what becomes of one attempt, a way later."""
+    """Reports an attempt's progress to its host after the network delay."""
 
     def __init__(self, host, key, attempt_number, server):
         self.host = host
@@ -43,52 +43,60 @@
         self.server = server
 
     def opened(self, run):
-        """The first event was made."""
-        self._tell_hints()
-        self._tell(
+        """Report the first event of a stream."""
+        self._send_hints()
+        self._send_event(
             events.StreamOpened(self.key, self.attempt_number,
                                 self.server.load()))
 
     def progressed(self, run):
-        """One more event was made."""
-        self._tell(events.StreamProgressed(self.key, self.attempt_number))
+        """Report a further event of a stream."""
+        self._send_event(
+            events.StreamProgressed(
+                self.key,
+                self.attempt_number))
 
     def ended(self, run):
-        """The answer is whole."""
+        """Report the end of the response."""
         if run.prompt is not None:
-            self._tell(events.StreamEnded(self.key, self.attempt_number))
+            self._send_event(events.StreamEnded(self.key, self.attempt_number))
             return
-        self._tell_hints()
-        self._tell(events.ResponseReceived(
+        self._send_hints()
+        self._send_event(events.ResponseReceived(
             self.key, self.attempt_number, 200, self.server.load(), True))
 
     def broken(self, run):
-        """The connection ended."""
-        self._tell(events.AttemptFailed(
+        """Report a broken connection."""
+        self._send_event(events.AttemptFailed(
             self.key, self.attempt_number, model.Outcome.DISCONNECTED, "reset",
             True))
 
-    def fails(self, outcome):
-        """The attempt ends without having run."""
+    def fail(self, outcome):
+        """Report a failure before the request was run."""
         if outcome is model.Outcome.NOT_RUN:
-            self._tell_hints()
-        self._tell(
+            self._send_hints()
+        self._send_event(
             events.AttemptFailed(self.key, self.attempt_number, outcome))
 
-    def _tell_hints(self):
-        found = self.server.hints()
+    def _send_hints(self):
+        hints = self.server.hints()
         now, name = self.host.world.clock.now, self.host.name
-        if found.rate_limit is not None:
+        if hints.rate_limit is not None:
             self.server.told.setdefault(name, now)
-        if found.leaving:
+        if hints.leaving:
             self.server.told_leaving.setdefault(name, now)
-        if found.backoff_s is not None:
-            self.server.rests.append((now, name, found.backoff_s))
-        self._tell(events.HintsReceived(self.key, self.attempt_number, found))
-
-    def _tell(self, event):
+        if hints.backoff_s is not None:
+            self.server.rests.append((now, name, hints.backoff_s))
+        self._send_event(
+            events.HintsReceived(
+                self.key,
+                self.attempt_number,
+                hints))
+
+    def _send_event(self, event):
         self.host.world.clock.after(
-            self.host.world.way_s, self.host.hear, self.host.boot, event)
+            self.host.world.network_delay_s, self.host.receive_event,
+            self.host.boot, event)
 
 
 class EntryHost:
@@ -100,11 +108,11 @@
         self.rng = random.Random(seed)
         self.boot = 0
         self.core = None
-        self.asked = {}
-        self.keys = 0
+        self.pending = {}
+        self.last_key = 0
 
     def start(self):
-        """Begin, knowing the configuration and the servers."""
+        """Start with the current configuration and list of servers."""
         self.boot += 1
         self.core = entry.new_host(entry.Settings(
             repeat_slack=50.0), random.Random(self.rng.random()))
@@ -112,17 +120,17 @@
         others = tuple(map(_peer, self.world.names))
         for event in (events.Started(me), events.PeersListed(others),
                       events.CatalogRead(self.world.catalog),
-                      events.ServersListed(self.world.listed(), 5)):
+                      events.ServersListed(self.world.server_list(), 5)):
             self.feed(event)
         self.world.clock.after(self.rng.random() * TICK_S, self._tick,
                                self.boot)
 
     def stop(self):
-        """Lose power: callers' connections end, servers see theirs."""
+        """Lose power: all connections to callers and servers break."""
         self.core = None
-        for key, asked in list(self.asked.items()):
-            self.forget(key)
-            asked.caller.cut()
+        for key, pending in list(self.pending.items()):
+            self.discard_request(key)
+            pending.caller.connection_lost()
 
     def _tick(self, boot):
         if self.core is not None and boot == self.boot:
@@ -130,161 +138,168 @@
             self.world.clock.after(TICK_S, self._tick, boot)
 
     def addresses(self):
-        """Return the names of the hosts that callers may use."""
+        """Return the names of the hosts that callers may connect to."""
         if self.core is None:
             return []
         return [address.partition(":")[0]
                 for address in fleet.caller_addresses(
                     self.core, self.world.clock.now)]
 
-    def ask(self, caller, request):
-        """Take a caller's request; return its key, None if it is down."""
+    def receive_request(self, caller, request):
+        """Accept a request; return its key, or None if the host is down."""
         if self.core is None:
             return None
-        self.keys += 1
-        self.asked[self.keys] = _Asked(
+        self.last_key += 1
+        self.pending[self.last_key] = _PendingRequest(
             caller, request, self.world.clock.now)
-        self.feed(events.RequestReceived(self.keys, request))
-        return self.keys
+        self.feed(events.RequestReceived(self.last_key, request))
+        return self.last_key
 
-    def left(self, key):
-        """The caller closed its connection."""
-        if self.core is not None and key in self.asked:
+    def caller_disconnected(self, key):
+        """Handle the close of a caller's connection."""
+        if self.core is not None and key in self.pending:
             self.feed(events.CallerDisconnected(key))
-            self.forget(key)
+            self.discard_request(key)
 
-    def hear(self, boot, event):
-        """Take an event, unless it is of an earlier life."""
+    def receive_event(self, boot, event):
+        """Handle an event, unless it is for an earlier boot of this host."""
         if self.core is None or boot != self.boot:
             return
         key = getattr(event, "key", None)
-        if key is not None and key not in self.asked:
+        if key is not None and key not in self.pending:
             return
-        self._pass_events(event)
+        self._forward_event(event)
         self.feed(event)
-        if isinstance(event, events.StreamEnded) and key in self.asked:
-            self.asked[key].caller.ended()
-            self.forget(key)
+        if isinstance(event, events.StreamEnded) and key in self.pending:
+            self.pending[key].caller.response_ended()
+            self.discard_request(key)
 
-    def hear_host(self, event):
-        """Take what another host tells."""
+    def receive_broadcast(self, event):
+        """Handle an event from another host or from the store."""
         if self.core is not None:
             self.feed(event)
 
-    def _pass_events(self, event):
-        """Let the caller have an event of the stream that it gets."""
+    def _forward_event(self, event):
+        """Forward a stream event to the caller if it is of its attempt."""
         if isinstance(event, events.StreamProgressed):
-            asked = self.asked[event.key]
-            if asked.passing == event.attempt_number:
-                asked.caller.event()
+            pending = self.pending[event.key]
+            if pending.forwarded_attempt == event.attempt_number:
+                pending.caller.receive_event()
 
     def feed(self, event):
-        """Feed an event and carry out what follows."""
+        """Reduce an event and execute the resulting effects."""
         for effect in entry.reduce(
                 self.core, event, self.world.clock.now):
-            perform = PERFORM.get(type(effect))
-            if perform is not None:
-                perform(self, effect)
-
-    def forget(self, key):
-        """Let go of a request, and end what servers do for it."""
-        asked = self.asked.pop(key)
-        if asked.timer is not None:
-            self.world.clock.cancel(asked.timer)
-        for server, run in asked.runs.values():
+            handler = EFFECT_HANDLERS.get(type(effect))
+            if handler is not None:
+                handler(self, effect)
+
+    def discard_request(self, key):
+        """Discard a request and cancel its runs at servers."""
+        pending = self.pending.pop(key)
+        if pending.timer is not None:
+            self.world.clock.cancel(pending.timer)
+        for server, run in pending.runs.values():
             server.cancel(run)
 
 
-def _send(host, effect):
-    asked = host.asked[effect.key]
+def _send_request(host, effect):
+    pending = host.pending[effect.key]
     server = host.world.servers.get(effect.server.sid)
     listener = _Listener(host, effect.key, effect.attempt_number, server)
     if server is None or server.down:
-        listener.fails(model.Outcome.REFUSED)
+        listener.fail(model.Outcome.REFUSED)
         return
-    kind = asked.caller.kind
-    prompt = asked.request.prompt
+    kind = pending.caller.kind
+    prompt = pending.request.prompt
     run = engines.Run(listener, prompt, kind.events, effect.priority)
     if effect.resume:
-        run.events -= asked.caller.events
-    asked.runs[effect.attempt_number] = server, run
+        run.events -= pending.caller.events
+    pending.runs[effect.attempt_number] = server, run
     source = None
     if effect.fetch_from is not None:
         source = host.world.servers.get(effect.fetch_from[0])
-    host.world.clock.after(host.world.way_s, _arrive, listener, run, source)
+    host.world.clock.after(
+        host.world.network_delay_s,
+        _arrive,
+        listener,
+        run,
+        source)
 
 
 def _arrive(listener, run, source):
-    if run.over:
+    if run.finished:
         return
     host = listener.host
-    asked = host.asked.get(listener.key)
+    pending = host.pending.get(listener.key)
     listener.server.arrivals.append(engines.Arrival(
-        host.world.clock.now, host.name, asked.at if asked else 0.0))
+        host.world.clock.now, host.name, pending.at if pending else 0.0))
     if listener.server.down:
-        run.over = True
+        run.finished = True
         listener.broken(run)
-    elif not listener.server.begin(run, source):
-        run.over = True
-        listener.fails(model.Outcome.NOT_RUN)
+    elif not listener.server.submit(run, source):
+        run.finished = True
+        listener.fail(model.Outcome.NOT_RUN)
 
 
-def _cancel(host, effect):
-    found = host.asked[effect.key].runs.get(effect.attempt_number)
+def _cancel_attempt(host, effect):
+    found = host.pending[effect.key].runs.get(effect.attempt_number)
     if found is not None:
         server, run = found
-        host.world.clock.after(host.world.way_s, server.cancel, run)
+        host.world.clock.after(host.world.network_delay_s, server.cancel, run)
 
 
-def _pass_on(host, effect):
-    asked = host.asked[effect.key]
-    asked.passing = effect.attempt_number
-    if asked.request.prompt is not None:
-        asked.caller.event()
+def _forward_response(host, effect):
+    pending = host.pending[effect.key]
+    pending.forwarded_attempt = effect.attempt_number
+    if pending.request.prompt is not None:
+        pending.caller.receive_event()
         return
-    asked.caller.ended()
-    host.forget(effect.key)
+    pending.caller.response_ended()
+    host.discard_request(effect.key)
 
 
-def _answer(host, effect):
-    host.asked[effect.key].caller.refused(effect.status, effect.retry_delay_s)
-    host.forget(effect.key)
+def _refuse(host, effect):
+    host.pending[effect.key].caller.request_refused(
+        effect.status, effect.retry_delay_s)
+    host.discard_request(effect.key)
 
 
-def _cut(host, effect):
-    host.asked[effect.key].caller.cut()
-    host.forget(effect.key)
+def _abort_stream(host, effect):
+    host.pending[effect.key].caller.connection_lost()
+    host.discard_request(effect.key)
 
 
-def _timer(host, effect):
-    asked = host.asked.get(effect.key)
-    if asked is None:
+def _set_timer(host, effect):
+    pending = host.pending.get(effect.key)
+    if pending is None:
         return
-    if asked.timer is not None:
-        host.world.clock.cancel(asked.timer)
-    asked.timer = host.world.clock.at(
-        effect.at, host.hear, host.boot, events.TimerFired(effect.key))
+    if pending.timer is not None:
+        host.world.clock.cancel(pending.timer)
+    pending.timer = host.world.clock.at(
+        effect.at, host.receive_event, host.boot,
+        events.TimerFired(effect.key))
 
 
-def _tell(host, effect):
+def _send_to_peer(host, effect):
     other = host.world.hosts.get(effect.peer.name)
-    if other is not None and host.world.hear_each_other(host, other):
+    if other is not None and host.world.are_connected(host, other):
         host.world.clock.after(
-            host.world.way_s, other.hear_host, effect.event)
+            host.world.network_delay_s, other.receive_broadcast, effect.event)
 
 
-def _tell_loads(host, effect):
+def _schedule_loads_due(host, effect):
     host.world.clock.at(
-        effect.at, host.hear, host.boot, events.LoadsDue())
-
-
-PERFORM = {
-    effects.SendRequest: _send,
-    effects.Cancel: _cancel,
-    effects.ForwardResponse: _pass_on,
-    effects.Answer: _answer,
-    effects.AbortStream: _cut,
-    effects.SetRequestTimer: _timer,
-    effects.SendToPeer: _tell,
-    effects.ScheduleLoadsDue: _tell_loads,
+        effect.at, host.receive_event, host.boot, events.LoadsDue())
+
+
+EFFECT_HANDLERS = {
+    effects.SendRequest: _send_request,
+    effects.Cancel: _cancel_attempt,
+    effects.ForwardResponse: _forward_response,
+    effects.Answer: _refuse,
+    effects.AbortStream: _abort_stream,
+    effects.SetRequestTimer: _set_timer,
+    effects.SendToPeer: _send_to_peer,
+    effects.ScheduleLoadsDue: _schedule_loads_due,
 }
--- a/emulator/mechanisms.py
+++ b/emulator/mechanisms.py
@@ -1,7 +1,7 @@
-"""What can be switched off in the hosts, to see what it is worth.
+"""Mechanisms of the hosts that can be disabled to measure their effect.
 
-Each entry sets constants of the product so that the mechanism does
-nothing; nothing else of the run changes.
+Each entry sets constants of the product so that the mechanism has no
+effect; the rest of the run is unchanged.
 """
 
 import contextlib
@@ -18,15 +18,15 @@
 
 __all__ = ["MECHANISMS", "without"]
 
-ALL = (1.0, 1.0, 1.0)
+FULL_SHARES = (1.0, 1.0, 1.0)
 MECHANISMS = {
-    "wait bounds by rank": ((admission, "MAX_WAIT_SHARES", ALL),),
+    "wait bounds by rank": ((admission, "MAX_WAIT_SHARES", FULL_SHARES),),
     "prompts before an engine by rank": (
         (admission, "MAX_PREFILLS_AHEAD", (64, 64, 64)),),
     "reading time by rank": (
         (admission, "MAX_PREFILL_SHARES", (2.0, 2.0, 2.0)),),
     "no spill to busy engines": ((admission, "SPILL_MAX_PREFILL_SHARE", 2.0),),
-    "slots by rank": ((admission, "MAX_SLOT_SHARES", ALL),),
+    "slots by rank": ((admission, "MAX_SLOT_SHARES", FULL_SHARES),),
     "bound on memory": ((admission, "MAX_MEMORY_SHARE", math.inf),),
     "bound on streams made late": ((admission, "MAX_LATE_STREAMS", math.inf),),
     "holding for room": ((admission, "QUEUE_TIME_SHARE", 0.0),),
@@ -48,7 +48,7 @@
 
 @contextlib.contextmanager
 def without(name):
-    """Have a mechanism do nothing; "" switches nothing off."""
+    """Disable a mechanism in this context; "" disables none."""
     with contextlib.ExitStack() as stack:
         for module, constant, value in MECHANISMS[name] if name else ():
             stack.enter_context(unittest.mock.patch.object(
--- a/emulator/report.py
+++ b/emulator/report.py
@@ -1,19 +1,19 @@
-"""Tables and plots of runs, and files that later runs are compared with."""
+"""Tables and plots of runs, and files to compare later runs with."""
 
 import json
 import statistics
 
-__all__ = ["delta_table", "keep", "kept", "plot", "table"]
+__all__ = ["delta_table", "load_rows", "plot", "save_rows", "table"]
 
 
-def _spread(values):
+def _format_mean(values):
     if len(values) < 2:
         return f"{values[0]:.3f}"
     return f"{statistics.mean(values):.3f} ±{statistics.stdev(values):.3f}"
 
 
 def table(runs):
-    """Return a table: a column a (deployment, variant), means of seeds.
+    """Return a table of means over seeds, a column per run.
 
     ``runs`` maps (deployment, variant) to a list of rows.
     """
@@ -23,31 +23,32 @@
         for deployment, variant in runs) + " |",
         "| --- |" + " --- |" * len(runs)]
     for name in names:
-        cells = [_spread([row[name] for row in rows])
+        cells = [_format_mean([row[name] for row in rows])
                  for rows in runs.values()]
         lines.append(f"| {name} | " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
 def delta_table(figure, base, variants):
-    """Return what each variant changes of a figure, by deployment.
+    """Return the change of a figure by each variant, per deployment.
 
-    ``base`` maps a deployment to rows by seed, ``variants`` a name to the
-    same; a change is told with the spread of the seeds' own changes.
+    ``base`` maps a deployment to its rows by seed, ``variants`` a name to
+    such a mapping. A change is given as the mean of the seeds' changes,
+    with its standard error.
     """
     lines = [f"| Without | {' | '.join(base)} |",
              "| --- |" + " --- |" * len(base)]
-    for name, found in variants.items():
+    for name, run_rows in variants.items():
         cells = []
         for deployment, rows in base.items():
-            changes = [row[figure] - usual[figure] for row, usual
-                       in zip(found[deployment], rows)]
-            cells.append(_signed(changes))
+            changes = [row[figure] - baseline[figure] for row, baseline
+                       in zip(run_rows[deployment], rows)]
+            cells.append(_format_change(changes))
         lines.append(f"| {name} | {' | '.join(cells)} |")
     return "\n".join(lines)
 
 
-def _signed(changes):
+def _format_change(changes):
     mean = statistics.mean(changes)
     if len(changes) < 2:
         return f"{mean:+.3f}"
@@ -55,21 +56,21 @@
     return f"{mean:+.3f} ±{error:.3f}"
 
 
-def keep(path, runs):
-    """Write rows to a file."""
-    rows = [{"deployment": deployment, "variant": variant, "rows": found}
-            for (deployment, variant), found in runs.items()]
+def save_rows(path, runs):
+    """Write the rows of runs to a JSON file."""
+    rows = [{"deployment": deployment, "variant": variant, "rows": run_rows}
+            for (deployment, variant), run_rows in runs.items()]
     path.write_text(json.dumps(rows, indent=1) + "\n", encoding="utf-8")
 
 
-def kept(path):
-    """Return the rows of a file as :func:`table` takes them."""
+def load_rows(path):
+    """Return the rows of a file in the format of :func:`table`."""
     return {(each["deployment"], each["variant"]): each["rows"]
             for each in json.loads(path.read_text(encoding="utf-8"))}
 
 
 def plot(path, results):
-    """Draw what was earned of what was owed, second by second.
+    """Plot the share of the offered worth that was earned, per second.
 
     ``results`` maps a name to a :class:`tally.Result`.
     """
@@ -79,11 +80,11 @@
 
     figure, axes = pyplot.subplots(figsize=(9, 4))
     for name, result in results.items():
-        shares = [earned / owed if owed else 1.0
-                  for owed, earned in result.seconds]
+        shares = [earned / offered if offered else 1.0
+                  for offered, earned in result.seconds]
         axes.plot(range(len(shares)), shares, label=name)
     axes.set_xlabel("s")
-    axes.set_ylabel("earned of what was owed")
+    axes.set_ylabel("share of offered worth earned")
     axes.set_ylim(0, 1.05)
     axes.legend()
     figure.tight_layout()
--- a/emulator/run.py
+++ b/emulator/run.py
@@ -1,4 +1,4 @@
-"""One run: a deployment, a seed, and what came of it."""
+"""One simulation run of a deployment with a seed."""
 
 import dataclasses
 import random
@@ -16,32 +16,32 @@
 
 ENGINES = "engines"
 PLAIN = "plain"
-# Hosts know each other after this, s.
-SETTLES_S = 2.0
-# A change of the list of servers is known to hosts after this, s.
-LISTED_S = 0.02
-# Of requests of a kind this share goes to a hot subject.
-HOT_SHARE = 0.6
-# Subjects are drawn by 1 / place to this power.
-SKEW = 0.8
+# Hosts have discovered each other after this, s.
+WARM_UP_S = 2.0
+# Delay until hosts learn of a change to the server list, s.
+SERVER_LIST_DELAY_S = 0.02
+# Share of the requests of a kind that go to the hot subject.
+HOT_SUBJECT_SHARE = 0.6
+# Subjects follow a Zipf distribution: weight 1 / rank ** exponent.
+ZIPF_EXPONENT = 0.8
 
 
 class World:
-    """All that takes part in a run.
+    """The simulated hosts, servers and callers of a run.
 
-    ``pace`` is how many times the usual load callers bring, ``hot`` the
-    subject that most of them ask for, or None.
+    ``load_factor`` multiplies the normal request rate; ``hot_subject``
+    is the subject that most requests are for, or None.
     """
 
     def __init__(self, deployment, seed):
         self.deployment = deployment
         self.rng = random.Random(seed)
         self.clock = clocks.Clock()
-        self.way_s = deployment.way_ms / 1e3
-        self.tally = tallies.Tally(self.clock.now + SETTLES_S)
-        self.pace = 1.0
-        self.hot = None
-        self.numbered = 0
+        self.network_delay_s = deployment.way_ms / 1e3
+        self.tally = tallies.Tally(self.clock.now + WARM_UP_S)
+        self.load_factor = 1.0
+        self.hot_subject = None
+        self.last_number = 0
         self.revision = 5
         self.servers = {}
         self.entries = {}
@@ -49,115 +49,122 @@
         self.names = [f"h{number}" for number in range(deployment.hosts)]
         self.hosts = {name: hosts.EntryHost(self, name, f"{seed}-{name}")
                       for name in self.names}
-        # Hosts that are cut off from the others.
-        self.parted = set()
-        self.weights = {}
-        self.told = []
-        self.told_until = 0.0
+        # Names of the hosts that are partitioned from the others.
+        self.partitioned = set()
+        self.subject_weights = {}
+        self.known_addresses = []
+        self.addresses_expire_at = 0.0
 
     def engines(self):
-        """Return the engines that callers' requests may go to."""
+        """Return the engines that accept requests."""
         return [self.servers[sid] for sid, entry in self.entries.items()
                 if entry.service == ENGINES and not entry.draining]
 
-    def listed(self):
+    def server_list(self):
         """Return the entries of all servers."""
         return tuple(self.entries.values())
 
     def add_engine(self):
-        """Start an engine, and have hosts know of it."""
-        self._add(ENGINES, engines.Engine, self.deployment.engines,
-                  self.tally)
+        """Start an engine and register it."""
+        self._add_server(ENGINES, engines.Engine, self.deployment.engines,
+                         self.tally)
 
     def add_plain(self):
-        """Start a server of the plain service."""
-        self._add(PLAIN, engines.PlainServer, self.deployment.plain)
+        """Start and register a server of the plain service."""
+        self._add_server(PLAIN, engines.PlainServer, self.deployment.plain)
 
-    def _add(self, service, make, cfg, *args):
-        self.numbered += 1
-        sid = f"s{self.numbered:04}"
-        self.servers[sid] = make(self.clock, sid, cfg, *args)
+    def _add_server(self, service, server_class, cfg, *args):
+        self.last_number += 1
+        sid = f"s{self.last_number:04}"
+        self.servers[sid] = server_class(self.clock, sid, cfg, *args)
         self.entries[sid] = model.Server(
             sid, service, (sid, 80), "a", cfg.slots, False)
-        self._change((self.entries[sid],), ())
+        self._send_server_change((self.entries[sid],), ())
 
     def drain(self, sid):
-        """Have a server say that it leaves."""
+        """Mark a server as draining."""
         self.entries[sid] = dataclasses.replace(
             self.entries[sid], draining=True)
-        self._change((self.entries[sid],), ())
+        self._send_server_change((self.entries[sid],), ())
 
-    def end(self, sid):
-        """End a server that left."""
+    def end_server(self, sid):
+        """Stop a drained server and remove its entry."""
         if not self.servers[sid].down:
             self.servers[sid].crash()
-        self.remove(sid)
+        self.remove_server(sid)
 
-    def remove(self, sid):
-        """Take a server off the list."""
+    def remove_server(self, sid):
+        """Remove a server's entry from the list."""
         if self.entries.pop(sid, None) is not None:
-            self._change((), (sid,))
+            self._send_server_change((), (sid,))
 
-    def _change(self, changed, removed):
+    def _send_server_change(self, changed, removed):
         self.revision += 1
         event = events.ServersChanged(changed, removed, self.revision)
         for host in self.hosts.values():
-            self.clock.after(LISTED_S, host.hear_host, event)
+            self.clock.after(
+                SERVER_LIST_DELAY_S,
+                host.receive_broadcast,
+                event)
 
-    def hear_each_other(self, host, other):
-        """Say whether what one of two hosts tells reaches the other."""
-        return (host.name in self.parted) == (other.name in self.parted)
+    def are_connected(self, host, other):
+        """Return whether two hosts are in the same network partition."""
+        return (host.name in self.partitioned) == (
+            other.name in self.partitioned)
 
     def host_for_caller(self):
-        """Return the host that a caller asks, None if it knows none."""
-        if self.clock.now >= self.told_until or not self.told:
-            asked = self.hosts[self.rng.choice(self.names)]
-            self.told = asked.addresses() or self.told
-            self.told_until = self.clock.now + callers.TOLD_S
-        if not self.told:
+        """Return a host for a caller to use, or None if none is known."""
+        if (self.clock.now >= self.addresses_expire_at
+                or not self.known_addresses):
+            asked_host = self.hosts[self.rng.choice(self.names)]
+            self.known_addresses = (
+                asked_host.addresses() or self.known_addresses)
+            self.addresses_expire_at = self.clock.now + callers.ADDRESS_TTL_S
+        if not self.known_addresses:
             return None
-        return self.hosts[self.rng.choice(self.told)]
+        return self.hosts[self.rng.choice(self.known_addresses)]
 
-    def begin(self):
-        """Start servers and hosts, and let hosts hear each other."""
+    def start(self):
+        """Start servers and hosts, and run until hosts know each other."""
         for _ in range(self.deployment.engines.count):
             self.add_engine()
         for _ in range(self.deployment.plain.count):
             self.add_plain()
         for host in self.hosts.values():
             host.start()
-        self.clock.run(self.clock.now + SETTLES_S)
+        self.clock.run(self.clock.now + WARM_UP_S)
 
-    def load(self):
-        """Have callers come, and troubles."""
+    def start_load(self):
+        """Schedule the callers and the faults."""
         for kind in self.deployment.kinds:
-            self.weights[kind.name] = [
-                (place + 1) ** -SKEW for place in range(kind.subjects)]
-            self._next(kind)
+            self.subject_weights[kind.name] = [
+                (rank + 1) ** -ZIPF_EXPONENT for rank in range(kind.subjects)]
+            self._schedule_caller(kind)
         for fault in self.deployment.faults:
             self.clock.after(fault.at, faults.FAULTS[fault.kind], self,
                              fault)
 
-    def _next(self, kind):
-        span = self.rng.expovariate(kind.a_second * self.pace)
-        self.clock.after(span, self._come, kind)
+    def _schedule_caller(self, kind):
+        span = self.rng.expovariate(kind.a_second * self.load_factor)
+        self.clock.after(span, self._start_caller, kind)
 
-    def _come(self, kind):
+    def _start_caller(self, kind):
         if self.clock.now >= self.tally.began + self.deployment.seconds:
             return
-        self._next(kind)
-        self.numbered += 1
+        self._schedule_caller(kind)
+        self.last_number += 1
         caller = callers.Caller(
-            self, f"r{self.numbered}", kind, self._subject(kind),
+            self, f"r{self.last_number}", kind, self._draw_subject(kind),
             self.clock.now)
-        self.clock.after(kind.limit_ms / 1e3, caller.give_up)
-        caller.ask()
+        self.clock.after(kind.limit_ms / 1e3, caller.time_out)
+        caller.send()
 
-    def _subject(self, kind):
-        if self.hot is not None and self.rng.random() < HOT_SHARE:
-            return self.hot
+    def _draw_subject(self, kind):
+        if (self.hot_subject is not None
+                and self.rng.random() < HOT_SUBJECT_SHARE):
+            return self.hot_subject
         return self.rng.choices(
-            range(kind.subjects), self.weights[kind.name])[0]
+            range(kind.subjects), self.subject_weights[kind.name])[0]
 
 
 def _catalog(deployment):
@@ -167,29 +174,29 @@
         ENGINES: model.Service(ENGINES, 0, model.EngineSpec(
             cfg.slots, cfg.memory, cfg.fetch_token_us / 1e6)),
         PLAIN: model.Service(PLAIN, 0, None)}
-    return model.Catalog(1, 1, {callers.HOST: routes}, services, None,
+    return model.Catalog(1, 1, {callers.ROUTE_HOST: routes}, services, None,
                          model.Limits(16384, 1 << 20, 3.0, 15.0))
 
 
 def _route(kind):
     stream = kind.kind == "stream"
     return model.Route(
-        kind.name, callers.HOST, f"/{kind.name}/", model.Kind(kind.kind),
+        kind.name, callers.ROUTE_HOST, f"/{kind.name}/", model.Kind(kind.kind),
         ((ENGINES if stream else PLAIN, 1),), kind.limit_ms / 1e3,
         kind.goal_ms / 1e3, 2, kind.priority, True, stream,
         kind.gap_ms / 1e3)
 
 
 def played(deployment, seed):
-    """Play a deployment; return its World after the end."""
+    """Simulate a deployment; return its World after the end."""
     world = World(deployment, seed)
-    world.begin()
-    world.load()
+    world.start()
+    world.start_load()
     longest = max(kind.limit_ms for kind in deployment.kinds) / 1e3
     world.clock.run(world.tally.began + deployment.seconds + longest)
     return world
 
 
 def play(deployment, seed):
-    """Play a deployment; return the tally's Result."""
+    """Simulate a deployment; return the tally's Result."""
     return played(deployment, seed).tally.result()
--- a/emulator/tally.py
+++ b/emulator/tally.py
@@ -1,4 +1,4 @@
-"""What came of the requests of a run, and what engines did for them."""
+"""Outcomes of the requests of a run, and prefill work of the engines."""
 
 import collections
 import dataclasses
@@ -12,97 +12,97 @@
 class Result:
     """Figures of a run.
 
-    ``goodput`` is the share of what requests were worth that was earned,
-    ``kinds`` the same by kind of request; ``shares`` are of requests, by
-    outcome. ``again`` and ``fetched`` are shares of the tokens of shared
-    parts that were asked for: read though an engine had them, and taken
-    from another engine. ``first_s`` is the wait for the first event that
-    half and 99 in 100 stay within. ``seconds`` holds, for each second of
-    the run, what was owed and what was earned.
+    ``goodput`` is the earned share of the requests' total worth, ``kinds``
+    the same by kind of request; ``shares`` maps an outcome to its share of
+    requests. ``recomputed`` and ``fetched`` are shares of the requested tokens
+    of shared parts: those prefilled although an engine had done so before,
+    and those transferred from another engine. ``first_event_s`` holds the 50th
+    and 99th percentile of the time to the first event. ``seconds`` holds,
+    for each second of the run, the worth offered and earned.
     """
 
     goodput: float
-    worst: float
+    worst_kind: float
     kinds: dict
     shares: dict
-    again: float
+    recomputed: float
     fetched: float
-    first_s: tuple
+    first_event_s: tuple
     requests: int
     seconds: tuple
 
     def row(self):
-        """Return the figures that are compared, by name."""
-        return {"goodput": self.goodput, "worst kind": self.worst,
+        """Return the figures to compare, by name."""
+        return {"goodput": self.goodput, "worst kind": self.worst_kind,
                 "late": self.shares["late"],
                 "refused": self.shares["refused"],
                 "failed": self.shares["failed"] + self.shares["gave up"],
-                "read again": self.again, "fetched": self.fetched,
-                "first, half": self.first_s[0],
-                "first, 99 %": self.first_s[1]}
+                "read again": self.recomputed, "fetched": self.fetched,
+                "first, half": self.first_event_s[0],
+                "first, 99 %": self.first_event_s[1]}
 
 
 class Tally:
-    """Counts while a run goes on."""
+    """Counters that are updated during a run."""
 
     def __init__(self, began):
         self.began = began
-        self.ended = collections.Counter()
-        self.owed = collections.Counter()
+        self.outcomes = collections.Counter()
+        self.offered = collections.Counter()
         self.earned = collections.Counter()
         self.by_second = collections.defaultdict(lambda: [0.0, 0.0])
-        self.waits = []
-        self.read = set()
-        self.asked_tokens = 0
-        self.again_tokens = 0
+        self.first_event_waits = []
+        self.prefilled_parts = set()
+        self.shared_tokens = 0
+        self.recomputed_tokens = 0
         self.fetched_tokens = 0
 
-    def note_end(self, caller):
-        """Note a caller that is done."""
+    def record_outcome(self, caller):
+        """Record the outcome of a caller."""
         kind = caller.kind
         earned = {"on time": kind.worth, "late": kind.late}.get(
             caller.outcome, 0.0)
-        self.ended[caller.outcome] += 1
-        self.owed[kind.name] += kind.worth
+        self.outcomes[caller.outcome] += 1
+        self.offered[kind.name] += kind.worth
         self.earned[kind.name] += earned
         second = self.by_second[int(caller.at - self.began)]
         second[0] += kind.worth
         second[1] += earned
-        if caller.first_at is not None:
-            self.waits.append(caller.first_at - caller.at)
+        if caller.first_event_at is not None:
+            self.first_event_waits.append(caller.first_event_at - caller.at)
 
-    def note_read(self, prompt, unread, fetched):
-        """Note what an engine reads of a prompt that it was sent."""
+    def record_prefill(self, prompt, unread_tokens, fetched):
+        """Record the prefill that an engine does for a prompt."""
         shared = sum(tokens for _, tokens in prompt.parts[:-1])
-        missing = max(0, unread - (prompt.tokens - shared))
-        self.asked_tokens += shared
+        uncached_shared = max(0, unread_tokens - (prompt.tokens - shared))
+        self.shared_tokens += shared
         self.fetched_tokens += fetched
         for part, _ in prompt.parts[:-1]:
-            if part in self.read:
-                self.again_tokens += missing
-            self.read.add(part)
+            if part in self.prefilled_parts:
+                self.recomputed_tokens += uncached_shared
+            self.prefilled_parts.add(part)
 
     def result(self):
         """Return the Result."""
-        total = sum(self.ended.values()) or 1
-        kinds = {name: self.earned[name] / owed
-                 for name, owed in self.owed.items()}
-        asked = self.asked_tokens or 1
+        total = sum(self.outcomes.values()) or 1
+        kinds = {name: self.earned[name] / offered
+                 for name, offered in self.offered.items()}
+        shared_total = self.shared_tokens or 1
         seconds = [tuple(self.by_second[second])
                    for second in sorted(self.by_second)]
         return Result(
             goodput=sum(self.earned.values()) / (
-                sum(self.owed.values()) or 1),
-            worst=min(kinds.values(), default=0.0), kinds=kinds,
-            shares={name: self.ended[name] / total for name in OUTCOMES},
-            again=self.again_tokens / asked,
-            fetched=self.fetched_tokens / asked,
-            first_s=(_at_share(self.waits, 0.5),
-                     _at_share(self.waits, 0.99)),
+                sum(self.offered.values()) or 1),
+            worst_kind=min(kinds.values(), default=0.0), kinds=kinds,
+            shares={name: self.outcomes[name] / total for name in OUTCOMES},
+            recomputed=self.recomputed_tokens / shared_total,
+            fetched=self.fetched_tokens / shared_total,
+            first_event_s=(_quantile(self.first_event_waits, 0.5),
+                           _quantile(self.first_event_waits, 0.99)),
             requests=total, seconds=tuple(seconds))
 
 
-def _at_share(values, share):
-    """Return the value that a share of all stays within."""
+def _quantile(values, share):
+    """Return the value at a quantile, or 0 if there are none."""
     ordered = sorted(values)
     return ordered[int(share * (len(ordered) - 1))] if ordered else 0.0
--- a/tests/emulator/test_engine.py
+++ b/tests/emulator/test_engine.py
@@ -1,4 +1,4 @@
-"""The models of servers do what such servers do."""
+"""Tests of the server models and of deployment validation."""
 
 import unittest
 
@@ -16,19 +16,19 @@
 
 
 class _Listener:
-    """Notes when what was told."""
+    """Records each notification with its time."""
 
     def __init__(self, clock):
         self.clock = clock
-        self.told = []
+        self.notified = []
 
     def __getattr__(self, name):
-        return lambda run: self.told.append(
+        return lambda run: self.notified.append(
             (name, round(self.clock.now, 3)))
 
 
 class EngineTest(unittest.TestCase):
-    """Steps, prompts read between them, memory, faults."""
+    """Steps, prefills between them, cache memory and faults."""
 
     def setUp(self):
         self.clock = clocks.Clock(0.0)
@@ -42,131 +42,132 @@
             ((f"shared-{shared}", shared), (own, 1_000)), shared + 1_000,
             20)
         run = engines.Run(listener, prompt, events, priority)
-        (engine or self.engine).begin(run, source)
+        (engine or self.engine).submit(run, source)
         return run, listener
 
-    def test_a_prompt_is_read_and_events_follow(self):
-        # 5,000 tokens take five steps of 5 ms and 20 ms of reading; five
-        # tokens make an event, 5 ms each.
+    def test_prompt_is_prefilled_before_events(self):
+        # 5,000 tokens take five steps of 5 ms with 20 ms of prefill each; an
+        # event has five tokens, 5 ms each.
         _, listener = self._begin()
         self.clock.run(1.0)
         self.assertEqual(
             [("opened", 0.15), ("progressed", 0.175),
-             ("progressed", 0.2), ("ended", 0.2)], listener.told)
+             ("progressed", 0.2), ("ended", 0.2)], listener.notified)
 
-    def test_shared_parts_are_read_once(self):
+    def test_shared_parts_are_prefilled_once(self):
         self._begin()
         self.clock.run(1.0)
         run, _ = self._begin("own-2")
-        self.assertEqual(1_000, run.unread)
-        self.assertEqual(0, self.tally.again_tokens)
+        self.assertEqual(1_000, run.unread_tokens)
+        self.assertEqual(0, self.tally.recomputed_tokens)
 
-    def test_long_prompts_hold_up_running_streams(self):
+    def test_long_prompts_delay_running_streams(self):
         _, chat = self._begin("own-1", shared=0, events=4)
         self.clock.run(0.06)
         self._begin("own-2", shared=9_000)
         self.clock.run(1.0)
-        times = [at for _, at in chat.told]
+        times = [at for _, at in chat.notified]
         self.assertGreater(times[-1] - times[0], 0.25)
 
-    def test_all_slots_taken_the_most_urgent_is_next(self):
+    def test_most_urgent_waiting_request_is_next(self):
         for number in range(2):
             self._begin(f"own-{number}")
         _, low = self._begin("low", priority=5)
         _, top = self._begin("top", priority=0)
         self.clock.run(2.0)
-        self.assertLess(top.told[0][1], low.told[0][1])
+        self.assertLess(top.notified[0][1], low.notified[0][1])
 
-    def test_parts_yield_when_memory_is_full(self):
+    def test_parts_are_evicted_when_memory_is_full(self):
         self._begin()
         self.clock.run(1.0)
         for number in range(5):
             self._begin(f"own-{number}", shared=4_000 + number)
             self.clock.run(self.clock.now + 1.0)
-        self.assertLessEqual(self.engine.parts_tokens, CFG.memory)
+        self.assertLessEqual(self.engine.cached_tokens, CFG.memory)
 
-    def test_parts_come_from_another_engine(self):
+    def test_parts_are_fetched_from_another_engine(self):
         self._begin()
         self.clock.run(1.0)
         other = engines.Engine(self.clock, "e2", CFG, self.tally)
         run, listener = self._begin(
             "own-2", engine=other, source=self.engine)
         self.assertEqual((1_000, 4_000), (
-            run.unread, self.tally.fetched_tokens))
+            run.unread_tokens, self.tally.fetched_tokens))
         self.clock.run(2.0)
-        # 4,000 tokens at 10 us each come before the rest is read.
-        self.assertGreaterEqual(listener.told[0][1], 1.04)
+        # 4,000 tokens at 10 us each arrive before the rest is prefilled.
+        self.assertGreaterEqual(listener.notified[0][1], 1.04)
 
-    def test_a_cancelled_request_takes_no_more_time(self):
+    def test_cancelled_request_stops_at_once(self):
         run, listener = self._begin()
         self.clock.run(0.01)
         self.engine.cancel(run)
         self.clock.run(1.0)
-        self.assertEqual([], listener.told)
+        self.assertEqual([], listener.notified)
 
-    def test_a_crash_ends_all(self):
+    def test_crash_breaks_all_connections(self):
         _, listener = self._begin()
         self.clock.run(0.01)
         self.engine.crash()
         self.clock.run(1.0)
-        self.assertEqual([("broken", 0.01)], listener.told)
+        self.assertEqual([("broken", 0.01)], listener.notified)
 
-    def test_a_dark_engine_says_nothing_until_it_is_back(self):
+    def test_unresponsive_engine_is_silent_until_it_resumes(self):
         _, listener = self._begin()
-        self.engine.set_dark(True)
+        self.engine.set_unresponsive(True)
         self.clock.run(1.0)
-        self.assertEqual([], listener.told)
-        self.engine.set_dark(False)
+        self.assertEqual([], listener.notified)
+        self.engine.set_unresponsive(False)
         self.clock.run(2.0)
-        self.assertEqual("ended", listener.told[-1][0])
+        self.assertEqual("ended", listener.notified[-1][0])
 
-    def test_more_than_waits_is_refused(self):
-        found = [self.engine.begin(engines.Run(
+    def test_request_beyond_the_queue_is_refused(self):
+        found = [self.engine.submit(engines.Run(
             _Listener(self.clock), model.Prompt(
                 ((f"own-{number}", 100),), 100, 20), 1, 5))
-            for number in range(engines.QUEUE + CFG.slots + 1)]
+            for number in range(engines.MAX_WAITING + CFG.slots + 1)]
         self.assertEqual([False], [each for each in found if not each])
 
-    def test_a_plain_server_works_on_one_after_the_other(self):
+    def test_plain_server_runs_calls_in_order(self):
         server = engines.PlainServer(self.clock, "p1", WORK)
-        heard = [_Listener(self.clock) for _ in range(2)]
-        for listener in heard:
-            server.begin(engines.Run(listener, None, 0, 5))
+        listeners = [_Listener(self.clock) for _ in range(2)]
+        for listener in listeners:
+            server.submit(engines.Run(listener, None, 0, 5))
         self.clock.run(1.0)
         self.assertEqual([[("ended", 0.05)], [("ended", 0.1)]],
-                         [each.told for each in heard])
+                         [each.notified for each in listeners])
 
 
-class CheckTest(unittest.TestCase):
-    """Files that can't be played are refused with all that is wrong."""
+class ValidationTest(unittest.TestCase):
+    """Invalid deployments are rejected with all of their errors."""
 
-    def test_those_that_come_with_it_are_good(self):
-        for name in deployments.known():
+    def test_bundled_deployments_are_valid(self):
+        for name in deployments.bundled_names():
             self.assertGreater(len(deployments.read(name).kinds), 1)
 
-    def test_each_problem_is_named(self):
+    def test_each_error_is_reported(self):
         found = {"hosts": 0, "engines": {"slots": "many"}, "kinds": [
             {"name": "chat", "kind": "stream"},
             {"name": "talk", "kind": "chat", "a_second": 0.0}],
             "faults": [{"kind": "flood", "at": 1.0}], "sources": []}
-        with self.assertRaises(deployments.BadDeployment) as caught:
-            deployments._deployment("bad", found)
+        with self.assertRaises(deployments.InvalidDeploymentError) as caught:
+            deployments._parse_deployment("bad", found)
         self.assertEqual(
             ["emulator.E003", "emulator.E003", "emulator.E006",
              "emulator.E007", "emulator.E008", "emulator.E008",
              "emulator.E003"],
             [fault.id for fault in caught.exception.errors])
 
-    def test_hosts_are_a_whole_number(self):
+    def test_hosts_must_be_a_positive_integer(self):
         for value in (2.5, True, "two", 0):
             with (self.subTest(value=value),
-                  self.assertRaises(deployments.BadDeployment) as caught):
-                deployments._deployment("bad", {
+                  self.assertRaises(
+                      deployments.InvalidDeploymentError) as caught):
+                deployments._parse_deployment("bad", {
                     "hosts": value, "kinds": [{
                         "name": "chat", "kind": "stream",
                         "a_second": 1.0}]})
             self.assertEqual(["emulator.E003"], [
                 fault.id for fault in caught.exception.errors])
 
-    def test_each_fault_that_is_known_can_be_played(self):
+    def test_each_known_fault_has_an_implementation(self):
         self.assertEqual(set(deployments.FAULTS), set(faults.FAULTS))
--- a/tests/emulator/test_main.py
+++ b/tests/emulator/test_main.py
@@ -1,4 +1,4 @@
-"""The emulator's command: what it prints, and bad input."""
+"""Tests of the emulator's command line: output and invalid input."""
 
 import contextlib
 import io
@@ -14,7 +14,7 @@
 
 
 class CommandTest(unittest.TestCase):
-    """A small deployment is played, kept and compared."""
+    """A small deployment is simulated, saved and compared."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -30,14 +30,14 @@
             code = command.main([*args, "--seeds", "1", "--jobs", "1"])
         return code, out.getvalue(), err.getvalue()
 
-    def test_a_run_is_kept_and_compared_with(self):
+    def test_saved_run_is_compared_with(self):
         kept = str(self.folder / "kept.json")
         code, out, _ = self._run("run", str(self.file), "--keep", kept)
         self.assertEqual((0, True), (code, "| goodput |" in out))
         code, out, _ = self._run("compare", str(self.file), "--with", kept)
         self.assertIn("small, before | small", out)
 
-    def test_what_cannot_be_read_is_named(self):
+    def test_invalid_input_is_reported(self):
         bad = self.folder / "bad.jsonc"
         bad.write_text("{hosts: 0}")
         for args, word in (
@@ -49,7 +49,7 @@
                  "not written by --keep")):
             with self.subTest(args=args):
                 code, _, err = self._run(*args)
-                self.assertEqual(command.EXIT_BAD, code)
+                self.assertEqual(command.EXIT_INVALID, code)
                 self.assertIn(word, err)
 
 
--- a/tests/emulator/test_run.py
+++ b/tests/emulator/test_run.py
@@ -1,4 +1,4 @@
-"""Runs of the emulator: the same each time, and loads at their worst."""
+"""Tests of simulation runs: determinism, and loads near the limits."""
 
 import unittest
 
@@ -25,70 +25,71 @@
         **{**values, **kwargs})
 
 
-# A mechanism has to bring this much of what requests are worth to stay.
-WORTH_LEAST = 0.005
-BURST = deployments.Fault("burst", 1.0, 4.0, times=6.0)
-HOT = deployments.Fault("hot", 1.0, 4.0)
-DARK = deployments.Fault("dark", 2.0, 4.0)
+# A mechanism is kept only if it adds at least this much goodput.
+MIN_GOODPUT_LOSS = 0.005
+BURST_FAULT = deployments.Fault("burst", 1.0, 4.0, times=6.0)
+HOT_FAULT = deployments.Fault("hot", 1.0, 4.0)
+DARK_FAULT = deployments.Fault("dark", 2.0, 4.0)
 
 
 class RunTest(unittest.TestCase):
-    """What a run says can be relied on."""
+    """Runs are deterministic and account for every caller."""
 
-    def test_a_seed_gives_the_same_figures(self):
-        first, again = (run.play(small(BURST), 3) for _ in range(2))
+    def test_same_seed_gives_same_figures(self):
+        first, again = (run.play(small(BURST_FAULT), 3) for _ in range(2))
         self.assertEqual(first, again)
-        self.assertNotEqual(first, run.play(small(BURST), 4))
+        self.assertNotEqual(first, run.play(small(BURST_FAULT), 4))
 
-    def test_in_calm_nearly_all_are_on_time(self):
-        found = run.play(small(), 1)
-        self.assertGreater(found.goodput, 0.97)
-        self.assertEqual(0, found.shares["failed"])
+    def test_nearly_all_are_on_time_without_faults(self):
+        result = run.play(small(), 1)
+        self.assertGreater(result.goodput, 0.97)
+        self.assertEqual(0, result.shares["failed"])
 
-    def test_every_caller_has_one_end(self):
+    def test_every_caller_has_one_outcome(self):
         for kind in ("crash", "dark", "slow", "drain", "kill", "hot"):
             with self.subTest(kind=kind):
-                found = run.play(small(deployments.Fault(
+                result = run.play(small(deployments.Fault(
                     kind, 2.0, 3.0, times=4.0)), 2)
-                self.assertAlmostEqual(1.0, sum(found.shares.values()))
-                self.assertGreater(found.goodput, 0.5)
+                self.assertAlmostEqual(1.0, sum(result.shares.values()))
+                self.assertGreater(result.goodput, 0.5)
 
-    def test_a_planned_leaving_is_not_noticed(self):
-        found = run.play(small(deployments.Fault("drain", 2.0, 5.0)), 2)
-        self.assertEqual(0, found.shares["failed"])
+    def test_drain_causes_no_failures(self):
+        result = run.play(small(deployments.Fault("drain", 2.0, 5.0)), 2)
+        self.assertEqual(0, result.shares["failed"])
 
 
 class WorstLoadTest(unittest.TestCase):
-    """Each load has mechanisms without which it is served worse.
+    """Goodput drops if the mechanism for a kind of load is disabled.
 
-    Mean of three seeds each.
+    Each loss is the mean of three seeds.
     """
 
-    def _loss(self, deployment, mechanism):
+    def _goodput_loss(self, deployment, mechanism):
         losses = []
         for seed in range(3):
-            usual = run.play(deployment, seed).goodput
+            baseline = run.play(deployment, seed).goodput
             with mechanisms.without(mechanism):
-                losses.append(usual - run.play(deployment, seed).goodput)
+                losses.append(baseline - run.play(deployment, seed).goodput)
         return sum(losses) / len(losses)
 
-    def test_names_are_of_things_that_are_there(self):
+    def test_constants_of_mechanisms_exist(self):
         for name, changes in mechanisms.MECHANISMS.items():
             for module, constant, _ in changes:
                 with self.subTest(name=name):
                     self.assertTrue(hasattr(module, constant))
 
-    def test_a_load_is_served_worse_without_what_answers_it(self):
+    def test_goodput_drops_without_the_mechanism(self):
         for faults, mechanism in (
-                # Six times as many come: a rank that takes all slots has
-                # more urgent ones put back what runs.
-                ((BURST,), "slots by rank"),
-                # What is refused at once comes back in the same burst.
-                ((BURST,), "holding for room"),
-                # One part gets most: all of its prompts at one engine.
-                ((BURST, HOT), "prompts before an engine by rank"),
-                # An engine says nothing more, with connections open.
-                ((DARK,), "moving silent streams")):
+                # With six times the load, a rank that takes all slots has
+                # its running requests preempted by more urgent ones.
+                ((BURST_FAULT,), "slots by rank"),
+                # Requests refused at once are retried within the same burst.
+                ((BURST_FAULT,), "holding for room"),
+                # One hot part sends most of its prompts to one engine.
+                ((BURST_FAULT, HOT_FAULT), "prompts before an engine by rank"),
+                # An engine stops responding with its connections open.
+                ((DARK_FAULT,), "moving silent streams")):
             with self.subTest(mechanism=mechanism):
                 self.assertGreater(
-                    self._loss(small(*faults), mechanism), WORTH_LEAST)
+                    self._goodput_loss(small(*faults), mechanism),
+                    MIN_GOODPUT_LOSS)
