--- a/tests/soak/test_cloud.py
+++ b/tests/soak/test_cloud.py
@@ -1,4 +1,4 @@
-"""What the soak finds wrong with who acts for the duties."""
+"""Tests of the check that one host at a time performs the duties."""
 
 import unittest
 
@@ -7,37 +7,37 @@
 USAGE = ("usage",)
 
 
-def call(at, host, fence, window=None, counts=None):
-    """Return a call as it arrived."""
+def arrival(at, host, fence, window=None, counts=None):
+    """Return a received duty call."""
     subject = ("scale", "engines", "a", True) if window is None else USAGE
     return cloud.Arrival(at, host, fence, subject, window, counts)
 
 
-class OneTest(unittest.TestCase):
-    """Each broken order is found, and nothing else."""
+class SingleHolderTest(unittest.TestCase):
+    """Each violation is found, and no others."""
 
     ROWS = (
-        ("one holder after the other",
-         (call(1, "a", 5), call(2, "a", 5), call(9, "b", 8)), 0),
+        ("successive holders",
+         (arrival(1, "a", 5), arrival(2, "a", 5), arrival(9, "b", 8)), 0),
         ("an exact repeat",
-         (call(1, "a", 5, 7, (("hire", 2),)),
-          call(9, "b", 8, 7, (("hire", 2),))), 0),
+         (arrival(1, "a", 5, 7, (("hire", 2),)),
+          arrival(9, "b", 8, 7, (("hire", 2),))), 0),
         ("two counts",
-         (call(1, "a", 5, 7, (("hire", 2),)),
-          call(9, "b", 8, 7, (("hire", 3),))), 1),
-        ("two hosts with one number",
-         (call(1, "a", 5), call(9, "b", 5)), 1),
-        ("a number that goes back",
-         (call(1, "a", 5), call(2, "b", 8), call(9, "a", 5)), 1),
-        ("A, B, A within a span",
-         (call(1, "a", 5), call(2, "b", 8), call(3, "a", 9)), 1),
-        ("A, B, A over more than a span",
-         (call(1, "a", 5), call(2, "b", 8), call(4.1, "a", 9)), 0),
-        ("other subjects have holders of their own",
-         (call(1, "a", 8), call(2, "b", 5, 7, ())), 0),
+         (arrival(1, "a", 5, 7, (("hire", 2),)),
+          arrival(9, "b", 8, 7, (("hire", 3),))), 1),
+        ("two hosts with one token",
+         (arrival(1, "a", 5), arrival(9, "b", 5)), 1),
+        ("a token that decreases",
+         (arrival(1, "a", 5), arrival(2, "b", 8), arrival(9, "a", 5)), 1),
+        ("A, B, A within a lease",
+         (arrival(1, "a", 5), arrival(2, "b", 8), arrival(3, "a", 9)), 1),
+        ("A, B, A over more than a lease",
+         (arrival(1, "a", 5), arrival(2, "b", 8), arrival(4.1, "a", 9)), 0),
+        ("different holders of different subjects",
+         (arrival(1, "a", 8), arrival(2, "b", 5, 7, ())), 0),
     )
 
-    def test_each_order(self):
+    def test_each_sequence_of_calls(self):
         for name, arrivals, count in self.ROWS:
             with self.subTest(name):
                 found = cloud.faults_of_one(arrivals, 3.0)
--- a/tests/soak/test_store.py
+++ b/tests/soak/test_store.py
@@ -1,4 +1,4 @@
-"""The soak's stand-in of the store."""
+"""Tests of the soak test's store stub."""
 
 import json
 import unittest
@@ -9,12 +9,12 @@
 
 
 class OutageTest(unittest.TestCase):
-    """Outages that overlap."""
+    """Overlapping outages."""
 
     def test_the_end_of_one_outage_does_not_end_another(self):
-        # A stream runs on three servers: an outage in which entries lapse
-        # is ended by one that began before, the entries come back 3 s after
-        # the store, and hosts take the servers for gone.
+        # An outage in which entries expired was ended by one that had begun
+        # before. The entries came back 3 s after the store, hosts took the
+        # servers for gone, and a stream ran on three servers.
         store = stores.Store(task.Clock())
         store.set_down(True)
         store.set_down(True)
@@ -38,7 +38,7 @@
 
 
 class WatchTest(unittest.TestCase):
-    """Watches without news, and while the store is silent."""
+    """Watches without changes, and while the store is silent."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -50,15 +50,15 @@
         self.store.request_received(exchange)
         return exchange
 
-    def test_a_watch_ends_in_its_time(self):
-        # It waited for ever, and hosts took the store for lost.
+    def test_watch_without_changes_ends_after_its_wait_time(self):
+        # The watch never ended, and hosts took the store for lost.
         watching = self._watch()
         self.clock.advance(1.4)
         self.assertEqual([], watching.ends)
         self.clock.advance(0.2)
         self.assertEqual([{"events": [], "AsOf": 1}], watching.ends)
 
-    def test_a_silent_store_answers_nothing_that_it_took(self):
+    def test_silent_store_never_answers_accepted_calls(self):
         before = self._watch()
         self.store.set_silent(True)
         self.assertEqual(["cut"], before.ends)
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: the real daemons as processes, before small stand-ins."""
+"""A soak test with fault injection: real daemon processes, stub servers."""
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,7 +1,8 @@
 """Run the soak: ``python -m tools.soak --seed 1 --seconds 20``.
 
-Closes with a plain line: N answers, N violations. Exits 1 if a promise
-was broken, or if too few requests were served to say anything.
+The last line of the output is "N answers, N violations". The exit code is
+1 if a guarantee was violated, or if too few requests were served for the
+result to mean anything.
 """
 
 import argparse
@@ -13,8 +14,8 @@
 
 from tools.soak import report
 
-# A run that serves less than this share shows nothing.
-SERVED_LEAST = 0.4
+# A run that serves a smaller share of its requests proves nothing.
+MIN_SERVED_SHARE = 0.4
 
 
 def new_parser():
@@ -23,11 +24,11 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--hosts", type=int, default=3,
-                        help="entry hosts, a process each")
+                        help="number of entry hosts, each a process")
     parser.add_argument("--report", metavar="FILE",
                         help="write a plot of the run")
     parser.add_argument("--keep", metavar="FOLDER",
-                        help="keep the hosts' logs here")
+                        help="folder to keep the hosts' logs in")
     return parser
 
 
@@ -51,38 +52,38 @@
 
     reactor.seconds = time.monotonic
     soak = run.Soak(reactor, args.seed, folder, args.hosts)
-    taken = soak.fleet.taken()
-    if taken:
-        print(f"addresses in use: {', '.join(taken)}; another run with this "
-              "seed, or hosts that one left behind: end these first")
+    in_use = soak.fleet.addresses_in_use()
+    if in_use:
+        print(f"addresses in use: {', '.join(in_use)}; another run with this "
+              "seed, or hosts left behind by one; stop these first")
         return 2
-    playing = defer.Deferred.fromCoroutine(run.play(soak, args.seconds))
-    playing.addErrback(
+    finished = defer.Deferred.fromCoroutine(run.run_soak(soak, args.seconds))
+    finished.addErrback(
         lambda failure: soak.violations.append(failure.getTraceback()))
-    playing.addBoth(lambda _: reactor.stop())
+    finished.addBoth(lambda _: reactor.stop())
     try:
         reactor.run()
     finally:
         soak.fleet.stop()
     if args.report:
         report.write(soak, args.report)
-    return _close(soak, args.seed)
+    return _print_summary(soak, args.seed)
 
 
-def _close(soak, seed):
+def _print_summary(soak, seed):
     for line in soak.violations:
         print(f"seed {seed}: {line}")
     answers = collections.Counter(
-        seen.reply.status for seen in soak.record.seen.values())
+        sent.reply.status for sent in soak.record.sent.values())
     total = sum(answers.values())
-    kinds = ", ".join(fault.__name__.strip("_") for fault in soak.kinds)
+    kinds = ", ".join(fault.__name__.strip("_") for fault in soak.fault_kinds)
     print(f"seed {seed}: faults: {kinds}")
     print(f"seed {seed}: answers by status {dict(answers)}")
     holders = {(each.host, each.fence) for each in soak.cloud.arrivals}
     print(f"seed {seed}: {len(soak.cloud.arrivals)} calls of duties by "
           f"{len(holders)} holders, one after the other")
     print(f"{total} answers, {len(soak.violations)} violations")
-    served = answers[200] >= SERVED_LEAST * max(1, total)
+    served = answers[200] >= MIN_SERVED_SHARE * max(1, total)
     return 0 if served and not soak.violations else 1
 
 
--- a/tools/soak/asking.py
+++ b/tools/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: one request at a time on a connection that may be kept."""
+"""Callers: one request at a time on a connection that may be reused."""
 
 import dataclasses
 
@@ -8,14 +8,14 @@
 from twisted.internet import error
 from twisted.internet import protocol
 
-__all__ = ["Asked", "Caller", "Reply"]
+__all__ = ["Caller", "Reply", "Request"]
 
 CONNECT_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Asked:
-    """A request. It is given up after ``leaves_s``, if that is set."""
+class Request:
+    """A request; the caller disconnects after ``abandon_after_s`` if set."""
 
     rid: str
     kind: str
@@ -23,51 +23,53 @@
     headers: tuple
     body: bytes
     deadline_s: float = 4.0
-    leaves_s: float | None = None
+    abandon_after_s: float | None = None
 
 
 @dataclasses.dataclass(frozen=True)
 class Reply:
-    """What came of a request.
+    """The outcome of a request.
 
-    ``status`` 0 says that no whole answer came; ``connected`` is false
-    if the host took no connection.
+    ``status`` 0 means that no complete response arrived; ``connected`` is
+    false if the host accepted no connection. ``abandoned`` is true if the
+    caller disconnected.
     """
 
     status: int = 0
     body: bytes = b""
-    retry_s: float | None = None
+    retry_after_s: float | None = None
     connected: bool = True
-    left: bool = False
+    abandoned: bool = False
 
 
 class _Connection(protocol.Protocol):
-    """Asks for one thing after the other."""
+    """An HTTP client connection that sends one request at a time."""
 
     def __init__(self, reactor):
         self.reactor = reactor
         self.h11 = h11.Connection(h11.CLIENT)
-        self.done = None
+        self.reply_received = None
         self.lost = False
 
-    def ask(self, asked):
+    def send(self, request):
         """Send a request; return a Deferred of its Reply."""
-        self.done = defer.Deferred()
-        self.status, self.retry_s, self.body = 0, None, []
-        span = asked.deadline_s
-        if asked.leaves_s is not None:
-            span = asked.leaves_s
+        self.reply_received = defer.Deferred()
+        self.status, self.retry_after_s, self.body = 0, None, []
+        timeout_s = request.deadline_s
+        if request.abandon_after_s is not None:
+            timeout_s = request.abandon_after_s
         self.timer = self.reactor.callLater(
-            span, self._finish, Reply(left=asked.leaves_s is not None))
-        length = (b"Content-Length", b"%d" % len(asked.body))
+            timeout_s, self._finish,
+            Reply(abandoned=request.abandon_after_s is not None))
+        length = (b"Content-Length", b"%d" % len(request.body))
         self.transport.write(connections.encode(
-            self.h11, b"POST", asked.path.encode(),
-            [*asked.headers, length], asked.body))
-        return self.done
+            self.h11, b"POST", request.path.encode(),
+            [*request.headers, length], request.body))
+        return self.reply_received
 
     def dataReceived(self, data):
         self.h11.receive_data(data)
-        while self.done is not None:
+        while self.reply_received is not None:
             try:
                 event = connections.next_event(self.h11)
             except h11.RemoteProtocolError:
@@ -75,19 +77,19 @@
                 return
             if event is None:
                 return
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event):
+    def _handle_event(self, event):
         match event:
             case h11.Response():
                 self.status = event.status_code
-                found = dict(event.headers.raw_items()).get(b"Retry-After")
-                self.retry_s = float(found) if found else None
+                value = dict(event.headers.raw_items()).get(b"Retry-After")
+                self.retry_after_s = float(value) if value else None
             case h11.Data():
                 self.body.append(bytes(event.data))
             case h11.EndOfMessage():
                 self._finish(Reply(
-                    self.status, b"".join(self.body), self.retry_s))
+                    self.status, b"".join(self.body), self.retry_after_s))
             case h11.ConnectionClosed():
                 self._finish(Reply())
 
@@ -98,8 +100,8 @@
         self._finish(Reply())
 
     def _finish(self, reply):
-        done, self.done = self.done, None
-        if done is None:
+        reply_received, self.reply_received = self.reply_received, None
+        if reply_received is None:
             return
         if self.timer.active():
             self.timer.cancel()
@@ -109,48 +111,48 @@
         else:
             self.lost = True
             self.transport.abortConnection()
-        done.callback(reply)
+        reply_received.callback(reply)
 
 
 class Caller:
-    """Asks one host, on a connection that it keeps while that lives."""
+    """Sends requests to one host, over a connection reused while open."""
 
     def __init__(self, reactor, address):
         self.reactor = reactor
         self.address = address
         self.connection = None
 
-    async def ask(self, asked):
+    async def send(self, request):
         """Send a request; return its Reply."""
         if self.connection is None or self.connection.lost:
             try:
                 self.connection = await self._connect()
             except (error.ConnectError, error.ConnectionLost):
                 return Reply(connected=False)
-        return await self.connection.ask(asked)
+        return await self.connection.send(request)
 
     def _connect(self):
-        factory = _Dialer(self.reactor)
+        factory = _CallerFactory(self.reactor)
         self.reactor.connectTCP(*self.address, factory, timeout=CONNECT_S)
-        return factory.made
+        return factory.connecting
 
     def close(self):
-        """End the connection."""
+        """Close the connection."""
         if self.connection is not None and not self.connection.lost:
             self.connection.transport.abortConnection()
 
 
-class _Dialer(protocol.ClientFactory):
+class _CallerFactory(protocol.ClientFactory):
     noisy = False
 
     def __init__(self, reactor):
         self.reactor = reactor
-        self.made = defer.Deferred()
+        self.connecting = defer.Deferred()
 
     def buildProtocol(self, addr):
         conn = _Connection(self.reactor)
-        conn.connectionMade = lambda: self.made.callback(conn)
+        conn.connectionMade = lambda: self.connecting.callback(conn)
         return conn
 
     def clientConnectionFailed(self, connector, reason):
-        self.made.errback(reason)
+        self.connecting.errback(reason)
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -1,294 +1,305 @@
-"""What must hold, from what callers and servers saw."""
+"""The guarantees checked against what callers and servers observed."""
 
 import collections
 
 from tools.soak import engine
 
-__all__ = ["DRAIN_S", "KINDS", "LEASE_S", "judge", "judge_end", "judge_run"]
+__all__ = ["DRAIN_S", "KINDS", "LEASE_S", "check_recovery", "check_request",
+           "check_run"]
 
 KINDS = ("top", "low", "safe", "unsafe")
 STREAMS = ("top", "low")
 NOT_RUN = (408, 421, 429, 503)
 NOT_FOUND = 404
-# A leaving server gets nothing, and a configuration is in force, s.
+# Time until a leaving server gets no new requests, and until a
+# configuration is in force (APPLY_S), s.
 DRAIN_S = 3.0
-# The span of the lease that the hosts' settings name, s.
+# The duration of the lease in the hosts' settings, s.
 LEASE_S = 3.0
 APPLY_S = 3.0
-# What a host showed of a configuration must not be taken back after, s.
-BACK_S = 0.25
-# A host ends what runs out of time this much before its caller does, s.
-LAST_WORD_S = 0.1
-# Later than this after its sending a request counts as read, s.
-READ_S = 0.2
-# A server stops working for a caller that left within, s.
-GONE_S = 1.0
-# Of a kind of request this share of what all get must be served.
-STARVED_SHARE = 0.25
-# A higher tier may be refused this much more often than a lower one.
+# A host must not return to an older configuration this long after it
+# served by a newer one, s.
+ROLLBACK_TOLERANCE_S = 0.25
+# A host ends a request this long before the caller's deadline, s.
+DEADLINE_MARGIN_S = 0.1
+# A host is taken to have read a request this long after its sending, s.
+REQUEST_READ_S = 0.2
+# A server must stop work for a disconnected caller within, s.
+CANCEL_TIMEOUT_S = 1.0
+# Minimum served share of a kind of request, relative to that of all kinds.
+MIN_RELATIVE_SERVED_SHARE = 0.25
+# A higher tier's refused share may exceed a lower one's by this much.
 TIER_SLACK = 0.1
-COUNTED_LEAST = 30
-# All hosts know a request that crashed three servers after this, s. Sent
-# to several hosts within some ms it may crash more before.
-KNOWN_S = 1.0
-# From this long after it named a rate first, a server gets this many times
-# what that allows in a span at the most, and so many requests more, from
-# hosts that it told this long ago; s.
+MIN_SAMPLE_SIZE = 30
+# All hosts know a request that crashed three servers after this, s. If it
+# is sent to several hosts within a few ms, it may crash more before that.
+POISON_KNOWN_S = 1.0
+# RATE_STABLE_S after a server first sent a rate limit, it may get at most
+# RATE_TOLERANCE times what that allows in RATE_SPAN_S, plus
+# RATE_EXTRA_REQUESTS. Only requests of hosts that received the limit at
+# least RATE_NOTICE_S before count.
 RATE_STABLE_S = 3.0
 RATE_SPAN_S = 4.0
-RATE_TIMES = 1.5
-RATE_MORE = 5
-RATE_TOLD_S = 0.5
-# A host that was told by a server that it leaves sends it nothing that
-# callers send later than this, s.
-TOLD_LEAVING_S = 2.0
-# From this long after it asked a host for rest, s, a server gets so many
-# requests of it at the most until the rest is over.
-REST_HEARD_S = 0.5
-IN_REST_MOST = 2
-
-
-def judge(seen, record):
-    """Return what is wrong with a request, in words; empty if nothing.
-
-    It is judged some time after its end, when what its servers still did
-    is known.
+RATE_TOLERANCE = 1.5
+RATE_EXTRA_REQUESTS = 5
+RATE_NOTICE_S = 0.5
+# A host that a server notified of its leaving sends it no request that
+# arrived from a caller later than this, s.
+LEAVING_NOTICE_S = 2.0
+# From this long after a server asked a host for a backoff, s, it may get at
+# most so many requests from that host until the backoff is over.
+BACKOFF_NOTICE_S = 0.5
+MAX_REQUESTS_IN_BACKOFF = 2
+
+
+def check_request(sent, record):
+    """Return descriptions of the violations of a request.
+
+    It is called some time after the request's end, when it is known whether
+    servers went on working for it.
     """
-    runs = record.runs.get(seen.asked.rid, [])
-    return (_whole(seen, runs) + _at_most_once(seen, runs, record)
-            + _configured(seen, record) + _cut(seen, runs, record)
-            + _gone(seen, record))
-
-
-def _whole(seen, runs):
-    wrong = []
-    kind, reply = seen.asked.kind, seen.reply
-    if reply.status == 200 and not _is_whole(kind, seen.asked.rid,
-                                             reply.body):
-        wrong.append("an answer is not the whole of its own request")
+    runs = record.runs.get(sent.request.rid, [])
+    return (_check_reply(sent, runs) + _check_executions(sent, runs, record)
+            + _check_routes(sent, record) + _check_answered(sent, runs, record)
+            + _check_cancelled(sent, record))
+
+
+def _check_reply(sent, runs):
+    errors = []
+    kind, reply = sent.request.kind, sent.reply
+    if reply.status == 200 and not _is_complete(kind, sent.request.rid,
+                                                reply.body):
+        errors.append("response is incomplete or of another request")
     if reply.status in NOT_RUN and runs:
-        wrong.append("said not to have run, and ran")
-    if reply.status == 503 and reply.retry_s is None:
-        wrong.append("refused without the time to come back")
-    return wrong
+        errors.append("reported as not run, but a server ran it")
+    if reply.status == 503 and reply.retry_after_s is None:
+        errors.append("refused without Retry-After")
+    return errors
 
 
-def _at_most_once(seen, runs, record):
-    if seen.asked.kind == "unsafe" and len(runs) > 1:
-        return ["ran more than once"]
-    # Servers that ended or were cut off meanwhile don't count.
+def _check_executions(sent, runs, record):
+    if sent.request.kind == "unsafe" and len(runs) > 1:
+        return ["unsafe request ran more than once"]
+    # Servers that ended or were cut off during the request don't count.
     counted = [sid for sid in runs
-               if record.is_calm(seen.at, seen.ended_at, sid)
-               and not seen.at <= record.ended.get(sid, 0) <= seen.ended_at]
-    if seen.asked.kind != "unsafe" and len(counted) > 2:
+               if record.is_undisturbed(sent.at, sent.ended_at, sid)
+               and not sent.at <= record.ended.get(sid, 0) <= sent.ended_at]
+    if sent.request.kind != "unsafe" and len(counted) > 2:
         return ["ran on more servers than its route allows"]
     return []
 
 
-def _is_whole(kind, rid, body):
+def _is_complete(kind, rid, body):
     if kind not in STREAMS:
         return body == b"answer to " + rid.encode()
-    wanted = b"".join(
+    expected = b"".join(
         b"id: %d\ndata: %s\n\n" % (number, rid.encode())
         for number in range(1, engine.EVENTS + 1))
-    return body == wanted
+    return body == expected
 
 
-def _configured(seen, record):
-    """The routes in force are the last two versions' own."""
-    if not seen.asked.kind.startswith("v"):
+def _check_routes(sent, record):
+    """The routes in force are exactly those of the last two versions."""
+    if not sent.request.kind.startswith("v"):
         return []
-    if not record.is_calm(seen.at - APPLY_S, seen.ended_at, seen.ip,
-                          "store", "store " + seen.ip):
+    if not record.is_undisturbed(sent.at - APPLY_S, sent.ended_at, sent.ip,
+                                 "store", "store " + sent.ip):
         return []
-    asked = int(seen.asked.kind[1:])
-    status = seen.reply.status
-    if status == NOT_FOUND and asked in (seen.settled, seen.settled - 1) and (
-            seen.is_kept(asked)):
-        return [f"route of version {asked} is in force and not there"]
-    if status == 200 and asked < seen.settled - 1:
-        return [f"route of version {asked} was dropped and serves"]
+    version = int(sent.request.kind[1:])
+    status = sent.reply.status
+    if status == NOT_FOUND and version in (
+            sent.settled, sent.settled - 1) and sent.is_kept(version):
+        return [f"route of version {version} is in force but not found"]
+    if status == 200 and version < sent.settled - 1:
+        return [f"route of version {version} was removed but still serves"]
     return []
 
 
-def _cut(seen, runs, record):
-    """A read request is answered, also where its host stops as planned."""
-    if seen.reply.status or seen.reply.left or not seen.reply.connected:
+def _check_answered(sent, runs, record):
+    """A request that was read is answered, also during a planned stop."""
+    if sent.reply.status or sent.reply.abandoned or not sent.reply.connected:
         return []
-    if seen.ended_at >= seen.at + seen.asked.deadline_s - LAST_WORD_S:
-        # A stream that ran out of time ends like this.
+    if sent.ended_at >= sent.at + sent.request.deadline_s - DEADLINE_MARGIN_S:
+        # A stream that reaches its deadline ends like this.
         return []
-    rid = seen.asked.rid
-    if rid in record.spoiled:
+    rid = sent.request.rid
+    if rid in record.failed_by_server:
         return []
-    if not runs and seen.ended_at - seen.at < READ_S:
+    if not runs and sent.ended_at - sent.at < REQUEST_READ_S:
         return []
-    if not record.is_calm(seen.at, seen.ended_at, seen.ip, "engines", *runs):
+    if not record.is_undisturbed(sent.at, sent.ended_at, sent.ip, "engines",
+                                 *runs):
         return []
-    return ["ended without an answer at a host that nothing disturbed"]
+    return ["ended without a response at an undisturbed host"]
 
 
-def _gone(seen, record):
-    if not seen.reply.left:
+def _check_cancelled(sent, record):
+    if not sent.reply.abandoned:
         return []
-    if not record.is_calm(seen.at, seen.ended_at + GONE_S, seen.ip,
-                          "engines"):
+    if not record.is_undisturbed(sent.at, sent.ended_at + CANCEL_TIMEOUT_S,
+                                 sent.ip, "engines"):
         return []
-    still = [sid for rid, sid in record.working if rid == seen.asked.rid]
-    return [f"{sid} still works for a caller that left" for sid in still]
+    still_working = [sid for rid, sid in record.working
+                     if rid == sent.request.rid]
+    return [f"{sid} still works for a disconnected caller"
+            for sid in still_working]
 
 
-def judge_run(record):
-    """Return what is wrong with a whole run."""
-    return (_left(record) + _back(record) + _starved(record)
-            + _tiers(record) + _crashed(record) + _limited(record)
-            + _told_leaving(record) + _rested(record))
+def check_run(record):
+    """Return descriptions of the violations in a whole run."""
+    return (_check_departed(record) + _check_versions(record)
+            + _check_starvation(record)
+            + _check_tiers(record) + _check_poison(record)
+            + _check_rates(record) + _check_leaving(record)
+            + _check_backoffs(record))
 
 
-def _left(record):
-    """Servers that left got nothing new."""
-    wrong = []
+def _check_departed(record):
+    """Servers that left get no new requests."""
+    errors = []
     for rid, sid, at in record.arrivals:
-        left_at = record.left.get(sid)
+        left_at = record.departed.get(sid)
         if left_at is None or at <= left_at + DRAIN_S:
             continue
-        ip = record.seen[rid].ip
-        if record.is_calm(left_at, at, ip, "store", "store " + ip, sid):
-            wrong.append(f"{rid}: reached {sid} {at - left_at:.1f} s after "
-                         "it left")
-    return wrong
-
-
-def _back(record):
-    """A host that served by a version never goes behind it."""
-    wrong = []
-    shown = {}
-    rows = sorted(record.seen.values(), key=lambda seen: seen.at)
-    for seen in rows:
-        if not seen.asked.kind.startswith("v"):
+        ip = record.sent[rid].ip
+        if record.is_undisturbed(left_at, at, ip, "store", "store " + ip, sid):
+            errors.append(f"{rid}: reached {sid} {at - left_at:.1f} s after "
+                          "it left")
+    return errors
+
+
+def _check_versions(record):
+    """A host never returns to a version older than one it served by."""
+    errors = []
+    newest_served = {}
+    rows = sorted(record.sent.values(), key=lambda sent: sent.at)
+    for sent in rows:
+        if not sent.request.kind.startswith("v"):
             continue
-        version, where = int(seen.asked.kind[1:]), (seen.ip, seen.boot)
-        best, since = shown.get(where, (0, 0.0))
-        if seen.reply.status == 200 and version > best:
-            shown[where] = (version, seen.ended_at)
-        behind = (seen.reply.status == NOT_FOUND and version <= best
-                  and seen.at > since + BACK_S
-                  and seen.is_kept(version))
-        if behind and record.is_calm(seen.at, seen.ended_at, seen.ip):
-            wrong.append(f"{seen.asked.rid}: {seen.ip} went back behind "
-                         f"version {best}")
-    return wrong
-
-
-def _limited(record):
-    """Servers that name a rate get no more from hosts that know it."""
-    wrong = []
+        version, where = int(sent.request.kind[1:]), (sent.ip, sent.boot)
+        newest, since = newest_served.get(where, (0, 0.0))
+        if sent.reply.status == 200 and version > newest:
+            newest_served[where] = (version, sent.ended_at)
+        behind = (sent.reply.status == NOT_FOUND and version <= newest
+                  and sent.at > since + ROLLBACK_TOLERANCE_S
+                  and sent.is_kept(version))
+        if behind and record.is_undisturbed(sent.at, sent.ended_at, sent.ip):
+            errors.append(f"{sent.request.rid}: {sent.ip} returned to a "
+                          f"version older than {newest}")
+    return errors
+
+
+def _check_rates(record):
+    """Hosts that know a server's rate limit keep to it."""
+    errors = []
     for sid, (since, until, rate) in record.limits.items():
-        most = RATE_TIMES * rate * RATE_SPAN_S + RATE_MORE
-        times = [at for rid, reached, at in record.reached
-                 if reached == sid and at <= until
-                 and _counts(record, sid, record.seen[rid].ip, at)]
-        for last in times:
-            count = sum(last - RATE_SPAN_S < at <= last for at in times)
-            if last >= since + RATE_STABLE_S and count > most and (
-                    record.is_calm(last - RATE_SPAN_S, last, sid)):
-                wrong.append(f"{sid} got {count} requests in {RATE_SPAN_S} "
-                             f"s, by its rate {most:g} are allowed")
-    return wrong
-
-
-def _told_leaving(record):
-    """A server gets nothing new from a host that it told that it leaves."""
-    wrong = []
+        max_count = RATE_TOLERANCE * rate * RATE_SPAN_S + RATE_EXTRA_REQUESTS
+        sent_times = [at for rid, reached, at in record.reached
+                      if reached == sid and at <= until
+                      and _is_counted(record, sid, record.sent[rid].ip, at)]
+        for last in sent_times:
+            count = sum(last - RATE_SPAN_S < at <= last for at in sent_times)
+            if last >= since + RATE_STABLE_S and count > max_count and (
+                    record.is_undisturbed(last - RATE_SPAN_S, last, sid)):
+                errors.append(f"{sid} got {count} requests in {RATE_SPAN_S} "
+                              f"s, its rate limit allows {max_count:g}")
+    return errors
+
+
+def _check_leaving(record):
+    """A server gets no new requests from a host it notified of leaving."""
+    errors = []
     for rid, sid, at in record.reached:
-        seen = record.seen[rid]
-        told_at = record.told_leaving.get((sid, seen.ip))
-        if told_at is None or seen.at <= told_at + TOLD_LEAVING_S:
+        sent = record.sent[rid]
+        told_at = record.leaving_sent.get((sid, sent.ip))
+        if told_at is None or sent.at <= told_at + LEAVING_NOTICE_S:
             continue
         if told_at < record.restarted.get(sid, 0.0) <= at:
-            # What leaves is the process before.
+            # The notification was from the previous process.
             continue
-        if record.is_calm(told_at, at, seen.ip):
-            wrong.append(f"{rid}: reached {sid} {seen.at - told_at:.1f} s "
-                         "after it had told its host that it leaves")
-    return wrong
+        if record.is_undisturbed(told_at, at, sent.ip):
+            errors.append(f"{rid}: reached {sid} {sent.at - told_at:.1f} s "
+                          "after it notified its host of leaving")
+    return errors
 
 
-def _rested(record):
-    """A server gets the rest that it asks a host for."""
-    wrong = []
-    for sid, ip, asked_at, rest_s in record.rests:
+def _check_backoffs(record):
+    """A host observes the backoff that a server asks for."""
+    errors = []
+    for sid, ip, asked_at, backoff_s in record.backoffs:
         count = sum(
-            reached == sid and record.seen[rid].ip == ip
-            and asked_at + REST_HEARD_S <= at <= asked_at + rest_s
+            reached == sid and record.sent[rid].ip == ip
+            and asked_at + BACKOFF_NOTICE_S <= at <= asked_at + backoff_s
             for rid, reached, at in record.reached)
-        if count > IN_REST_MOST and record.is_calm(
-                asked_at, asked_at + rest_s, ip, sid):
-            wrong.append(f"{sid} got {count} requests of {ip} in a rest of "
-                         f"{rest_s:g} s")
-    return wrong
+        if count > MAX_REQUESTS_IN_BACKOFF and record.is_undisturbed(
+                asked_at, asked_at + backoff_s, ip, sid):
+            errors.append(f"{sid} got {count} requests from {ip} in a "
+                          f"backoff of {backoff_s:g} s")
+    return errors
 
 
-def _counts(record, sid, ip, at):
-    """Say whether a host knew a server's rate, and was calm."""
-    told_at = record.told.get((sid, ip))
-    return (told_at is not None and told_at + RATE_TOLD_S <= at
-            and record.is_calm(told_at, at, ip))
+def _is_counted(record, sid, ip, at):
+    """Return whether an undisturbed host knew a server's rate limit."""
+    told_at = record.rate_sent.get((sid, ip))
+    return (told_at is not None and told_at + RATE_NOTICE_S <= at
+            and record.is_undisturbed(told_at, at, ip))
 
 
-def _crashed(record):
-    """A request that crashes servers is stopped after a few."""
-    times = collections.defaultdict(list)
+def _check_poison(record):
+    """A request that crashes servers is blocked after the third crash."""
+    crash_times = collections.defaultdict(list)
     for body, at in record.crashes:
-        times[body].append(at)
+        crash_times[body].append(at)
     return [f"{body.decode()} crashed a server {rows[-1] - rows[2]:.1f} s "
             "after the third"
-            for body, rows in times.items()
-            if len(rows) > 3 and rows[-1] > rows[2] + KNOWN_S]
+            for body, rows in crash_times.items()
+            if len(rows) > 3 and rows[-1] > rows[2] + POISON_KNOWN_S]
 
 
-def _shares(record):
+def _served_shares(record):
     served = collections.Counter()
     total = collections.Counter()
-    for seen in record.seen.values():
-        if seen.asked.kind in KINDS and not seen.reply.left:
-            total[seen.asked.kind] += 1
-            served[seen.asked.kind] += seen.reply.status == 200
+    for sent in record.sent.values():
+        if sent.request.kind in KINDS and not sent.reply.abandoned:
+            total[sent.request.kind] += 1
+            served[sent.request.kind] += sent.reply.status == 200
     return {kind: (served[kind] / total[kind], total[kind])
             for kind in total}
 
 
-def _starved(record):
-    shares = _shares(record)
+def _check_starvation(record):
+    shares = _served_shares(record)
     total = sum(count for _, count in shares.values())
     if not total:
         return ["no request was sent"]
     overall = sum(share * count for share, count in shares.values()) / total
-    return [f"{kind} starves: {share:.2f} served, of all {overall:.2f}"
+    return [f"{kind} starved: {share:.2f} served, {overall:.2f} of all kinds"
             for kind, (share, count) in shares.items()
-            if count >= COUNTED_LEAST and share < STARVED_SHARE * overall]
+            if count >= MIN_SAMPLE_SIZE
+            and share < MIN_RELATIVE_SERVED_SHARE * overall]
 
 
-def _tiers(record):
-    """What is refused for want of room is refused to the low tier first.
+def _check_tiers(record):
+    """Requests of the low tier are refused first when capacity is short.
 
-    Requests that a killed host took with it say nothing of tiers.
+    Requests lost with a killed host say nothing about tiers.
     """
     refused = collections.Counter()
     total = collections.Counter()
-    for seen in record.seen.values():
-        total[seen.asked.kind] += 1
-        refused[seen.asked.kind] += seen.reply.status == 503
-    if min(total[kind] for kind in STREAMS) < COUNTED_LEAST:
+    for sent in record.sent.values():
+        total[sent.request.kind] += 1
+        refused[sent.request.kind] += sent.reply.status == 503
+    if min(total[kind] for kind in STREAMS) < MIN_SAMPLE_SIZE:
         return []
     top, low = (refused[kind] / total[kind] for kind in STREAMS)
     if top <= low + TIER_SLACK:
         return []
-    return [f"of the top tier {top:.2f} is refused, of the low one {low:.2f}"]
+    return [f"refused share of the top tier {top:.2f}, of the low tier "
+            f"{low:.2f}"]
 
 
-def judge_end(replies):
-    """Return what is wrong after the last fault was mended."""
+def check_recovery(replies):
+    """Return the violations after the last fault has ended."""
     served = sum(reply.status == 200 for reply in replies)
     if served >= 0.75 * len(replies):
         return []
--- a/tools/soak/cloud.py
+++ b/tools/soak/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in of where duties are reported, and what it finds wrong."""
+"""A stub of the cloud API that duties call, and checks of those calls."""
 
 import dataclasses
 import json
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A duty's call as it arrived.
+    """A received duty call.
 
-    ``subject`` is what one holder at a time may speak of; ``window`` and
-    ``counts`` are those of a report, else None.
+    Only one holder at a time may make calls for a ``subject``; ``window``
+    and ``counts`` are those of a usage report, else None.
     """
 
     at: float
@@ -29,9 +29,9 @@
 
 
 class Cloud:
-    """Takes each call, checks nothing, keeps what arrived.
+    """Accepts each call without checks and records it.
 
-    ``down`` makes it answer nothing.
+    While ``down`` is set, calls get no response and are not recorded.
     """
 
     def __init__(self, reactor):
@@ -41,78 +41,80 @@
         self.listener = callers.new_listener(reactor, self)
 
     def limits(self):
-        """Return the limits on what hosts send."""
+        """Return the limits on the requests of hosts."""
         return loop.DEFAULT_LIMITS
 
     def caller_disconnected(self, exchange):
-        """A host's connection is gone."""
+        """Ignore a closed connection."""
 
     def request_rejected(self, status, why):
-        """A call could not be read."""
+        """Ignore a malformed call."""
 
     def request_received(self, exchange):
-        """Keep a call; answer it."""
+        """Record and answer a call."""
         if self.down:
             return
         headers = {name.lower(): value
                    for name, value in exchange.head.headers}
         body = json.loads(exchange.body)
-        common = (self.reactor.seconds(), headers[HOLDER].decode(),
-                  int(headers[FENCE]))
+        common_fields = (self.reactor.seconds(), headers[HOLDER].decode(),
+                         int(headers[FENCE]))
         if "Window" in body:
             self.arrivals.append(Arrival(
-                *common, ("usage",), body["Window"],
+                *common_fields, ("usage",), body["Window"],
                 tuple(sorted(body["Counts"].items()))))
         else:
-            self.arrivals.append(Arrival(*common, (
+            self.arrivals.append(Arrival(*common_fields, (
                 "scale", body["Service"], body["Zone"],
                 bool(body.get("Spot")))))
         exchange.answer(200, [], b"")
 
 
 def faults_of_one(arrivals, lease_s):
-    """Return what is wrong with who acted for the duties, as texts.
+    """Return descriptions of violations of the duties' single holder.
 
-    A window with two counts; a number of two hosts; a number that goes
-    back; hosts that act in the order A, B, A within a lease's span, s.
+    These are two different counts of a window, a fencing token of two
+    hosts, a token that decreases, and hosts that act in the order A, B, A
+    within the duration of a lease, s.
     """
-    found = []
+    errors = []
     counts = {}
     by_subject = {}
-    for each in arrivals:
-        if each.window is not None:
-            known = counts.setdefault(each.window, each.counts)
-            if known != each.counts:
-                found.append(f"two counts of window {each.window}")
-        by_subject.setdefault(each.subject, []).append(each)
+    for arrival in arrivals:
+        if arrival.window is not None:
+            first_counts = counts.setdefault(arrival.window, arrival.counts)
+            if first_counts != arrival.counts:
+                errors.append(f"different counts of window {arrival.window}")
+        by_subject.setdefault(arrival.subject, []).append(arrival)
     for subject, rows in by_subject.items():
-        found += _numbers(subject, rows) + _turns(subject, rows, lease_s)
-    return found
+        errors += (_check_fences(subject, rows)
+                   + _check_alternation(subject, rows, lease_s))
+    return errors
 
 
-def _numbers(subject, rows):
-    found = []
+def _check_fences(subject, rows):
+    errors = []
     owners = {}
     highest = 0
     for row in rows:
         if owners.setdefault(row.fence, row.host) != row.host:
-            found.append(f"{subject}: two hosts with {row.fence}")
+            errors.append(f"{subject}: two hosts with token {row.fence}")
         if row.fence < highest:
-            found.append(f"{subject}: {row.fence} after {highest}")
+            errors.append(f"{subject}: token {row.fence} after {highest}")
         highest = max(highest, row.fence)
-    return found
+    return errors
 
 
-def _turns(subject, rows, lease_s):
-    found = []
-    for place, row in enumerate(rows):
-        others = False
-        for later in rows[place + 1:]:
+def _check_alternation(subject, rows, lease_s):
+    errors = []
+    for index, row in enumerate(rows):
+        other_acted = False
+        for later in rows[index + 1:]:
             if later.at - row.at >= lease_s:
                 break
             if later.host != row.host:
-                others = True
-            elif others:
-                found.append(f"{subject}: {row.host} again at {later.at}")
+                other_acted = True
+            elif other_acted:
+                errors.append(f"{subject}: {row.host} again at {later.at}")
                 break
-    return found
+    return errors
--- a/tools/soak/engine.py
+++ b/tools/soak/engine.py
@@ -1,35 +1,36 @@
-"""A stand-in of a backend server: streams and calls, with faults."""
+"""A stub of a backend server: streams and calls, with injected faults."""
 
 import math
 
 from crocuskeel.gateway import callers
 from crocuskeel.gateway import loop
 
-__all__ = ["EVENTS", "Engine", "POISON", "USUAL"]
+__all__ = ["BASE_FAULT_SHARES", "EVENTS", "Engine", "POISON"]
 
-# A stream takes 1.8 s: work that goes on for a caller that left must
-# still be seen when its end is checked.
+# A stream takes 1.8 s, so that work that continues for a disconnected
+# caller is still in progress when the request is checked.
 EVENTS = 12
 EVENT_S = 0.15
 CALL_S = 0.02
-# Prompts are read one after the other, at so many tokens a second.
-READ_TOKENS_S = 40_000.0
-# Faults that servers always have, as shares of requests: a run of ten
-# seconds must see each, or it proves nothing of what keeps them harmless.
-USUAL = {"lost": 0.03, "torn": 0.03, "full": 0.03, "error": 0.02}
-# A body that begins so crashes the server that runs it.
+# Prompts are prefilled one after the other, at so many tokens a second.
+PREFILL_TOKENS_S = 40_000.0
+# Faults that servers always have, as shares of requests. A run of ten
+# seconds must see each of them, or it does not test their handling.
+BASE_FAULT_SHARES = {"lost": 0.03, "torn": 0.03, "full": 0.03, "error": 0.02}
+# A body with this prefix crashes the server that runs it.
 POISON = b"poison"
 RID = b"x-crocuskeel-request-id"
 
 
 class Engine:
-    """Runs requests and notes them in the record of the run.
-
-    ``faults`` maps a fault's name to its share of requests: ``lost``
-    runs and resets, ``torn`` breaks a stream half way, ``full`` refuses,
-    ``error`` answers 500, ``mute`` runs and says nothing. Its answers
-    name ``rate_limit``, requests a second, if it is set, and say that it
-    is ``leaving``. With ``rest_s`` it refuses all and asks for so much.
+    """Runs requests and adds them to the record of the run.
+
+    ``faults`` maps a fault's name to its share of requests: 'lost' runs
+    the request and resets the connection, 'torn' breaks a stream halfway,
+    'full' refuses, 'error' answers 500, 'mute' runs it without a response.
+    Responses carry ``rate_limit``, requests a second, if it is set, and the
+    ``leaving`` flag. With ``backoff_s`` it refuses all requests and asks for
+    that backoff.
     """
 
     def __init__(self, reactor, rng, sid, service, record, on_poison):
@@ -39,73 +40,73 @@
         self.service = service
         self.record = record
         self.on_poison = on_poison
-        self.faults = dict(USUAL)
+        self.faults = dict(BASE_FAULT_SHARES)
         self.rate_limit = None
         self.leaving = False
-        self.rest_s = None
+        self.backoff_s = None
         self.port = None
         self.address = None
         self.is_down = False
-        # Milliseconds; tells its lives apart.
+        # Start time in milliseconds; distinguishes restarts under one id.
         self.born = int(reactor.seconds() * 1000)
-        # When the prompts so far are read.
-        self.read_at = 0.0
+        # When the prefill of all prompts so far is done.
+        self.prefilled_at = 0.0
         self.parts = set()
         self.listener = callers.new_listener(reactor, self)
 
     def listen(self, ip):
-        """Take connections on a free port; return the port."""
+        """Listen on a free port; return the port."""
         self.port = self.reactor.listenTCP(0, self.listener, 50, ip)
         self.address = ip, self.port.getHost().port
         return self.address[1]
 
-    def start_again(self):
-        """Take connections once more, and know nothing of before."""
+    def restart(self):
+        """Listen again with all earlier state discarded."""
         self.born = int(self.reactor.seconds() * 1000)
         self.record.restarted[self.sid] = self.reactor.seconds()
         self.leaving = False
-        self.rest_s = None
-        self.name_rate(None)
-        self.read_at = 0.0
+        self.backoff_s = None
+        self.set_rate_limit(None)
+        self.prefilled_at = 0.0
         self.parts = set()
         self.is_down = False
         self.port = self.reactor.listenTCP(
             self.address[1], self.listener, 50, self.address[0])
 
     def crash(self):
-        """End all connections and take no more."""
+        """Abort all connections and stop listening."""
         self.is_down = True
         self.port.stopListening()
         for conn in list(self.listener.open_connections):
             conn.transport.abortConnection()
 
     def limits(self):
-        """Return the limits on what hosts send."""
+        """Return the limits on the requests of hosts."""
         return loop.DEFAULT_LIMITS
 
     def caller_disconnected(self, exchange):
-        """A host closed the connection: its request is dropped."""
-        self._rest(exchange)
+        """Drop the request of a closed connection."""
+        self._end_work(exchange)
 
     def request_rejected(self, status, why):
-        """A request could not be read."""
+        """Ignore a malformed request."""
 
     def request_received(self, exchange):
         """Run a request."""
         rid = exchange.head.get(RID).decode()
         self.record.reached.append((rid, self.sid, self.reactor.seconds()))
-        wanted = exchange.head.get(b"x-crocuskeel-expect-instance")
-        if wanted != self.sid.encode():
+        expected = exchange.head.get(b"x-crocuskeel-expect-instance")
+        if expected != self.sid.encode():
             exchange.answer(421, [], b"")
             return
-        if self.rest_s is not None:
+        if self.backoff_s is not None:
             self._refuse(exchange, rid, [
-                (b"Retry-After", b"%g" % self.rest_s)])
-            self.record.rests.append(
-                (self.sid, self.record.seen[rid].ip, self.reactor.seconds(),
-                 self.rest_s))
+                (b"Retry-After", b"%g" % self.backoff_s)])
+            self.record.backoffs.append(
+                (self.sid, self.record.sent[rid].ip, self.reactor.seconds(),
+                 self.backoff_s))
             return
-        if self._has("full"):
+        if self._draw_fault("full"):
             self._refuse(exchange, rid, [])
             return
         self.record.runs.setdefault(rid, []).append(self.sid)
@@ -114,28 +115,28 @@
 
     def _run(self, exchange, rid):
         if exchange.body.startswith(POISON):
-            self.record.spoiled.add(rid)
+            self.record.failed_by_server.add(rid)
             self.record.crashes.append(
                 (exchange.body, self.reactor.seconds()))
             self.on_poison()
             return
-        if self._has("lost"):
-            self.record.spoiled.add(rid)
+        if self._draw_fault("lost"):
+            self.record.failed_by_server.add(rid)
             exchange.abort()
             return
-        if self._has("error"):
-            self.record.spoiled.add(rid)
+        if self._draw_fault("error"):
+            self.record.failed_by_server.add(rid)
             exchange.answer(500, self._headers(rid), b"failed")
             return
         self.record.working.add((rid, self.sid))
-        if self._has("mute"):
-            self.record.spoiled.add(rid)
+        if self._draw_fault("mute"):
+            self.record.failed_by_server.add(rid)
         elif self.service == "engines":
             self._stream(exchange, rid)
         else:
             self.reactor.callLater(CALL_S, self._answer, exchange, rid)
 
-    def _has(self, fault):
+    def _draw_fault(self, fault):
         return self.rng.random() < self.faults.get(fault, 0.0)
 
     def _headers(self, rid):
@@ -148,75 +149,76 @@
                               *headers, *self._hints(rid)], b"")
 
     def _hints(self, rid):
-        where, now = (self.sid, self.record.seen[rid].ip), (
-            self.reactor.seconds())
-        found = []
+        pair = self.sid, self.record.sent[rid].ip
+        now = self.reactor.seconds()
+        headers = []
         if self.rate_limit is not None:
-            self.record.told.setdefault(where, now)
-            found.append((b"Server-Limit", b"%g" % self.rate_limit))
+            self.record.rate_sent.setdefault(pair, now)
+            headers.append((b"Server-Limit", b"%g" % self.rate_limit))
         if self.leaving:
-            self.record.told_leaving.setdefault(where, now)
-            found.append((b"Server-Leaving", b"1"))
-        return found
+            self.record.leaving_sent.setdefault(pair, now)
+            headers.append((b"Server-Leaving", b"1"))
+        return headers
 
-    def name_rate(self, rate):
-        """Name a rate in all answers from now on, or none any more."""
+    def set_rate_limit(self, rate):
+        """Set the rate limit that responses carry, or None for none."""
         now = self.reactor.seconds()
         if self.rate_limit is not None:
-            since, _, named = self.record.limits[self.sid]
-            self.record.limits[self.sid] = since, now, named
+            since, _, limit = self.record.limits[self.sid]
+            self.record.limits[self.sid] = since, now, limit
         elif rate is not None:
             self.record.limits[self.sid] = now, math.inf, rate
         self.rate_limit = rate
 
-    def _rest(self, exchange):
+    def _end_work(self, exchange):
         rid = exchange.head.get(RID).decode()
         self.record.working.discard((rid, self.sid))
 
     def _answer(self, exchange, rid):
-        self._rest(exchange)
+        self._end_work(exchange)
         exchange.answer(200, self._headers(rid), b"answer to "
                         + rid.encode())
 
     def _stream(self, exchange, rid):
         now = self.reactor.seconds()
-        tokens = self._fresh(exchange.head)
-        self.read_at = max(now, self.read_at) + tokens / READ_TOKENS_S
+        tokens = self._uncached_tokens(exchange.head)
+        self.prefilled_at = (
+            max(now, self.prefilled_at) + tokens / PREFILL_TOKENS_S)
         self.reactor.callLater(
-            self.read_at - now, self._begin, exchange, rid)
+            self.prefilled_at - now, self._begin_stream, exchange, rid)
 
-    def _fresh(self, head):
-        """Return how many tokens of a prompt have to be read."""
-        fresh = 0
+    def _uncached_tokens(self, head):
+        """Return the number of prompt tokens that have to be prefilled."""
+        uncached = 0
         text = head.get(b"x-crocuskeel-prefix-hash") or b""
         for row in text.split(b","):
             part, _, tokens = row.partition(b":")
             if part not in self.parts:
-                fresh += int(tokens or 0)
+                uncached += int(tokens or 0)
             self.parts.add(part)
-        return fresh
+        return uncached
 
-    def _begin(self, exchange, rid):
+    def _begin_stream(self, exchange, rid):
         if exchange.finished:
             return
         last = int(exchange.head.get(b"last-event-id") or 0)
         exchange.begin_answer(200, self._headers(rid))
-        torn = EVENTS // 2 if self._has("torn") else None
-        self._event(exchange, rid, last + 1, torn)
+        break_at = EVENTS // 2 if self._draw_fault("torn") else None
+        self._send_event(exchange, rid, last + 1, break_at)
 
-    def _event(self, exchange, rid, number, torn):
+    def _send_event(self, exchange, rid, number, break_at):
         if exchange.finished:
             return
-        if number == torn:
-            self.record.spoiled.add(rid)
-            self._rest(exchange)
+        if number == break_at:
+            self.record.failed_by_server.add(rid)
+            self._end_work(exchange)
             exchange.send_data(b"id: %d\nda" % number)
             exchange.abort()
             return
         exchange.send_data(b"id: %d\ndata: %s\n\n" % (number, rid.encode()))
         if number == EVENTS:
-            self._rest(exchange)
+            self._end_work(exchange)
             exchange.end_answer()
             return
-        self.reactor.callLater(EVENT_S, self._event, exchange, rid,
-                               number + 1, torn)
+        self.reactor.callLater(EVENT_S, self._send_event, exchange, rid,
+                               number + 1, break_at)
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Entry hosts as processes on loopback addresses of their own."""
+"""Entry hosts as processes, each on its own loopback address."""
 
 import pathlib
 import signal
@@ -9,9 +9,9 @@
 __all__ = ["Fleet"]
 
 PORTS = {"Front": 18080, "Ready": 18081, "Control": 18082, "Dir": 18083}
-# How often a killed process is looked at, s.
-ENDED_S = 0.05
-BOOT = """Node={name}
+# Interval of polling for the exit of a killed process, s.
+EXIT_POLL_S = 0.05
+BOOT_SETTINGS = """Node={name}
 Zone=zone-{zone}
 Ip={ip}
 Listen.Front={ip}:18080
@@ -32,10 +32,10 @@
 
 
 class Fleet:
-    """Starts, signals and ends the processes, by their ids.
+    """Starts, signals and stops the host processes by their numbers.
 
-    ``net`` is the first two numbers of their addresses; ``cloud`` is
-    where duties are reported.
+    ``net`` is the first two octets of their addresses; ``cloud`` is the
+    address of the cloud API that duties call.
     """
 
     def __init__(self, folder, net, count, cloud):
@@ -44,24 +44,24 @@
         self.cloud = cloud
         self.ips = [f"{net}.1.{number + 1}" for number in range(count)]
         self.processes = {}
-        # Where each host finds the store, and how often it was started.
-        self.stores = {}
-        self.boots = [0] * count
+        # The store address of each host, and how often it was started.
+        self.store_addresses = {}
+        self.start_counts = [0] * count
         self.restarting = set()
 
-    def taken(self):
-        """Return the addresses of hosts where somebody listens already.
+    def addresses_in_use(self):
+        """Return the host addresses on which a process already listens.
 
-        A run that was killed leaves its hosts behind; the next one with
-        its seed would ask those.
+        A killed run leaves its hosts behind, and the next run with its seed
+        would send requests to those.
         """
         return [f"{ip}:{PORTS['Front']}" for ip in self.ips
-                if _is_taken(ip, PORTS["Front"])]
+                if _is_in_use(ip, PORTS["Front"])]
 
     def start(self, number, store=None):
-        """Start a host; ``store`` is needed the first time."""
-        self.stores.setdefault(number, store)
-        self.boots[number] += 1
+        """Start a host; ``store`` is required the first time."""
+        self.store_addresses.setdefault(number, store)
+        self.start_counts[number] += 1
         path = self.write_settings(number)
         with open(self.folder / f"host-{number}.log", "ab") as log:
             self.processes[number] = subprocess.Popen(
@@ -71,46 +71,46 @@
     def write_settings(self, number, slack=50):
         """Write a host's settings file; return its path."""
         path = self.folder / f"host-{number}.conf"
-        path.write_text(BOOT.format(
+        path.write_text(BOOT_SETTINGS.format(
             name=f"host-{number}", zone=number % 3, ip=self.ips[number],
-            net=self.net, store=self.stores[number], slack=slack,
+            net=self.net, store=self.store_addresses[number], slack=slack,
             cloud=self.cloud))
         return path
 
     def signal(self, number, name):
-        """Send a signal to a host, if it lives."""
+        """Send a signal to a host if its process is running."""
         process = self.processes[number]
         if process.poll() is None:
             process.send_signal(signal.Signals[name])
 
-    def restart(self, number, later):
-        """Start a host again once it has ended.
+    def restart(self, number, call_later):
+        """Start a host again once its process has exited.
 
-        ``later(span, function, ...)`` calls it then: on a busy machine a
-        killed process takes seconds to go, and waiting for it held up the
-        whole run. One restart at a time: two would both start it, and one
-        of the processes would outlive the run.
+        The exit is polled with ``call_later(delay, function, ...)``: on a busy
+        machine a killed process takes seconds to exit, and waiting for it
+        would block the whole run. Only one restart may be pending: two
+        would both start the host, and one process would outlive the run.
         """
         if number not in self.restarting:
             self.restarting.add(number)
-            self._start_when_ended(number, later)
+            self._start_when_ended(number, call_later)
 
-    def _start_when_ended(self, number, later):
+    def _start_when_ended(self, number, call_later):
         if self.processes[number].poll() is None:
-            later(ENDED_S, self._start_when_ended, number, later)
+            call_later(EXIT_POLL_S, self._start_when_ended, number, call_later)
             return
         self.restarting.discard(number)
         self.start(number)
 
     def stop(self):
-        """End all processes that this fleet started."""
+        """Kill all processes that this fleet started."""
         for number, process in self.processes.items():
             self.signal(number, "SIGCONT")
             self.signal(number, "SIGKILL")
             process.wait(timeout=10)
 
 
-def _is_taken(ip, port):
+def _is_in_use(ip, port):
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/tools/soak/proxy.py
+++ b/tools/soak/proxy.py
@@ -1,8 +1,8 @@
-"""A loopback proxy that harms connections from outside the programs.
+"""A loopback TCP proxy that injects connection faults.
 
-A link stands before one server, or one host's way to the store. It can
-delay what passes, reset what is open, leave one way silent, or have open
-connections go silent for good while new ones work.
+A link is the proxy in front of one server, or between one host and the
+store. It can delay data, reset open connections, drop the data of one
+direction, or drop all data of the open connections while new ones work.
 """
 
 import collections
@@ -16,20 +16,20 @@
 
 
 class _Side(protocol.Protocol):
-    """One of the two connections of a pair; ``other`` gets its bytes."""
+    """One of the two connections of a pair; ``other`` receives its data."""
 
     def __init__(self, link, from_client):
         self.link = link
         self.from_client = from_client
         self.other = None
         self.silenced = False
-        # (due, data) on the way to the other side; None ends it.
-        self.waiting = collections.deque()
-        self.early = []
+        # (due, data) to forward to the other side; None as data closes it.
+        self.delayed = collections.deque()
+        self.unsent = []
 
     def connectionMade(self):
         self.link.sides.add(self)
-        self.silenced = self.link.silences(self)
+        self.silenced = self.link.is_silent(self)
         if self.from_client:
             self.link.connect(self)
 
@@ -46,41 +46,41 @@
         elif self.other is not None:
             self.other.transport.abortConnection()
 
-    def joined(self, other):
-        """Take the other side; pass on what came before it stood."""
+    def pair_with(self, other):
+        """Set the other side and forward the data received before."""
         self.other = other
-        early, self.early = self.early, []
-        for data in early:
+        unsent, self.unsent = self.unsent, []
+        for data in unsent:
             self._pass_on(data)
 
     def _queue(self, data):
         now = self.link.reactor.seconds()
         due = now + self.link.delay_s
-        if self.waiting:
-            due = max(due, self.waiting[-1][0])
-        self.waiting.append((due, data))
-        if due <= now and len(self.waiting) == 1:
+        if self.delayed:
+            due = max(due, self.delayed[-1][0])
+        self.delayed.append((due, data))
+        if due <= now and len(self.delayed) == 1:
             self._flush()
         else:
             self.link.reactor.callLater(due - now, self._flush)
 
     def _flush(self):
         now = self.link.reactor.seconds()
-        while self.waiting and self.waiting[0][0] <= now + 0.001:
-            self._pass_on(self.waiting.popleft()[1])
+        while self.delayed and self.delayed[0][0] <= now + 0.001:
+            self._pass_on(self.delayed.popleft()[1])
 
     def _pass_on(self, data):
         if self.silenced:
             return
         if self.other is None:
-            self.early.append(data)
+            self.unsent.append(data)
         elif data is None:
             self.other.transport.loseConnection()
         else:
             self.other.transport.write(data)
 
 
-class _Dialer(protocol.ClientFactory):
+class _ServerFactory(protocol.ClientFactory):
     noisy = False
 
     def __init__(self, link, client):
@@ -88,15 +88,15 @@
         self.client = client
 
     def buildProtocol(self, addr):
-        server = _Joined(self.link, self.client)
+        server = _ServerSide(self.link, self.client)
         return server
 
     def clientConnectionFailed(self, connector, reason):
         self.client.transport.abortConnection()
 
 
-class _Joined(_Side):
-    """The side towards the server, which completes its pair."""
+class _ServerSide(_Side):
+    """The connection to the server; pairs with the client's connection."""
 
     def __init__(self, link, client):
         super().__init__(link, False)
@@ -107,12 +107,12 @@
         if self.client not in self.link.sides:
             self.transport.abortConnection()
             return
-        self.joined(self.client)
-        self.client.joined(self)
+        self.pair_with(self.client)
+        self.client.pair_with(self)
 
 
 class Link(protocol.Factory):
-    """Passes connections on to ``target``, an (ip, port)."""
+    """Forwards connections to ``target``, an (ip, port)."""
 
     noisy = False
 
@@ -121,12 +121,12 @@
         self.target = target
         self.sides = set()
         self.delay_s = 0.0
-        # Whether new connections are silent: from the client, the server.
+        # Whether the data from the client, from the server is dropped.
         self.silent = (False, False)
         self.port = None
 
     def listen(self, ip):
-        """Take connections on a free port; return the port."""
+        """Listen on a free port; return the port."""
         self.port = self.reactor.listenTCP(0, self, 50, ip)
         return self.port.getHost().port
 
@@ -134,22 +134,22 @@
         return _Side(self, True)
 
     def connect(self, client):
-        """Connect to the target on behalf of a client."""
+        """Connect to the target for a client connection."""
         self.reactor.connectTCP(
-            *self.target, _Dialer(self, client), timeout=CONNECT_S)
+            *self.target, _ServerFactory(self, client), timeout=CONNECT_S)
 
-    def silences(self, side):
-        """Say whether what a side sends is lost."""
+    def is_silent(self, side):
+        """Return whether the data that a side sends is dropped."""
         return self.silent[0 if side.from_client else 1]
 
     def set_silent(self, from_client, from_server):
-        """Lose all that is sent on open and new connections."""
+        """Drop the data of some directions on open and new connections."""
         self.silent = (from_client, from_server)
         for side in self.sides:
-            side.silenced = side.silenced or self.silences(side)
+            side.silenced = side.silenced or self.is_silent(side)
 
-    def forget(self):
-        """Have open connections go silent for good; new ones work."""
+    def silence_open(self):
+        """Drop all further data of the connections that are open now."""
         for side in self.sides:
             side.silenced = True
 
@@ -158,11 +158,10 @@
         for side in list(self.sides):
             side.transport.abortConnection()
 
-    def mend(self):
-        """Let new connections pass unharmed.
+    def restore(self):
+        """Remove all faults for new connections.
 
-        Those that lost bytes are reset: no connection goes on after a
-        gap.
+        Connections that lost data are reset: none may continue after a gap.
         """
         self.delay_s = 0.0
         self.silent = (False, False)
@@ -173,6 +172,6 @@
                     side.other.transport.abortConnection()
 
     def close(self):
-        """Take no more connections and end those that are open."""
+        """Stop listening and reset the open connections."""
         self.port.stopListening()
         self.reset()
--- a/tools/soak/record.py
+++ b/tools/soak/record.py
@@ -1,80 +1,85 @@
-"""What happened in a run: requests, runs at servers, faults, changes."""
+"""The record of a run: requests, their runs at servers, and faults."""
 
 import dataclasses
 
-__all__ = ["Record", "Seen", "new_record"]
+__all__ = ["Record", "SentRequest", "new_record"]
 
-# After a fault ends its traces may last: hosts are out of a list after
-# 1.3 s, and a connection that was silent shows it after some seconds.
-SETTLES_S = 4.0
+# How long the effects of a fault last after its end, s: hosts drop out of
+# a list after 1.3 s, and a silent connection is detected only after some
+# seconds.
+AFTEREFFECT_S = 4.0
 
 
 @dataclasses.dataclass
-class Seen:
-    """A request and what came of it."""
+class SentRequest:
+    """A request that was sent, and its outcome."""
 
-    asked: object
+    request: object
     ip: str
     boot: int
     at: float
-    # Versions of the configuration written and settled when it was sent.
+    # Versions of the configuration at its sending: the last one written, and
+    # the last one that must be in force.
     version: int
     settled: int
     ended_at: float = 0.0
     reply: object = None
-    # The version written when it ended, if another one was by then.
+    # The last version written when it ended; 0 while it runs.
     ended_version: int = 0
 
     def is_kept(self, version):
-        """Say whether all versions while it ran have a version's route."""
+        """Return whether a version's route existed during the request."""
         return version >= max(self.version, self.ended_version) - 1
 
 
 @dataclasses.dataclass
 class Record:
-    """All that the checks go by. Times are the run's, s.
+    """The data that the checks use. Times are of the run's clock, s.
 
     ``runs`` maps a request id to the servers that ran it; ``arrivals``
-    holds (request id, server, time). ``spoiled`` holds ids of requests
-    that a server broke, ``crashes`` (body, time), ``working`` (request
-    id, server). ``faults`` holds (start, end, where, name), ``left`` maps
-    a server to when it left, ``ended`` to when its process ended, ``seen``
-    a request id to its Seen. ``reached`` is like ``arrivals``, with those
-    that did not run. ``limits`` maps a server to (since, until, requests
-    a second) of the rate that it named, ``told`` (server, host) to when
-    it told that host first, ``told_leaving`` to when it told it that it
-    leaves. ``rests`` holds (server, host, time, s) of rest asked for,
-    ``restarted`` when a server last started again under its id.
+    holds (request id, server, time) of these runs, ``reached`` the same of
+    all requests that reached a server, run or not.
+    ``failed_by_server`` holds the ids of requests that failed by an
+    injected server fault, ``crashes`` (body, time), ``working`` (request
+    id, server) of runs in progress. ``faults`` holds
+    (start, end, place, name). ``departed`` maps a server to the time when
+    it left, ``ended`` to when its process ended, ``restarted`` to its last
+    restart under the same id. ``sent`` maps a request id to its
+    SentRequest. ``limits`` maps a server to (since, until, requests a
+    second) of its rate limit, ``rate_sent`` (server, host) to the time of
+    the first response with it to that host, ``leaving_sent`` to that of the
+    first with the leaving flag. ``backoffs`` holds (server, host, time, s)
+    of the backoffs asked for.
     """
 
     runs: dict = dataclasses.field(default_factory=dict)
     arrivals: list = dataclasses.field(default_factory=list)
-    spoiled: set = dataclasses.field(default_factory=set)
+    failed_by_server: set = dataclasses.field(default_factory=set)
     crashes: list = dataclasses.field(default_factory=list)
     working: set = dataclasses.field(default_factory=set)
     faults: list = dataclasses.field(default_factory=list)
-    left: dict = dataclasses.field(default_factory=dict)
+    departed: dict = dataclasses.field(default_factory=dict)
     ended: dict = dataclasses.field(default_factory=dict)
-    seen: dict = dataclasses.field(default_factory=dict)
+    sent: dict = dataclasses.field(default_factory=dict)
     reached: list = dataclasses.field(default_factory=list)
     limits: dict = dataclasses.field(default_factory=dict)
-    told: dict = dataclasses.field(default_factory=dict)
-    told_leaving: dict = dataclasses.field(default_factory=dict)
-    rests: list = dataclasses.field(default_factory=list)
+    rate_sent: dict = dataclasses.field(default_factory=dict)
+    leaving_sent: dict = dataclasses.field(default_factory=dict)
+    backoffs: list = dataclasses.field(default_factory=list)
     restarted: dict = dataclasses.field(default_factory=dict)
 
-    def fault(self, where, name, now, span_s=0.0):
-        """Note a fault."""
-        self.faults.append((now, now + span_s, where, name))
+    def add_fault(self, place, name, now, span_s=0.0):
+        """Add a fault."""
+        self.faults.append((now, now + span_s, place, name))
 
-    def is_calm(self, since, until, *where):
-        """Say whether nothing disturbed the places between two times."""
+    def is_undisturbed(self, since, until, *places):
+        """Return whether no fault disturbed the places between two times."""
         return not any(
-            start <= until and end + SETTLES_S >= since
+            start <= until and end + AFTEREFFECT_S >= since
             for start, end, place, _ in self.faults
-            if place in where or place == "all")
+            if place in places or place == "all")
 
 
 def new_record():
-    """Return the record of a run that has not begun."""
+    """Return an empty record."""
     return Record()
--- a/tools/soak/report.py
+++ b/tools/soak/report.py
@@ -4,9 +4,9 @@
 
 __all__ = ["write"]
 
-# What came of a request, in the order of the plot, with its colour.
-ENDS = (("served", "tab:green"), ("refused, not run", "tab:orange"),
-        ("failed", "tab:red"))
+# Outcomes of requests in the order of the plot, with their colors.
+OUTCOMES = (("served", "tab:green"), ("refused, not run", "tab:orange"),
+            ("failed", "tab:red"))
 FAULT_ROWS = 8
 
 
@@ -25,7 +25,7 @@
     fig.savefig(path, dpi=90)
 
 
-def _end_of(reply):
+def _outcome(reply):
     if reply.status == 200:
         return "served"
     if reply.status in (404, 503) or not reply.connected:
@@ -35,26 +35,26 @@
 
 def _requests(axis, soak):
     counts = collections.defaultdict(collections.Counter)
-    for seen in soak.record.seen.values():
-        if not seen.reply.left:
-            second = int(seen.at - soak.began_at)
-            counts[_end_of(seen.reply)][second] += 1
+    for sent in soak.record.sent.values():
+        if not sent.reply.abandoned:
+            second = int(sent.at - soak.began_at)
+            counts[_outcome(sent.reply)][second] += 1
     seconds = range(1 + max((max(rows) for rows in counts.values() if rows),
                             default=0))
     axis.stackplot(
         seconds, *([counts[name][second] for second in seconds]
-                   for name, _ in ENDS),
-        labels=[name for name, _ in ENDS],
-        colors=[color for _, color in ENDS])
+                   for name, _ in OUTCOMES),
+        labels=[name for name, _ in OUTCOMES],
+        colors=[color for _, color in OUTCOMES])
     axis.set(ylabel="requests a second",
-             title=f"{len(soak.record.seen)} requests, "
+             title=f"{len(soak.record.sent)} requests, "
                    f"{len(soak.violations)} violations")
     axis.legend(loc="upper right")
 
 
 def _faults(axis, soak):
-    for place, (start, end, where, name) in enumerate(soak.record.faults):
-        row = place % FAULT_ROWS
+    for index, (start, end, where, name) in enumerate(soak.record.faults):
+        row = index % FAULT_ROWS
         since = start - soak.began_at
         axis.barh(row, max(0.2, end - start), left=since, color="0.75")
         axis.text(since, row, f"{name} {where.rpartition('.')[2]}",
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -1,11 +1,11 @@
-"""One run: stand-ins, processes, callers and the record of all of it."""
+"""One run of the soak test: stubs, processes, callers and the record."""
 
 import json
 import random
 
 from crocuskeel.gateway import calls
 from crocuskeel.gateway import exceptions
-from tools.soak import asking
+from tools.soak import callers
 from tools.soak import checks
 from tools.soak import cloud as clouds
 from tools.soak import engine as engines
@@ -16,55 +16,55 @@
 from tools.soak import store as stores
 from twisted.internet import defer
 
-__all__ = ["Soak", "play"]
-
-# Runs with different seeds may go on side by side.
-NETS = 200
-RATE_S = 0.025
-# Hosts are up in a second, on a busy machine in some more.
-START_MOST_S = 30.0
-FAULT_S = 1.0
-PLAN_S = 1.5
-# All faults are over this long after the last began, s.
-MENDED_S = 13.0
-LAST_REQUESTS = 40
-KEPT_SHARE = 0.6
-LEAVING_SHARE = 0.05
-# What a server still does for a request is known after this, s.
-JUDGED_S = 1.1
+__all__ = ["Soak", "run_soak"]
+
+# Number of /16 networks, so that runs of different seeds can be parallel.
+NETWORK_COUNT = 200
+SEND_INTERVAL_S = 0.025
+# Hosts take a second to start, on a busy machine a few.
+START_TIMEOUT_S = 30.0
+FAULT_INTERVAL_S = 1.0
+PLAN_INTERVAL_S = 1.5
+# All faults have ended this long after the last one began, s.
+FAULTS_OVER_S = 13.0
+RECOVERY_REQUESTS = 40
+KEEP_ALIVE_SHARE = 0.6
+ABANDON_SHARE = 0.05
+# Delay from the end of a request to its check, for its servers to stop, s.
+CHECK_DELAY_S = 1.1
 KEY = b"key"
-# Engines are asked for and never come: the holder asks again and again.
-SCALING = {"Min": 1, "Max": 20, "BootTimeoutS": 0.5, "SpotPrice": 0.2,
-           "ZonePrices": {"zone-0": 1.0, "zone-1": 1.0}}
+# Ordered engines never start, so that the holder repeats its orders.
+AUTOSCALE = {"Min": 1, "Max": 20, "BootTimeoutS": 0.5, "SpotPrice": 0.2,
+             "ZonePrices": {"zone-0": 1.0, "zone-1": 1.0}}
 
 
 class Soak:
-    """Holds a run together."""
+    """The state of a run, and the operations on its components."""
 
     def __init__(self, reactor, seed, folder, hosts):
         self.reactor = reactor
         self.rng = random.Random(seed)
-        self.kinds = faults.choose_kinds(self.rng, seed)
+        self.fault_kinds = faults.choose_kinds(self.rng, seed)
         self.record = records.new_record()
         self.store = stores.Store(reactor)
         self.engines = {}
         self.links = {}
         self.store_links = {}
-        self.fronts = {}
-        self.callers = {}
+        self.front_links = {}
+        self.idle_callers = {}
         self.stopping = set()
         self.version = 0
-        # (version, when the store took it)
+        # (version, time at which the store accepted it)
         self.versions = []
-        self.numbered = 0
-        self.waiting = 0
-        self.pace = 1.0
+        self.last_number = 0
+        self.unfinished = 0
+        self.load_factor = 1.0
         self.violations = []
-        self.last_replies = []
+        self.recovery_replies = []
         self.began_at = reactor.seconds()
-        # Addresses that callers were told, as they would keep them.
-        self.told = []
-        self.net = f"127.{10 + seed % NETS}"
+        # Resolved host addresses, as callers cache them.
+        self.known_ips = []
+        self.net = f"127.{10 + seed % NETWORK_COUNT}"
         self.server_ip = f"{self.net}.2.1"
         port = reactor.listenTCP(0, self.store.listener, 50, "127.0.0.1")
         self.store_address = ("127.0.0.1", port.getHost().port)
@@ -75,14 +75,14 @@
             f"127.0.0.1:{cloud.getHost().port}")
 
     def begin(self):
-        """Register servers, configure, start the hosts."""
+        """Register the servers, write a configuration and start the hosts."""
         for service, count in (("engines", 4), ("plain", 3)):
             for _ in range(count):
                 self.add_engine(service)
         self.configure()
         for number, ip in enumerate(self.fleet.ips):
             self.store_links[ip] = self._link(self.store_address)
-            self.fronts[ip] = self._link((ip, fleets.PORTS["Front"]))
+            self.front_links[ip] = self._link((ip, fleets.PORTS["Front"]))
             self.fleet.start(number, self._address(self.store_links[ip]))
 
     def _link(self, target):
@@ -93,18 +93,18 @@
     def _address(self, link):
         return f"{self.server_ip}:{link.port.getHost().port}"
 
-    def later(self, span, function, *args):
+    def call_later(self, span, function, *args):
         """Call a function after ``span`` seconds."""
         self.reactor.callLater(span, function, *args)
 
     def note_fault(self, where, name, span_s=0.0):
-        """Note a fault that begins now."""
-        self.record.fault(where, name, self.reactor.seconds(), span_s)
+        """Record a fault that begins now."""
+        self.record.add_fault(where, name, self.reactor.seconds(), span_s)
 
     def add_engine(self, service):
         """Start and register a server under a new id."""
-        self.numbered += 1
-        sid = f"s-{self.numbered}"
+        self.last_number += 1
+        sid = f"s-{self.last_number}"
         engine = engines.Engine(
             self.reactor, self.rng, sid, service, self.record,
             lambda: self.crash(sid))
@@ -117,7 +117,7 @@
         self.store.put("servers", sid, self.entry(sid))
 
     def entry(self, sid):
-        """Return what a server writes of itself."""
+        """Return the entry that a server registers."""
         return {
             "Service": self.engines[sid].service,
             "Addr": self._address(self.links[sid]),
@@ -125,63 +125,63 @@
             "State": "ready", "ColdLeftMs": 0, "Seq": 1,
             "born": self.engines[sid].born}
 
-    def register_again(self, sids):
-        """Have servers that lapsed and live register once more."""
+    def reregister(self, sids):
+        """Register expired servers again if they still run."""
         for sid in sids:
-            if sid in self.engines and sid not in self.record.left:
+            if sid in self.engines and sid not in self.record.departed:
                 self._register(sid)
 
     def any_engine(self):
-        """Return the id of a server that is not leaving."""
+        """Return the id of a random server that has not left."""
         return self.rng.choice([sid for sid in self.engines
-                                if sid not in self.record.left])
+                                if sid not in self.record.departed])
 
     def leave(self, sid):
-        """Take a server off the list; it serves on for a while."""
+        """Remove a server from the list; it keeps running for a while."""
         self.engines[sid].leaving = True
         self.store.remove("servers", sid)
-        self.record.left[sid] = self.reactor.seconds()
+        self.record.departed[sid] = self.reactor.seconds()
 
     def end_engine(self, sid):
-        """End a server; return its service."""
+        """Stop a server; return its service."""
         engine = self.engines.pop(sid)
         self.record.ended[sid] = self.reactor.seconds()
         engine.crash()
         self.links[sid].close()
         return engine.service
 
-    def end_left(self, sid):
-        """End a server that left, unless a fault ended it before."""
+    def end_departed(self, sid):
+        """Stop a server that left, unless a fault stopped it before."""
         if sid in self.engines:
             self.end_engine(sid)
 
-    def leave_ended(self, sid):
-        """End a server that left without the store's word."""
+    def end_unlisted(self, sid):
+        """Stop a server that left while the store still listed it."""
         if sid in self.engines and self.engines[sid].leaving:
             self.leave(sid)
             self.end_engine(sid)
 
     def crash(self, sid):
-        """Have a server go without notice; another comes a bit later."""
+        """Crash a server; a replacement starts a second later."""
         if sid not in self.engines:
             return
         self.note_fault(sid, "server crash", 2.5)
         service = self.end_engine(sid)
-        self.later(1.5, self.store.remove, "servers", sid)
-        self.later(1.0, self.add_engine, service)
+        self.call_later(1.5, self.store.remove, "servers", sid)
+        self.call_later(1.0, self.add_engine, service)
 
     def restart_engine(self, sid):
-        """Have a server crash and start again under its id."""
+        """Crash a server and restart it under its id."""
         engine = self.engines[sid]
         if engine.is_down:
             return
         self.note_fault(sid, "server restart", 2.5)
         engine.crash()
-        self.later(1.0, self._reborn, engine)
+        self.call_later(1.0, self._start_again, engine)
 
-    def _reborn(self, engine):
+    def _start_again(self, engine):
         if engine.sid in self.engines:
-            engine.start_again()
+            engine.restart()
             self._register(engine.sid)
 
     def configure(self):
@@ -193,7 +193,7 @@
         services = [{"Name": "plain", "MaxConns": 300},
                     {"Name": "engines", "MaxConns": 300, "Engine": {
                         "Slots": 32, "KvTokens": 400_000},
-                     "Autoscale": SCALING}]
+                     "Autoscale": AUTOSCALE}]
         self.store.put("config", "main", {
             "Version": self.version, "Routes": routes,
             "Services": services, "Tenants": [
@@ -206,42 +206,43 @@
         return max((version for version, at in self.versions
                     if at <= since), default=0)
 
-    def burst(self, pace):
-        """Have callers send this many times as much."""
-        self.pace = pace
+    def burst(self, load_factor):
+        """Set the factor on the request rate."""
+        self.load_factor = load_factor
 
     def send(self):
-        """Send one request to a host that callers were told of."""
-        ip = self.rng.choice(self.told or self.fleet.ips)
-        self.waiting += 1
-        defer.Deferred.fromCoroutine(self.ask(ip, self.draw())).addErrback(
-            self._broke)
-
-    def _broke(self, failure):
-        self.waiting -= 1
+        """Send one random request to a resolved host."""
+        ip = self.rng.choice(self.known_ips or self.fleet.ips)
+        self.unfinished += 1
+        defer.Deferred.fromCoroutine(self.send_to(
+            ip, self.draw_request())).addErrback(self._record_failure)
+
+    def _record_failure(self, failure):
+        self.unfinished -= 1
         self.violations.append(failure.getTraceback())
 
-    def draw(self):
-        """Return a request drawn at random."""
+    def draw_request(self):
+        """Return a random request."""
         kind = self.rng.choice((*checks.KINDS, "version"))
         if kind == "version":
             number = max(1, self.version - self.rng.randrange(4))
             kind = f"v{number}"
-        leaves_s = None
-        if self.rng.random() < LEAVING_SHARE:
-            leaves_s = self.rng.uniform(0.02, 0.3)
-        return self._asked(kind, None, leaves_s)
+        abandon_after_s = None
+        if self.rng.random() < ABANDON_SHARE:
+            abandon_after_s = self.rng.uniform(0.02, 0.3)
+        return self._new_request(kind, None, abandon_after_s)
 
-    def poison(self, kind, body):
+    def send_poison(self, kind, body):
         """Send a request that crashes the servers that run it."""
-        self.waiting += 1
-        ip = self.rng.choice(self.told or self.fleet.ips)
-        defer.Deferred.fromCoroutine(self.ask(
-            ip, self._asked(kind, body, None))).addErrback(self._broke)
-
-    def _asked(self, kind, body, leaves_s):
-        self.numbered += 1
-        rid = f"r{self.numbered}"
+        self.unfinished += 1
+        ip = self.rng.choice(self.known_ips or self.fleet.ips)
+        defer.Deferred.fromCoroutine(self.send_to(
+            ip, self._new_request(kind, body, None))).addErrback(
+                self._record_failure)
+
+    def _new_request(self, kind, body, abandon_after_s):
+        self.last_number += 1
+        rid = f"r{self.last_number}"
         headers = [(b"Host", b"desk"), (b"X-Crocuskeel-Request-Id",
                                         rid.encode()),
                    (b"X-Crocuskeel-Deadline-Ms", b"4000"),
@@ -251,66 +252,68 @@
             headers += [(b"X-Crocuskeel-Token-Count", b"5000,80"),
                         (b"X-Crocuskeel-Prefix-Hash",
                          b"p%d:4000,%s:1000" % (part, rid.encode()))]
-        return asking.Asked(rid, kind, f"/{kind}/1", tuple(headers),
-                            body or rid.encode(), leaves_s=leaves_s)
+        return callers.Request(rid, kind, f"/{kind}/1", tuple(headers),
+                               body or rid.encode(),
+                               abandon_after_s=abandon_after_s)
 
-    async def ask(self, ip, asked):
-        """Ask a host; have the request judged; return its reply."""
+    async def send_to(self, ip, request):
+        """Send a request to a host and check it; return the reply."""
         number = self.fleet.ips.index(ip)
         now = self.reactor.seconds()
-        seen = records.Seen(asked, ip, self.fleet.boots[number], now,
-                            self.version, self._settled())
-        self.record.seen[asked.rid] = seen
-        seen.reply = asking.Reply(left=True)
+        sent = records.SentRequest(
+            request, ip, self.fleet.start_counts[number], now,
+            self.version, self._settled())
+        self.record.sent[request.rid] = sent
+        sent.reply = callers.Reply(abandoned=True)
         caller = self._caller(ip)
-        seen.reply = await caller.ask(asked)
-        seen.ended_at = self.reactor.seconds()
-        seen.ended_version = self.version
-        self._keep(ip, caller)
-        self.later(JUDGED_S, self._judge, seen)
-        return seen.reply
+        sent.reply = await caller.send(request)
+        sent.ended_at = self.reactor.seconds()
+        sent.ended_version = self.version
+        self._release_caller(ip, caller)
+        self.call_later(CHECK_DELAY_S, self._check_request, sent)
+        return sent.reply
 
     def _caller(self, ip):
-        """Return a caller of a host, one that rests if there is any."""
-        resting = self.callers.setdefault(ip, [])
-        if resting:
-            return resting.pop()
-        link = self.fronts[ip]
-        return asking.Caller(
+        """Return a caller for a host, an idle one if there is any."""
+        idle = self.idle_callers.setdefault(ip, [])
+        if idle:
+            return idle.pop()
+        link = self.front_links[ip]
+        return callers.Caller(
             self.reactor, (self.server_ip, link.port.getHost().port))
 
-    def _keep(self, ip, caller):
-        if self.rng.random() < KEPT_SHARE:
-            self.callers[ip].append(caller)
+    def _release_caller(self, ip, caller):
+        if self.rng.random() < KEEP_ALIVE_SHARE:
+            self.idle_callers[ip].append(caller)
         else:
             caller.close()
 
-    def _judge(self, seen):
-        self.waiting -= 1
-        for wrong in checks.judge(seen, self.record):
-            runs = self.record.runs.get(seen.asked.rid, [])
+    def _check_request(self, sent):
+        self.unfinished -= 1
+        for error in checks.check_request(sent, self.record):
+            runs = self.record.runs.get(sent.request.rid, [])
             self.violations.append(
-                f"{seen.asked.rid} ({seen.asked.kind}, {seen.ip}, "
-                f"{seen.at - self.began_at:.2f} s, "
-                f"{seen.reply.status}): {wrong}; ran on {runs}; version "
-                f"{seen.version} as it was sent, {self.version} now")
+                f"{sent.request.rid} ({sent.request.kind}, {sent.ip}, "
+                f"{sent.at - self.began_at:.2f} s, "
+                f"{sent.reply.status}): {error}; ran on {runs}; version "
+                f"{sent.version} when sent, {self.version} now")
 
     async def resolve(self):
-        """Ask hosts where to connect, as callers do; never ends."""
+        """Resolve the host addresses repeatedly, as callers do, forever."""
         while True:
             ip = self.rng.choice(self.fleet.ips)
             try:
                 reply = await calls.call(
                     self.reactor, (ip, fleets.PORTS["Dir"]), b"GET",
                     b"/crocuskeel/resolve?Name=desk", 0.5)
-                self.told = [address.partition(":")[0] for address
-                             in json.loads(reply.body)["Addrs"]]
+                self.known_ips = [address.partition(":")[0] for address
+                                  in json.loads(reply.body)["Addrs"]]
             except (exceptions.CallFailed, ValueError):
-                await self.rest(0.1)
+                await self.sleep(0.1)
                 continue
-            await self.rest(0.5)
+            await self.sleep(0.5)
 
-    def rest(self, span):
+    def sleep(self, span):
         """Return a Deferred that fires after ``span`` seconds."""
         done = defer.Deferred()
         self.reactor.callLater(span, done.callback, None)
@@ -328,47 +331,48 @@
             "Service": "engines" if stream else "plain"}
 
 
-async def play(soak, seconds):
-    """Play so many seconds of load and faults, then see to recovery."""
+async def run_soak(soak, seconds):
+    """Run load and faults for some seconds, then check the recovery."""
     clock = soak.reactor.seconds
     soak.begin()
     defer.Deferred.fromCoroutine(soak.resolve())
-    latest = clock() + START_MOST_S
-    wanted = min(5, len(soak.fleet.ips))
-    while len(soak.told) < wanted and clock() < latest:
-        await soak.rest(0.1)
+    start_deadline = clock() + START_TIMEOUT_S
+    min_known = min(5, len(soak.fleet.ips))
+    while len(soak.known_ips) < min_known and clock() < start_deadline:
+        await soak.sleep(0.1)
     soak.began_at = clock()
     ends = clock() + seconds
-    next_fault = clock() + FAULT_S
-    next_plan = clock() + PLAN_S
+    next_fault = clock() + FAULT_INTERVAL_S
+    next_plan = clock() + PLAN_INTERVAL_S
     while clock() < ends:
         soak.send()
         if clock() >= next_fault:
-            next_fault += FAULT_S
-            faults.cause(soak)
+            next_fault += FAULT_INTERVAL_S
+            faults.inject_fault(soak)
         if clock() >= next_plan:
-            next_plan += PLAN_S
-            faults.plan(soak)
-        await soak.rest(RATE_S / soak.pace)
-    await _settle(soak, ends + MENDED_S)
-    soak.violations += checks.judge_run(soak.record)
+            next_plan += PLAN_INTERVAL_S
+            faults.do_planned_work(soak)
+        await soak.sleep(SEND_INTERVAL_S / soak.load_factor)
+    await _check_recovery(soak, ends + FAULTS_OVER_S)
+    soak.violations += checks.check_run(soak.record)
     soak.violations += clouds.faults_of_one(
         soak.cloud.arrivals, checks.LEASE_S)
     if not any(each.at >= ends for each in soak.cloud.arrivals):
-        soak.violations.append("nobody does the duties at the end")
-
-
-async def _settle(soak, mended_at):
-    """Wait until all faults are over, then ask once more."""
-    while soak.reactor.seconds() < mended_at or soak.waiting:
-        await soak.rest(0.2)
-    for _ in range(LAST_REQUESTS):
-        soak.waiting += 1
-        asked = soak.draw()
-        soak.last_replies.append(await soak.ask(
-            soak.rng.choice(soak.told or soak.fleet.ips), asked))
-    while soak.waiting:
-        await soak.rest(0.2)
-    counted = [reply for reply in soak.last_replies
-               if not reply.left and reply.status != checks.NOT_FOUND]
-    soak.violations += checks.judge_end(counted)
+        soak.violations.append(
+            "no host performs the duties at the end of the run")
+
+
+async def _check_recovery(soak, faults_end_at):
+    """Wait until all faults have ended, then send the last requests."""
+    while soak.reactor.seconds() < faults_end_at or soak.unfinished:
+        await soak.sleep(0.2)
+    for _ in range(RECOVERY_REQUESTS):
+        soak.unfinished += 1
+        request = soak.draw_request()
+        soak.recovery_replies.append(await soak.send_to(
+            soak.rng.choice(soak.known_ips or soak.fleet.ips), request))
+    while soak.unfinished:
+        await soak.sleep(0.2)
+    counted = [reply for reply in soak.recovery_replies
+               if not reply.abandoned and reply.status != checks.NOT_FOUND]
+    soak.violations += checks.check_recovery(counted)
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store: objects, lists and watches."""
+"""A stub of the platform's store: objects, lists and watches."""
 
 import json
 import urllib.parse
@@ -13,11 +13,11 @@
 
 
 class Store:
-    """Answers hosts' calls; ``down`` makes it answer 503 to all.
+    """Answers the calls of hosts, with 503 to all while it is ``down``.
 
-    ``delay_s`` is added to each answer; ``loses`` has writes done and
-    not answered. While it is ``silent`` it takes calls that it will never
-    answer.
+    ``delay_s`` is added to each answer. With ``drops_answers`` writes are
+    done but not answered. While it is ``silent``, it accepts calls and
+    never answers them.
     """
 
     def __init__(self, reactor):
@@ -25,83 +25,84 @@
         self.revision = 1
         self.objects = {}
         self.watches = []
-        # (revision, kind, object, removed); what is older is gone.
+        # (revision, kind, object, removed) since history_from.
         self.history = []
         self.history_from = 0
         self.down = False
         self.outages = 0
         self.delay_s = 0.0
-        self.loses = False
+        self.drops_answers = False
         self.silent = False
         self.listener = callers.new_listener(reactor, self)
 
     def limits(self):
-        """Return the limits on what hosts send."""
+        """Return the limits on the requests of hosts."""
         return loop.DEFAULT_LIMITS
 
     def caller_disconnected(self, exchange):
-        """A host's connection is gone."""
+        """Drop the watches of a closed connection."""
         self.watches = [row for row in self.watches if row[0] != exchange]
 
     def request_rejected(self, status, why):
-        """A call could not be read."""
+        """Ignore a malformed call."""
 
     def put(self, kind, name, spec):
-        """Write an object, as operators and servers do."""
+        """Write an object without a condition, as operators and servers do."""
         self.revision += 1
         obj = {"Meta": {"Name": name, "Rev": self.revision}, "Spec": spec}
         self.objects[kind, name] = obj
-        self._tell(kind, obj, False)
+        self._record_change(kind, obj, False)
 
-    def lapse(self, kind):
-        """Remove all objects of a kind, as if their leases ran out."""
-        names = [name for where, name in self.objects if where == kind]
+    def expire(self, kind):
+        """Remove all objects of a kind, as if their leases had expired."""
+        names = [name for object_kind, name in self.objects
+                 if object_kind == kind]
         for name in names:
             self.remove(kind, name)
         return names
 
-    def mend(self):
-        """Answer at once and always again."""
+    def restore(self):
+        """End the faults that delay or drop answers."""
         self.delay_s = 0.0
-        self.loses = False
+        self.drops_answers = False
 
     def remove(self, kind, name):
         """Remove an object."""
         obj = self.objects.pop((kind, name), None)
         if obj is not None:
             self.revision += 1
-            self._tell(kind, obj, True)
+            self._record_change(kind, obj, True)
 
-    def _tell(self, kind, obj, removed):
+    def _record_change(self, kind, obj, removed):
         self.history.append((self.revision, kind, obj, removed))
         if self.down or self.silent:
             return
-        self._tell_waiting()
+        self._answer_watches()
 
-    def _tell_waiting(self):
+    def _answer_watches(self):
         waiting, self.watches = self.watches, []
-        for exchange, wanted, since in waiting:
-            self._watch(exchange, wanted, since)
+        for exchange, kind, since in waiting:
+            self._watch(exchange, kind, since)
 
     def set_silent(self, silent):
-        """Answer nothing, and cut the watches; or answer again."""
+        """Stop answering and abort the watches, or answer again."""
         self.silent = silent
         if silent:
-            self._cut_watches()
+            self._abort_watches()
 
-    def _cut_watches(self):
+    def _abort_watches(self):
         waiting, self.watches = self.watches, []
         for exchange, _, _ in waiting:
             exchange.abort()
 
     def _watch(self, exchange, kind, since):
-        """Answer a watch with what changed, or have it wait."""
+        """Answer a watch with the changes since then, or keep it open."""
         if since < self.history_from:
             exchange.answer(410, [], b"")
             return
         rows = [{"Object": obj, "Removed": removed}
-                for revision, where, obj, removed in self.history
-                if where == kind and revision > since]
+                for revision, object_kind, obj, removed in self.history
+                if object_kind == kind and revision > since]
         if rows:
             self._answer(exchange, {
                 "events": rows, "AsOf": self.revision})
@@ -109,16 +110,17 @@
         self.watches.append((exchange, kind, since))
 
     def set_down(self, down):
-        """Begin or end an outage; its history is gone afterwards.
+        """Begin or end an outage, at whose start the history is discarded.
 
-        Outages overlap: the end of one does not end another. Entries that
-        lapsed in the second would be back 3 s after the store's return,
-        and hosts would rightly take their servers for gone.
+        Outages can overlap; the store is down until the last one ends.
+        Otherwise entries that expired in the second outage would be back
+        only 3 s after the store's return, and hosts would correctly treat
+        their servers as gone.
         """
         self.outages += 1 if down else -1
         self.down = self.outages > 0
         if down:
-            self._cut_watches()
+            self._abort_watches()
             self.history = []
             self.history_from = self.revision + 1
 
@@ -142,18 +144,18 @@
             exchange.answer(409, JSON, json.dumps(current).encode())
             return
         self.put(kind, name, body["Spec"])
-        if self.loses:
+        if self.drops_answers:
             exchange.abort()
             return
         self._answer(exchange, self.objects[kind, name])
 
     def _conflicts(self, method, body, current):
-        """Say whether a write's condition does not hold."""
+        """Return whether the condition of a write is not met."""
         if method == b"POST":
             return current is not None
-        wanted = body["Meta"].get("Rev")
-        return wanted is not None and (
-            current is None or current["Meta"]["Rev"] != wanted)
+        expected = body["Meta"].get("Rev")
+        return expected is not None and (
+            current is None or current["Meta"]["Rev"] != expected)
 
     def _read(self, exchange, kind, name, query):
         if name:
@@ -164,8 +166,8 @@
                 self._answer(exchange, found)
             return
         if "Watch" not in query:
-            items = [obj for (where, _), obj in self.objects.items()
-                     if where == kind]
+            items = [obj for (object_kind, _), obj in self.objects.items()
+                     if object_kind == kind]
             self._answer(exchange, {"Items": items, "More": False,
                                     "AsOf": self.revision})
             return
@@ -174,7 +176,7 @@
         self._watch(exchange, kind, int(query["Watch"][0]))
 
     def _end_watch(self, exchange):
-        """Answer a watch that has waited for its time."""
+        """Answer a watch without changes whose wait time is over."""
         if self.silent or not any(
                 row[0] is exchange for row in self.watches):
             return
