--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,9 +1,9 @@
-"""Processor time to place one prompt, by the number of engines.
+"""CPU time to place one prompt, by the number of engines.
 
-An entry host's reducer without any I/O: other hosts' loads are known at
-each engine, with streams whose pauses are short, and some engines read
-long prompts. Prints one JSON object a line: name, value in microseconds,
-n.
+Runs an entry host's reducer without I/O. The loads of other hosts are
+known for each engine, with streams that have short pauses, and some
+engines prefill long prompts. Prints one JSON object a line: name, value in
+microseconds, n.
 
 Run as ``python -m bench.placing``.
 """
@@ -18,17 +18,17 @@
 
 ENGINES = (9, 70, 1700)
 PEERS = 36
-PLACED = 300
+PLACEMENTS = 300
 NOW = 100.0
 SERVICE = "engines"
-GAP_MS = 200
+TOKEN_GAP_MS = 200
 
 
 def _host(engines):
     host = entry.new_host(entry.Settings(), random.Random(1))
     route = model.Route(
         "chat", "desk", "/chat/", model.Kind.STREAM, ((SERVICE, 1),),
-        15.0, 0.3, 1, 0, True, False, GAP_MS / 1000)
+        15.0, 0.3, 1, 0, True, False, TOKEN_GAP_MS / 1000)
     catalog = model.Catalog(
         1, 1, {"desk": [route]},
         {SERVICE: model.Service(SERVICE, 0, model.EngineSpec(64, 232_000))},
@@ -44,13 +44,13 @@
     return host
 
 
-def _load(host, now):
-    """Have other hosts tell of streams, and of prompts at some engines."""
+def _update_loads(host, now):
+    """Set other hosts' loads: streams, and prefills at some engines."""
     for number, state in enumerate(host.servers.values()):
         for peer in range(PEERS):
             tokens = 6_000 if (number + peer) % 7 == 0 else 0
             state.peer_loads.update(f"h{peer}", 1, tokens, int(tokens > 0),
-                                    now, ((0, GAP_MS, 1),), 600)
+                                    now, ((0, TOKEN_GAP_MS, 1),), 600)
         state.expected_pause_s, state.expected_pause_at = (
             0.2 * (number % 3), now)
 
@@ -64,18 +64,18 @@
 
 
 def measure(engines):
-    """Return the mean time of one placement, microseconds."""
+    """Return the mean CPU time of one placement, microseconds."""
     host = _host(engines)
-    spent = 0.0
-    for key in range(PLACED):
+    cpu_s = 0.0
+    for key in range(PLACEMENTS):
         now = NOW + key * 0.001
         if key % 100 == 0:
-            _load(host, now)
+            _update_loads(host, now)
         event = events.RequestReceived(key, _request(key))
         began = time.process_time()
         entry.reduce(host, event, now)
-        spent += time.process_time() - began
-    return spent / PLACED * 1e6
+        cpu_s += time.process_time() - began
+    return cpu_s / PLACEMENTS * 1e6
 
 
 def main():
@@ -83,7 +83,7 @@
     for engines in ENGINES:
         print(json.dumps({
             "name": f"place_{engines}_engines",
-            "value": round(measure(engines)), "n": PLACED}), flush=True)
+            "value": round(measure(engines)), "n": PLACEMENTS}), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages lead to what exists and name all that they must."""
+"""Tests of the documentation: its links, references and completeness."""
 
 import ast
 import dataclasses
@@ -19,14 +19,14 @@
 FAULTS = DOCS / "internals" / "faults.md"
 REFUSALS = DOCS / "reference" / "refusals.md"
 PROCESS = DOCS / "reference" / "process_settings.md"
-DRIVE = ROOT / "tools" / "faults" / "script.py"
+FAULT_SCRIPT = ROOT / "tools" / "faults" / "script.py"
 
 _LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
 _FENCE = re.compile(r"^```.*?^```", re.MULTILINE | re.DOTALL)
 _HEADING = re.compile(r"^#+ (.*)$", re.MULTILINE)
 _TEST = re.compile(r"`(tests/[\w/]+\.py)::(test_\w+)`")
 _ROWS = re.compile(r"\(rows? ([^)]*)\)")
-_DRIVE = re.compile(r"drive: ([a-z, ]+)")
+_SCRIPT_STEPS = re.compile(r"drive: ([a-z, ]+)")
 _MODEL = re.compile(r"`(models/\w+\.pml)`")
 _STEP = re.compile(r'"(\w+)": _\w+')
 _KEY = re.compile(r"^\| `([\w.\[\]]+)` \|.*\| ([^|]*) \|$", re.MULTILINE)
@@ -38,15 +38,15 @@
 
 
 def _links(page):
-    """Return (path, anchor) of the page's links within the project."""
+    """Return (path, anchor) of the page's links within the repository."""
     text = _FENCE.sub("", page.read_text())
-    found = []
+    links_found = []
     for link in _LINK.findall(text):
         if not re.match(r"[a-z]+:", link):
             name, _, anchor = link.partition("#")
             path = page if not name else (page.parent / name).resolve()
-            found.append((path, anchor))
-    return found
+            links_found.append((path, anchor))
+    return links_found
 
 
 def _anchors(page):
@@ -63,19 +63,19 @@
 
 
 class LinksTest(unittest.TestCase):
-    """A reader who follows a link arrives."""
+    """Links have existing targets, and the index is complete."""
 
-    def test_links_lead_to_pages_and_headings(self):
-        wrong = []
+    def test_link_targets_exist(self):
+        broken = []
         for page in _pages():
             for path, anchor in _links(page):
                 if not path.exists():
-                    wrong.append(f"{page.name}: {path.name}")
+                    broken.append(f"{page.name}: {path.name}")
                 elif anchor and anchor not in _anchors(path):
-                    wrong.append(f"{page.name}: {path.name}#{anchor}")
-        self.assertEqual([], wrong)
+                    broken.append(f"{page.name}: {path.name}#{anchor}")
+        self.assertEqual([], broken)
 
-    def test_every_page_stands_in_the_index(self):
+    def test_index_links_to_every_page(self):
         listed = {path for path, _ in _links(INDEX)} | {INDEX}
         missing = {page.relative_to(ROOT).as_posix()
                    for page in DOCS.rglob("*.md") if page not in listed}
@@ -83,17 +83,17 @@
 
 
 class FaultIndexTest(unittest.TestCase):
-    """A proof that the index names is there."""
+    """The tests, table rows and models named in the fault index exist."""
 
     def setUp(self):
         self.text = FAULTS.read_text()
 
     def test_tests_exist(self):
         named = _TEST.findall(self.text)
-        wrong = [f"{name}::{test}" for name, test in named
-                 if not (ROOT / name).exists()
-                 or test not in _tests_of(ROOT / name)]
-        self.assertEqual([], wrong)
+        broken = [f"{name}::{test}" for name, test in named
+                  if not (ROOT / name).exists()
+                  or test not in _tests_of(ROOT / name)]
+        self.assertEqual([], broken)
         self.assertEqual(len(named), self.text.count("`tests/"))
 
     def test_rows_of_fault_tables_exist(self):
@@ -105,27 +105,27 @@
                     any(row.startswith(name) if f"{name}*" in group
                         else row == name for row in known), name)
 
-    def test_models_and_steps_of_the_drive_exist(self):
+    def test_models_and_script_steps_exist(self):
         for name in _MODEL.findall(self.text):
             self.assertTrue((ROOT / name).exists(), name)
-        steps = {*_STEP.findall(DRIVE.read_text()), "all"}
-        named = {step.strip() for group in _DRIVE.findall(self.text)
+        steps = {*_STEP.findall(FAULT_SCRIPT.read_text()), "all"}
+        named = {step.strip() for group in _SCRIPT_STEPS.findall(self.text)
                  for step in group.split(",")}
         self.assertEqual(set(), named - steps)
 
 
 class ReferenceTest(unittest.TestCase):
-    """Reference pages and the code name the same things."""
+    """Reference pages list the same names as the code."""
 
-    def test_every_refusal_has_its_row(self):
-        found = dict(re.findall(
+    def test_refusals_are_listed_with_their_status(self):
+        links_found = dict(re.findall(
             r"^\| `(\w+)` \| (\d+) \|", REFUSALS.read_text(),
             re.MULTILINE))
         wanted = {str(reason): str(kind.status)
                   for reason, kind in problems.TABLE.items()}
-        self.assertEqual(wanted, found)
+        self.assertEqual(wanted, links_found)
 
-    def test_every_process_setting_has_its_row(self):
+    def test_process_settings_are_listed_with_their_defaults(self):
         parts = PROCESS.read_text().split("## `crocuskeel-control")
         for text, schema, own in (
                 (parts[0], daemon_settings.SCHEMA, state.Limits()),
@@ -142,12 +142,12 @@
 
 
 def _keys(schema, prefix=""):
-    """Return the dotted keys of a schema, sections too."""
-    found = []
+    """Return the dotted keys of a schema, including its sections."""
+    links_found = []
     for name, each in schema["properties"].items():
-        found.append(prefix + name)
+        links_found.append(prefix + name)
         inner = each.get("items", each)
         if "properties" in inner:
             many = "[]" if inner is not each else ""
-            found += _keys(inner, f"{prefix}{name}{many}.")
-    return found
+            links_found += _keys(inner, f"{prefix}{name}{many}.")
+    return links_found
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The architecture's rules that a tool can check."""
+"""Architecture rules that can be checked automatically."""
 
 import ast
 import dataclasses
@@ -13,7 +13,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PURE = ("core", "conf")
-NOT_IN_PURE = (
+FORBIDDEN_IN_PURE = (
     "twisted", "klein", "treq", "grpclib", "loguru", "asyncio", "statsd",
     "time", "socket", "crocuskeel.runtime", "crocuskeel.objectapi",
     "crocuskeel.gateway", "crocuskeel.platform", "h11", "msgpack",
@@ -55,23 +55,23 @@
         for package in PURE:
             for path in (ROOT / "crocuskeel" / package).rglob("*.py"):
                 for name in _imports(path):
-                    bad = [rule for rule in NOT_IN_PURE
-                           if name == rule or name.startswith(rule + ".")]
-                    self.assertEqual([], bad, f"{path.name}: {name}")
+                    forbidden = [rule for rule in FORBIDDEN_IN_PURE
+                                 if name == rule or name.startswith(rule + ".")]
+                    self.assertEqual([], forbidden, f"{path.name}: {name}")
 
-    def test_the_platforms_words_stay_in_its_folder(self):
-        # Names that are not ours, all through the code, would tie the
-        # product to one platform and have newcomers learn two languages.
+    def test_platform_names_stay_in_its_package(self):
+        # The platform's own names throughout the code would tie the product
+        # to one platform, and readers would have to learn two vocabularies.
         words = re.compile(
             r"X-Crocuskeel-(Request|Deadline|Server-|Expect|Not-Run|Token"
             r"|Prefix|Tenant|Req-|Hold|Pin|Kv|Model)|/crocuskeel/(objects"
             r"|resolve|ready|report)|Listen\.Front|WaitMs|AsOf")
-        wrong = []
+        offenders = []
         for path in sorted((ROOT / "crocuskeel").rglob("*.py")):
             inside = path.parent.name == "platform"
             if not inside and words.search(path.read_text()):
-                wrong.append(path.name)
-        self.assertEqual([], wrong)
+                offenders.append(path.name)
+        self.assertEqual([], offenders)
 
     def test_no_file_is_over_the_size_limit(self):
         for top in ("crocuskeel", "standins", "bench", "emulator", "tools",
@@ -82,7 +82,7 @@
                 count = len(path.read_text().splitlines())
                 self.assertLessEqual(count, MAX_LINES, path.name)
 
-    def test_every_message_survives_the_wire(self):
+    def test_every_message_round_trips(self):
         for kind in typing.get_args(messages.Message):
             with self.subTest(kind=kind.__name__):
                 message = _sample(kind)
@@ -94,8 +94,8 @@
                 self.assertEqual(names, [f.name for f in body.fields])
 
 
-class SealTest(unittest.TestCase):
-    """Who may speak: only hosts that hold the deployment's key."""
+class SealedBatchTest(unittest.TestCase):
+    """Only batches sealed with the deployment's key are accepted."""
 
     KEY = b"k" * 32
 
@@ -114,6 +114,6 @@
             with self.assertRaises(error):
                 wire.open_sealed(self.KEY, sealed, "wa-south", "b")
 
-    def test_a_good_batch_is_taken(self):
+    def test_valid_batch_is_accepted(self):
         batch = wire.open_sealed(self.KEY, self._seal(), "wa-south", "b")
         self.assertEqual("a", batch.sender)
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -1,4 +1,4 @@
-"""How our programs start; each in an interpreter of its own."""
+"""Tests of program startup, each in a separate interpreter."""
 
 import subprocess
 import sys
@@ -14,13 +14,13 @@
 
 
 class ReactorTest(unittest.TestCase):
-    """What holds before the reactor runs."""
+    """The state of the event loop before the reactor runs."""
 
-    def test_the_reactors_loop_is_the_current_one(self):
+    def test_reactor_loop_is_the_current_loop(self):
         """No daemon starts: "could not start", exit code 1.
 
-        grpclib's server is made before the reactor runs and takes the
-        current event loop. The reactor's own loop was not set as it.
+        grpclib's server is created before the reactor runs and uses the
+        current event loop, which was not set to the reactor's own loop.
         """
         done = subprocess.run(
             [sys.executable, "-W", "error", "-c", PROBE],
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer as a whole: what no concern does alone."""
+"""Tests of the reducer that span several of its parts."""
 
 import unittest
 
@@ -26,25 +26,25 @@
 
 
 class ReducerTest(unittest.TestCase):
-    """Routing, and rules over several concerns."""
+    """Event routing, and rules that span several parts."""
 
-    def test_a_message_to_oneself_is_reduced_at_once(self):
+    def test_message_to_own_host_is_reduced_at_once(self):
         daemon = _daemon()
         out = reducer.reduce(daemon, events.Received(
             "h1", 1, messages.HostListAsk(-2)), 1.0)
         self.assertEqual([], [e for e in out if type(e) is effects.Send
                               and e.host == "h1"])
 
-    def test_an_event_without_a_route_is_an_error(self):
+    def test_unknown_event_raises(self):
         with self.assertRaises(exceptions.UnknownEvent):
             reducer.reduce(_daemon(), object(), 1.0)
 
-    def test_the_older_process_of_a_name_drains(self):
+    def test_superseded_process_drains(self):
         """Two daemons run under one host's name.
 
-        A replaced host was started again while its old process still
-        ran. Grants and answers for one would reach the other; the
-        older one must take no new work and let its own finish.
+        A host is started again while its old process still runs. Grants
+        and answers for one process would reach the other; the older one
+        must accept no new work and finish what it has.
         """
         daemon = _daemon(incarnation=1)
         newer = messages.MemberUpdate(
@@ -56,10 +56,10 @@
         self.assertNotIn("h1", membership.live(daemon))
         self.assertIsInstance(out, list)
 
-    def test_any_message_is_a_sign_of_life(self):
+    def test_any_message_counts_as_heard(self):
         """Datagrams to a host are lost while its streams work.
 
-        It would be suspected and then declared dead although it serves
+        The host would be suspected and declared dead although it serves
         its callers.
         """
         daemon = _daemon()
