--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -55,8 +55,9 @@
         for package in PURE:
             for path in (ROOT / "crocuskeel" / package).rglob("*.py"):
                 for name in _imports(path):
-                    forbidden = [rule for rule in FORBIDDEN_IN_PURE
-                                 if name == rule or name.startswith(rule + ".")]
+                    forbidden = [
+                        rule for rule in FORBIDDEN_IN_PURE
+                        if name == rule or name.startswith(rule + ".")]
                     self.assertEqual([], forbidden, f"{path.name}: {name}")
 
     def test_platform_names_stay_in_its_package(self):
