--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -40,13 +40,13 @@
 def _links(page):
     """Return (path, anchor) of the page's links within the repository."""
     text = _FENCE.sub("", page.read_text())
-    links_found = []
+    links = []
     for link in _LINK.findall(text):
         if not re.match(r"[a-z]+:", link):
             name, _, anchor = link.partition("#")
             path = page if not name else (page.parent / name).resolve()
-            links_found.append((path, anchor))
-    return links_found
+            links.append((path, anchor))
+    return links
 
 
 def _anchors(page):
@@ -118,12 +118,12 @@
     """Reference pages list the same names as the code."""
 
     def test_refusals_are_listed_with_their_status(self):
-        links_found = dict(re.findall(
+        listed = dict(re.findall(
             r"^\| `(\w+)` \| (\d+) \|", REFUSALS.read_text(),
             re.MULTILINE))
         wanted = {str(reason): str(kind.status)
                   for reason, kind in problems.TABLE.items()}
-        self.assertEqual(wanted, links_found)
+        self.assertEqual(wanted, listed)
 
     def test_process_settings_are_listed_with_their_defaults(self):
         parts = PROCESS.read_text().split("## `crocuskeel-control")
@@ -143,11 +143,11 @@
 
 def _keys(schema, prefix=""):
     """Return the dotted keys of a schema, including its sections."""
-    links_found = []
+    keys = []
     for name, each in schema["properties"].items():
-        links_found.append(prefix + name)
+        keys.append(prefix + name)
         inner = each.get("items", each)
         if "properties" in inner:
             many = "[]" if inner is not each else ""
-            links_found += _keys(inner, f"{prefix}{name}{many}.")
-    return links_found
+            keys += _keys(inner, f"{prefix}{name}{many}.")
+    return keys
--- a/tools/soak/engine.py
+++ b/tools/soak/engine.py
@@ -149,8 +149,8 @@
                               *headers, *self._hints(rid)], b"")
 
     def _hints(self, rid):
-        pair = self.sid, self.record.sent[rid].ip
-        now = self.reactor.seconds()
+        pair, now = (self.sid, self.record.sent[rid].ip), (
+            self.reactor.seconds())
         headers = []
         if self.rate_limit is not None:
             self.record.rate_sent.setdefault(pair, now)
