--- a/bench/outage/replays.py
+++ b/bench/outage/replays.py
@@ -26,11 +26,11 @@
         node.name, node.daemon.me.incarnation, ask,
         0, node.daemon.me.address)
     clocks.call_later(
-        fleet.clock, fleets.CROSS_DOMAIN_LATENCY_S, fleets.deliver, fleet,
+        fleet.clock, fleets.INTER_DOMAIN_S, fleets.deliver, fleet,
         peer, event)
     deadline = fleet.clock.now + PEER_ANSWER_TIMEOUT_S
     clocks.call_later(
-        fleet.clock, fleets.CROSS_DOMAIN_LATENCY_S * 2, _relay, world, node,
+        fleet.clock, fleets.INTER_DOMAIN_S * 2, _relay, world, node,
         peer, rid, source_rid, deadline)
 
 
--- a/bench/policy/fleet.py
+++ b/bench/policy/fleet.py
@@ -24,8 +24,8 @@
 __all__ = ["Fleet", "Node", "arrive", "deliver", "execute", "kill_host",
            "new_fleet", "silence_connections"]
 
-SAME_DOMAIN_LATENCY_S = 0.0005
-CROSS_DOMAIN_LATENCY_S = 0.002
+INTRA_DOMAIN_S = 0.0005
+INTER_DOMAIN_S = 0.002
 STORE_LATENCY_S = 0.004
 # The entry daemon's time-out for a stream without traffic.
 IDLE_TIMEOUT_S = 2.0
@@ -144,16 +144,14 @@
             _resume_attempt(fleet, node, effect)
         case effects.CancelAttempt(rid=rid, attempt=attempt):
             for server in fleet.servers.values():
-                clocks.call_later(
-                    fleet.clock, SAME_DOMAIN_LATENCY_S, engines.cancel, server,
-                    rid, attempt)
+                clocks.call_later(fleet.clock, INTRA_DOMAIN_S, engines.cancel,
+                                  server, rid, attempt)
         case effects.Answer(rid=rid, problem=problem):
             _handle_problem(fleet, rid, problem)
         case effects.ReplayFrom(rid=rid):
             gone = events.AttemptClosed(rid, 0, events.AttemptEnd.GONE)
-            clocks.call_later(
-                fleet.clock, CROSS_DOMAIN_LATENCY_S, deliver, fleet, node,
-                gone)
+            clocks.call_later(fleet.clock, INTER_DOMAIN_S, deliver, fleet,
+                              node, gone)
         case effects.Record(kind="answered", rid=rid, fields=fields):
             _handle_result(fleet, rid, dict(fields))
         case effects.WantHostList():
@@ -173,8 +171,7 @@
     target = fleet.nodes.get(host)
     if target is None:
         return
-    delay = (SAME_DOMAIN_LATENCY_S if target.domain == node.domain
-             else CROSS_DOMAIN_LATENCY_S)
+    delay = INTRA_DOMAIN_S if target.domain == node.domain else INTER_DOMAIN_S
     event = events.Received(
         node.name, node.daemon.me.incarnation, message,
         follower.generation(node.daemon), node.daemon.me.address)
@@ -237,9 +234,8 @@
             cells = node.daemon.dispatch.cells.values()
             if any(cell.service == server.service for cell in cells):
                 for report in filter(None, (load_report, cache_report)):
-                    clocks.call_later(
-                        fleet.clock, REPORT_LAG_S, deliver, fleet, node,
-                        report)
+                    clocks.call_later(fleet.clock, REPORT_LAG_S, deliver,
+                                      fleet, node, report)
 
 
 def _record_slots(fleet):
@@ -255,11 +251,7 @@
 # Callers.
 
 def arrive(fleet, call):
-    """Send a call to the next entry host.
-
-    Hosts that died long ago are skipped; one that died recently makes the
-    caller reconnect.
-    """
+    """Send a call to the next entry host; hosts dead for long are skipped."""
     # ``locate`` stops naming a dead host after a while.
     nodes = [node for node in fleet.nodes.values()
              if node.up or fleet.clock.now - node.died_at < LOCATE_LAG_S]
@@ -314,16 +306,14 @@
 
     def notify(kind, job):
         if not job.silent:
-            clocks.call_later(
-                fleet.clock, SAME_DOMAIN_LATENCY_S, _handle_report, fleet,
-                node, kind, job, job.tokens)
+            clocks.call_later(fleet.clock, INTRA_DOMAIN_S, _handle_report,
+                              fleet, node, kind, job, job.tokens)
 
     job = engines.Job(call, effect.rid, effect.attempt, node.name,
                       effect.tier, notify, fleet.clock.now)
     call.jobs[(effect.rid, effect.attempt)] = job
     call.waited_s = call.waited_s or fleet.clock.now - call.arrived_at
-    clocks.call_later(
-        fleet.clock, SAME_DOMAIN_LATENCY_S, engines.submit, server, job)
+    clocks.call_later(fleet.clock, INTRA_DOMAIN_S, engines.submit, server, job)
     clocks.call_later(
         fleet.clock, effect.first_byte_s, _check_first_byte, fleet, node, job)
 
@@ -364,20 +354,18 @@
                 else events.AttemptEnd.REFUSED)
         event = events.AttemptClosed(effect.rid, effect.attempt, kind)
         clocks.call_later(
-            fleet.clock, SAME_DOMAIN_LATENCY_S, deliver, fleet, node, event)
+            fleet.clock, INTRA_DOMAIN_S, deliver, fleet, node, event)
         return
     was_done = (effect.rid, effect.attempt) in server.finished
     job.silent = False
     job.ended = ""
     if was_done:
         job.ended = "done"
-        clocks.call_later(
-            fleet.clock, SAME_DOMAIN_LATENCY_S, _handle_report, fleet, node,
-            "done", job, job.tokens)
+        clocks.call_later(fleet.clock, INTRA_DOMAIN_S, _handle_report, fleet,
+                          node, "done", job, job.tokens)
     elif job.tokens:
-        clocks.call_later(
-            fleet.clock, SAME_DOMAIN_LATENCY_S, _handle_report, fleet, node,
-            "first", job, job.tokens)
+        clocks.call_later(fleet.clock, INTRA_DOMAIN_S, _handle_report, fleet,
+                          node, "first", job, job.tokens)
 
 
 # Faults.
