--- a/bench/control_figures.py
+++ b/bench/control_figures.py
@@ -9,7 +9,7 @@
 import json
 import time
 
-from tests.control import world as worlds
+from tests.control import simulation as simulations
 
 ENGINES = (170, 850, 1700)
 SERVICES = 7
@@ -18,25 +18,25 @@
 MEASURE_S = 60
 
 
-def _new_world(count):
-    world = worlds.World(count=0)
+def _new_simulation(count):
+    sim = simulations.Simulation(count=0)
     for number in range(count):
         domain = DOMAINS[number * len(DOMAINS) // count]
-        world.add_engine(f"e{number}", f"s{number % SERVICES}", domain,
-                         True)
-    _set_model(world, "m:1")
-    world.run(SETTLE_S, "x")
-    return world
+        sim.add_engine(f"e{number}", f"s{number % SERVICES}", domain,
+                       True)
+    _set_model(sim, "m:1")
+    sim.run(SETTLE_S, "x")
+    return sim
 
 
-def _set_model(world, model):
+def _set_model(sim, model):
     for number in range(SERVICES):
-        world.want(f"s{number}", model)
+        sim.set_desired_model(f"s{number}", model)
 
 
-def _measure_cpu_s(world):
+def _measure_cpu_s(sim):
     before = time.process_time()
-    world.run(MEASURE_S, "x")
+    sim.run(MEASURE_S, "x")
     return time.process_time() - before
 
 
@@ -49,11 +49,11 @@
 def main():
     """Measure a lease holder while idle and during a rollout."""
     for count in ENGINES:
-        world = _new_world(count)
-        emit("control_cpu_idle", _measure_cpu_s(world) / MEASURE_S * 100,
+        sim = _new_simulation(count)
+        emit("control_cpu_idle", _measure_cpu_s(sim) / MEASURE_S * 100,
              "% of a core", count)
-        _set_model(world, "m:2")
-        emit("control_cpu_rollout", _measure_cpu_s(world) / MEASURE_S * 100,
+        _set_model(sim, "m:2")
+        emit("control_cpu_rollout", _measure_cpu_s(sim) / MEASURE_S * 100,
              "% of a core", count)
 
 
--- a/bench/outage/world.py
+++ b/bench/outage/world.py
@@ -19,7 +19,7 @@
 from bench.policy import fleet as fleets
 from crocuskeel import conf
 from crocuskeel.conf import storage
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import factory
@@ -157,7 +157,7 @@
     now = world.fleet.clock.now
     if req is None or req.repeatable or now < world.recovery_from:
         return
-    slot = ending.claim_slot(node.daemon, ending.claim_key(req))
+    slot = completion.claim_slot(node.daemon, completion.claim_key(req))
     world.first_run_at.setdefault(slot, now)
 
 
--- a/bench/policy/fleet.py
+++ b/bench/policy/fleet.py
@@ -11,7 +11,7 @@
 from bench.policy import engine as engines
 from bench.policy import load
 from bench.policy import tally
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import factory
@@ -118,7 +118,7 @@
     for node in fleet.nodes.values():
         cell = node.daemon.dispatch.cells.get(name)
         if node.up and cell and cell.lost_at is None:
-            yield cell, choice.most_slots(node.daemon, cell)
+            yield cell, engine_selection.most_slots(node.daemon, cell)
 
 
 def execute(fleet, node, effect):
@@ -247,7 +247,7 @@
     for node in fleet.nodes.values():
         for cell in node.daemon.dispatch.cells.values() if node.up else ():
             if cell.lost_at is None and now > WARMUP_S:
-                slots = choice.slots(node.daemon, cell, now)
+                slots = engine_selection.slots(node.daemon, cell, now)
                 fewest = fleet.tally.slots.get(cell.name, slots)
                 fleet.tally.slots[cell.name] = min(slots, fewest)
 
--- a/crocuskeel/control/engine_calls.py
+++ b/crocuskeel/control/engine_calls.py
@@ -9,7 +9,7 @@
 from crocuskeel.control import exceptions
 from crocuskeel.core import control
 from crocuskeel.core.control import events
-from crocuskeel.runtime import bodies
+from crocuskeel.runtime import response_bodies
 
 __all__ = ["CheckedBody", "read_engine", "send_order"]
 
@@ -128,4 +128,5 @@
 async def _request(ctx, method, url, body=None):
     response = await ctx.http.request(
         method, url, data=body, headers=_JSON, allow_redirects=False)
-    return response.code, await bodies.read(response, MAX_RESPONSE_BYTES)
+    return response.code, await response_bodies.read(
+        response, MAX_RESPONSE_BYTES)
--- a/crocuskeel/control/program.py
+++ b/crocuskeel/control/event_loop.py
@@ -9,7 +9,7 @@
 from crocuskeel.core import control
 from crocuskeel.core.control import effects
 from crocuskeel.core.control import events
-from crocuskeel.runtime import turns
+from crocuskeel.runtime import event_queue
 
 __all__ = ["TICK_S", "feed", "start", "stop"]
 
@@ -42,7 +42,7 @@
 
 def feed(ctx, event):
     """Reduce an event and run its effects before the next event."""
-    turns.feed(ctx, event, _handle_event)
+    event_queue.feed(ctx, event, _handle_event)
 
 
 def _handle_event(ctx, event):
--- a/crocuskeel/control/settings.py
+++ b/crocuskeel/control/settings.py
@@ -7,7 +7,7 @@
 
 from crocuskeel.control import exceptions
 from crocuskeel.core import control
-from crocuskeel.runtime import documents
+from crocuskeel.runtime import json_documents
 
 __all__ = ["ProgramSettings", "parse", "read"]
 
@@ -66,7 +66,7 @@
 
 def parse(text, directory):
     """Parse settings; ``token_file`` is relative to ``directory``."""
-    doc = documents.load(text, _VALIDATOR, exceptions.BadSettingsFile)
+    doc = json_documents.load(text, _VALIDATOR, exceptions.BadSettingsFile)
     values = {key: value for section in _SECTIONS
               for key, value in doc.get(section, {}).items()}
     cfg = control.Config(host=doc["host"], **values)
--- a/crocuskeel/core/control/planning.py
+++ b/crocuskeel/core/control/planning.py
@@ -2,10 +2,10 @@
 
 import dataclasses
 
+from crocuskeel.core.control import disruption
 from crocuskeel.core.control import effects
+from crocuskeel.core.control import load_limit
 from crocuskeel.core.control import orders
-from crocuskeel.core.control import rates
-from crocuskeel.core.control import staging
 from crocuskeel.core.leadership import lease as leases
 
 __all__ = ["Plan", "difference", "has_item", "may_send", "step",
@@ -68,7 +68,7 @@
     if not _settings_fresh(state, now):
         return []
     effs = _record_plan(state)
-    for service, members in staging.by_service(state).items():
+    for service, members in disruption.by_service(state).items():
         pool = state.pools.get(service)
         if pool is not None and not pool.paused:
             effs += _step_pool(state, pool, members, now)
@@ -96,19 +96,19 @@
     if not any(engine.pending_items for engine in members):
         pool.failures = 0
         return []
-    budget = staging.new_disruption_budget(state, pool, members, now)
+    budget = disruption.new_disruption_budget(state, pool, members, now)
     effs = []
-    for engine in staging.unavailable_first(budget, members):
+    for engine in disruption.unavailable_first(budget, members):
         if not engine.pending_items or not _may_order(
                 state, pool, engine, now):
             continue
-        if not staging.allows(budget, engine):
+        if not disruption.allows(budget, engine):
             continue
         item = engine.pending_items[0]
-        if item.kind in _FROM_WEIGHT_STORE and not rates.take_token(
+        if item.kind in _FROM_WEIGHT_STORE and not load_limit.take_token(
                 state.load_bucket, now):
             break
-        staging.mark_unavailable(budget, engine)
+        disruption.mark_unavailable(budget, engine)
         effs += _send(state, engine, item)
     return effs
 
@@ -117,10 +117,10 @@
     """Return whether the next order may be sent to the engine."""
     if engine.leaving or engine.sent_order or engine.accepted_order:
         return False
-    if now < engine.hold_until or not staging.recently_observed(
+    if now < engine.hold_until or not disruption.recently_observed(
             state, engine, now):
         return False
-    if staging.is_loading(state, engine, now):
+    if disruption.is_loading(state, engine, now):
         return False
     return pool.checks_fence or now >= _former_orders_expire_at(state)
 
--- a/crocuskeel/core/control/reducer.py
+++ b/crocuskeel/core/control/reducer.py
@@ -2,9 +2,9 @@
 
 from crocuskeel.core.control import effects
 from crocuskeel.core.control import events
+from crocuskeel.core.control import load_limit
 from crocuskeel.core.control import observing
 from crocuskeel.core.control import planning
-from crocuskeel.core.control import rates
 from crocuskeel.core.leadership import lease as leases
 
 __all__ = ["reduce"]
@@ -35,7 +35,7 @@
     """
     state.last_plan = None
     if state.lease.holding:
-        rates.drain(state.load_bucket, now)
+        load_limit.drain(state.load_bucket, now)
 
 
 def _tick(state, event, now):
--- a/crocuskeel/core/control/state.py
+++ b/crocuskeel/core/control/state.py
@@ -6,8 +6,8 @@
 import dataclasses
 import typing
 
+from crocuskeel.core.control import load_limit
 from crocuskeel.core.control import orders
-from crocuskeel.core.control import rates
 from crocuskeel.core import leadership
 
 __all__ = ["Config", "ControlState", "EngineView", "Pool",
@@ -97,7 +97,7 @@
     """
 
     cfg: Config
-    load_bucket: rates.Bucket
+    load_bucket: load_limit.Bucket
     generation: int = 0
     pools: dict[str, Pool] = dataclasses.field(default_factory=dict)
     engines: dict[str, EngineView] = dataclasses.field(
@@ -121,5 +121,6 @@
     """
     return ControlState(
         cfg=cfg, rng=rng,
-        load_bucket=rates.new_bucket(cfg.loads_per_s, cfg.load_burst, now),
+        load_bucket=load_limit.new_bucket(
+            cfg.loads_per_s, cfg.load_burst, now),
         read_interval_s=cfg.observe_s)
--- a/crocuskeel/core/dispatch/granting.py
+++ b/crocuskeel/core/dispatch/granting.py
@@ -1,7 +1,7 @@
 """Granting engine slots to waiting attempts, and counting slots in use."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import fairness
 from crocuskeel.core.dispatch import floors
 from crocuskeel.core.dispatch import headroom
@@ -57,8 +57,8 @@
 
 def _free_by_engine(daemon, cell, now):
     free = {}
-    for name in choice.usable_engines(daemon, cell):
-        count = choice.free_slots(daemon, cell, name, now)
+    for name in engine_selection.usable_engines(daemon, cell):
+        count = engine_selection.free_slots(daemon, cell, name, now)
         if count:
             free[name] = count
     return free
@@ -99,7 +99,8 @@
     waiting = cell.waiting[key]
     engine = ""
     if not _exceeds_copy_limit(daemon, cell, waiting.ask):
-        engine = choice.pick_engine(daemon, cell, waiting, names, now)
+        engine = engine_selection.pick_engine(
+            daemon, cell, waiting, names, now)
     if not engine:
         blocked.add((waiting.ask.class_name, waiting.ask.workspace))
         return []
@@ -155,7 +156,7 @@
         waiting.entry_host, engine, request.class_name, request.workspace,
         request.tier, request.fingerprint, now, now, cost=waiting.cost,
         exclusive=exclusive,
-        cache_hit=choice.has_prefix_cached(view, request),
+        cache_hit=engine_selection.has_prefix_cached(view, request),
         prefix=request.prefix,
         ttft_budget_s=waiting.enqueued_at + request.target_ttft_s - now,
         batch_size=len(cell.by_engine.get(engine, ())) + 1,
@@ -173,7 +174,8 @@
     for waiting in ready:
         if _must_wait(daemon, cell, waiting.ask):
             continue
-        engine = choice.pick_empty_engine(daemon, cell, waiting.ask, now)
+        engine = engine_selection.pick_empty_engine(
+            daemon, cell, waiting.ask, now)
         if not engine:
             _reserve_engine(daemon, cell, now)
             break
@@ -191,7 +193,7 @@
 
 
 def _max_reserved(daemon, cell):
-    count = len(choice.usable_engines(daemon, cell))
+    count = len(engine_selection.usable_engines(daemon, cell))
     return max(1, int(count * MAX_SUSPECT_ENGINE_SHARE))
 
 
@@ -206,12 +208,12 @@
     """Reserve the engine that should empty first for the next suspect."""
     if len(cell.reserved) >= _max_reserved(daemon, cell):
         return
-    names = [name for name in choice.usable_engines(daemon, cell)
+    names = [name for name in engine_selection.usable_engines(daemon, cell)
              if name not in cell.reserved
              and now >= limits.engine_view(daemon, name).off_until]
     if names:
         first = min(names, key=lambda name: (
-            choice.time_to_empty_s(daemon, cell, name), name))
+            engine_selection.time_to_empty_s(daemon, cell, name), name))
         cell.reserved[first] = None
 
 
--- a/crocuskeel/core/dispatch/handling.py
+++ b/crocuskeel/core/dispatch/handling.py
@@ -1,7 +1,7 @@
 """Event handler of the dispatcher."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import granting
 from crocuskeel.core.dispatch import limits
 from crocuskeel.core.dispatch import ownership
@@ -172,7 +172,7 @@
     margin = MIN_START_MARGIN_S
     if request.late_drop:
         margin = max(margin,
-                     choice.expected_duration(daemon, cell, request))
+                     engine_selection.expected_duration(daemon, cell, request))
     return state.WaitingAttempt(
         request, entry_host, enqueued_at, due,
         now + request.deadline_in_s - margin,
--- a/crocuskeel/core/dispatch/headroom.py
+++ b/crocuskeel/core/dispatch/headroom.py
@@ -10,7 +10,7 @@
 
 import math
 
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 
 __all__ = ["TOP_TIER", "observe_first_token", "observe_grant",
            "reserved_slots"]
@@ -29,7 +29,7 @@
     """Return how many free slots the lower tiers must leave free."""
     wanted = math.ceil(
         cell.headroom_factor * math.sqrt(cell.top_tier_running))
-    most = int(MAX_SHARE * choice.slots(daemon, cell, now))
+    most = int(MAX_SHARE * engine_selection.slots(daemon, cell, now))
     return min(wanted, most)
 
 
--- a/crocuskeel/core/dispatch/releasing.py
+++ b/crocuskeel/core/dispatch/releasing.py
@@ -1,6 +1,6 @@
 """Released slots, and what they show about the engine and the request."""
 
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import estimates
 from crocuskeel.core.dispatch import granting
 from crocuskeel.core.dispatch import headroom
@@ -24,7 +24,7 @@
 
 def expected_cost(daemon, cell, request):
     """Return an attempt's expected cost, 1 for an ordinary request."""
-    if choice.is_plain(daemon, cell):
+    if engine_selection.is_plain(daemon, cell):
         return 1.0
     tokens = estimates.mean(
         daemon.dispatch.lengths, cell.service, request.class_name,
--- a/crocuskeel/core/dispatch/shedding.py
+++ b/crocuskeel/core/dispatch/shedding.py
@@ -6,7 +6,7 @@
 it could not start in time either. A refusal is final and sent at once.
 """
 
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import floors
 from crocuskeel.core.dispatch import meters
 from crocuskeel.core.dispatch import queue
@@ -84,7 +84,7 @@
 def shed_lower_tiers(daemon, cell, tier, now):
     """Cut every lower tier down to its protected queue sizes."""
     out = []
-    slots = choice.most_slots(daemon, cell)
+    slots = engine_selection.most_slots(daemon, cell)
     for key in [key for key, waiting in cell.suspects.items()
                 if waiting.ask.tier > tier]:
         out += _remove_and_refuse(
@@ -143,7 +143,7 @@
     Only attempts beyond the protected queue sizes are considered, of the
     class that most exceeds its fair share; None if there are none.
     """
-    slots = choice.most_slots(daemon, cell)
+    slots = engine_selection.most_slots(daemon, cell)
     class_queues = [
         class_queue for class_queue in _lower_tiers(cell, tier)
         if class_queue.waiting > floors.seats(class_queue, slots)]
@@ -211,6 +211,6 @@
     if not recent:
         return False
     class_queue = cell.classes.get(request.class_name)
-    slots = choice.most_slots(daemon, cell)
+    slots = engine_selection.most_slots(daemon, cell)
     return class_queue is not None and (
         class_queue.waiting >= floors.seats(class_queue, slots))
--- a/crocuskeel/core/door/admitting.py
+++ b/crocuskeel/core/door/admitting.py
@@ -1,8 +1,8 @@
 """Admission control: validates a request, then refuses or enqueues it."""
 
 from crocuskeel.core.door import claim_lookup
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import deadlines
-from crocuskeel.core.door import ending
 from crocuskeel.core.door import locating
 from crocuskeel.core.door import models
 from crocuskeel.core.door import queueing
@@ -38,27 +38,27 @@
         return refusal
     caller = follower.caller(daemon, event.token)
     if caller is None or CALL_ROLE not in caller.roles:
-        return ending.refuse_arrival(event.rid, Reason.UNAUTHORIZED)
+        return completion.refuse_arrival(event.rid, Reason.UNAUTHORIZED)
     # OpenAI clients that can't set a header pass the class as the model.
     name = event.class_name or event.model
     policy = follower.policy(daemon, caller.workspace, name)
     if policy is None:
-        return ending.refuse_arrival(event.rid, Reason.UNKNOWN_CLASS,
-                                     detail=name)
+        return completion.refuse_arrival(event.rid, Reason.UNKNOWN_CLASS,
+                                         detail=name)
     return _check_class(daemon, event, caller, policy, now)
 
 
 def _check_host(daemon, event, now):
     if daemon.door.drain_at is not None:
-        return ending.refuse_arrival(
+        return completion.refuse_arrival(
             event.rid, Reason.LEAVING, retry_after_s=RETRY_AFTER_S,
             location=locating.other_host_address(daemon))
     if daemon.follower.tree is None:
-        return ending.refuse_arrival(event.rid, Reason.NOT_READY,
-                                     retry_after_s=RETRY_AFTER_S)
+        return completion.refuse_arrival(event.rid, Reason.NOT_READY,
+                                         retry_after_s=RETRY_AFTER_S)
     if not follower.ready(daemon, now):
-        return ending.refuse_arrival(event.rid, Reason.SETTINGS_STALE,
-                                     retry_after_s=RETRY_AFTER_S)
+        return completion.refuse_arrival(event.rid, Reason.SETTINGS_STALE,
+                                         retry_after_s=RETRY_AFTER_S)
     return None
 
 
@@ -66,28 +66,28 @@
     name = policy.name
     repeatable = policy.repeatable and not event.non_repeatable
     if not repeatable and not event.idempotency_key:
-        return ending.refuse_arrival(event.rid, Reason.KEY_REQUIRED,
-                                     class_name=name)
+        return completion.refuse_arrival(event.rid, Reason.KEY_REQUIRED,
+                                         class_name=name)
     replayed = replaying.answer_resend(daemon, event, caller, name)
     if replayed is not None:
         return replayed
     if event.max_tokens > policy.max_tokens:
-        return ending.refuse_arrival(
+        return completion.refuse_arrival(
             event.rid, Reason.TOO_LARGE, class_name=name,
             detail=f"max_tokens is over {policy.max_tokens}")
     model = models.choose_model(daemon, event, policy)
     if model.is_err():
-        return ending.refuse_arrival(
+        return completion.refuse_arrival(
             event.rid, Reason.BAD_REQUEST, class_name=name,
             detail=model.unwrap_err())
     if quarantine.verdict(daemon, event.fingerprint) == "quarantined":
-        return ending.refuse_arrival(event.rid, Reason.QUARANTINED,
-                                     class_name=name)
+        return completion.refuse_arrival(event.rid, Reason.QUARANTINED,
+                                         class_name=name)
     cell = queueing.assign_cell(daemon, policy.service, event)
     if not cell:
-        return ending.refuse_arrival(event.rid, Reason.NO_BACKEND,
-                                     retry_after_s=RETRY_AFTER_S,
-                                     class_name=name)
+        return completion.refuse_arrival(event.rid, Reason.NO_BACKEND,
+                                         retry_after_s=RETRY_AFTER_S,
+                                         class_name=name)
     req = state.Request(
         event, caller, policy, repeatable, cell, now,
         now + policy.deadline_s, model.unwrap())
@@ -99,11 +99,11 @@
     if len(daemon.door.requests) >= daemon.limits.max_requests:
         victim = _request_to_shed(daemon, req)
         if victim is None:
-            return ending.refuse_arrival(
+            return completion.refuse_arrival(
                 req.rid, Reason.OVERLOAD, retry_after_s=RETRY_AFTER_S,
                 class_name=req.policy.name)
-        out += ending.fail(daemon, victim, Reason.OVERLOAD, now,
-                           retry_after_s=RETRY_AFTER_S)
+        out += completion.fail(daemon, victim, Reason.OVERLOAD, now,
+                               retry_after_s=RETRY_AFTER_S)
     daemon.door.requests[req.rid] = req
     if req.arrival.idempotency_key:
         daemon.door.rids_by_key[req.scope] = req.rid
--- a/crocuskeel/core/door/claiming.py
+++ b/crocuskeel/core/door/claiming.py
@@ -6,7 +6,7 @@
 """
 
 from crocuskeel.core.door import claim_keys
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import reporting
 from crocuskeel.core.door import state
 from crocuskeel.core import effects
@@ -40,7 +40,7 @@
 
 
 def _send(daemon, req, now):
-    key = ending.claim_key(req)
+    key = completion.claim_key(req)
     remaining_s = max(0.0, req.claim_expires_at - now)
     message = messages.ClaimAsk(
         req.rid, claim_keys.slot_of(daemon, key), key, req.arrival.digest,
@@ -83,10 +83,10 @@
 
 
 def _refuse(daemon, req, now, reason, retry_after_s, outcome=None):
-    out = ending.release(daemon, req, events.AttemptEnd.CANCELLED)
-    return out + ending.fail(daemon, req, reason, now,
-                             retry_after_s=retry_after_s,
-                             outcome=outcome)
+    out = completion.release(daemon, req, events.AttemptEnd.CANCELLED)
+    return out + completion.fail(daemon, req, reason, now,
+                                 retry_after_s=retry_after_s,
+                                 outcome=outcome)
 
 
 def late_response(daemon, message):
@@ -94,5 +94,5 @@
     key = daemon.door.abandoned_claims.get(message.rid)
     if message.status != "granted" or key != message.key:
         return []
-    return ending.settle_claim(daemon, message.rid, key,
-                               problems.Outcome.NOT_RUN)
+    return completion.settle_claim(daemon, message.rid, key,
+                                   problems.Outcome.NOT_RUN)
--- a/crocuskeel/core/door/deadlines.py
+++ b/crocuskeel/core/door/deadlines.py
@@ -1,6 +1,6 @@
 """Deadlines: answers requests that no dispatcher granted or shed in time."""
 
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import recovering
 from crocuskeel.core.door import state
 from crocuskeel.core import effects
@@ -41,5 +41,5 @@
 
 
 def _answer(daemon, req, now):
-    return ending.fail(daemon, req, problems.Reason.DEADLINE, now,
-                       retry_after_s=RETRY_AFTER_S)
+    return completion.fail(daemon, req, problems.Reason.DEADLINE, now,
+                           retry_after_s=RETRY_AFTER_S)
--- a/crocuskeel/core/door/disconnecting.py
+++ b/crocuskeel/core/door/disconnecting.py
@@ -1,7 +1,7 @@
 """Callers that disconnect before their answer is complete."""
 
 from crocuskeel.core.door import claim_lookup
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import recovering
 from crocuskeel.core.door import replaying
 from crocuskeel.core.door import reporting
@@ -44,7 +44,7 @@
     if req.watchers:
         return []
     if req.stage in (state.Stage.WAITING, state.Stage.CLAIMING):
-        return ending.finish(daemon, req, now, keep_outcome=True)
+        return completion.finish(daemon, req, now, keep_outcome=True)
     if not req.repeatable:
         # It runs at most once, so this run must not be cancelled. Its
         # answer is kept for a resend with the same key.
@@ -64,4 +64,4 @@
 
 def _stop(daemon, req, now):
     out = recovering.cancel(daemon, req, now)
-    return out + ending.finish(daemon, req, now)
+    return out + completion.finish(daemon, req, now)
--- a/crocuskeel/core/door/granting.py
+++ b/crocuskeel/core/door/granting.py
@@ -2,7 +2,7 @@
 
 from crocuskeel.core import backends
 from crocuskeel.core.door import claiming
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import queueing
 from crocuskeel.core.door import reporting
 from crocuskeel.core.door import running
@@ -93,7 +93,7 @@
     """
     engine = req.engine
     out = [reporting.record(req, "given_back", now)]
-    out += ending.release(daemon, req, events.AttemptEnd.CANCELLED)
+    out += completion.release(daemon, req, events.AttemptEnd.CANCELLED)
     req.avoid = tuple(sorted({*req.avoid, engine}))
     if backends.get(daemon, engine) is None:
         out.append(effects.WantHostList())
@@ -101,7 +101,7 @@
     if req.returned_grants > MAX_RETURNED_GRANTS:
         # A dispatcher with an outdated host list would grant the same
         # server repeatedly, as fast as messages are delivered.
-        return out + ending.fail(
+        return out + completion.fail(
             daemon, req, problems.Reason.NO_BACKEND, now,
             retry_after_s=RETRY_AFTER_S)
     return out + queueing.requeue(daemon, req, now)
--- a/crocuskeel/core/door/locating.py
+++ b/crocuskeel/core/door/locating.py
@@ -7,7 +7,7 @@
 """
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core import effects
 from crocuskeel.core import follower
 from crocuskeel.core import membership
@@ -30,18 +30,18 @@
 def locate(daemon, event, now):
     """Answer a caller's ``GET`` of the locate endpoint."""
     if daemon.follower.tree is None:
-        return ending.refuse_arrival(
+        return completion.refuse_arrival(
             event.rid, problems.Reason.NOT_READY, retry_after_s=1.0)
     caller = follower.caller(daemon, event.token)
     if caller is None:
-        return ending.refuse_arrival(event.rid,
-                                     problems.Reason.UNAUTHORIZED)
+        return completion.refuse_arrival(event.rid,
+                                         problems.Reason.UNAUTHORIZED)
     dispatchers = _dispatchers(daemon, caller.workspace,
                                event.class_name)
     found = choose_hosts(_members(daemon), event.domain, dispatchers,
                          daemon.rng)
     if not found:
-        return ending.refuse_arrival(
+        return completion.refuse_arrival(
             event.rid, problems.Reason.LEAVING, retry_after_s=1.0)
     return [effects.AnswerLocate(
         event.rid, found, _ttl_s(daemon, now),
--- a/crocuskeel/core/door/queueing.py
+++ b/crocuskeel/core/door/queueing.py
@@ -7,7 +7,7 @@
 """
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import reporting
 from crocuskeel.core.door import state
 from crocuskeel.core import effects
@@ -140,11 +140,11 @@
     if not _is_current(daemon, req, sender, refusal):
         return []
     daemon.door.cells[req.cell].unreachable_since = None
-    ending.remove_from_queue(daemon, req)
+    completion.remove_from_queue(daemon, req)
     out = [reporting.record(req, "refused", now, reason=refusal.reason)]
     reason = _reason(refusal.reason)
-    return out + ending.fail(daemon, req, reason, now, refusal.detail,
-                             refusal.retry_after_s)
+    return out + completion.fail(daemon, req, reason, now, refusal.detail,
+                                 refusal.retry_after_s)
 
 
 def _is_current(daemon, req, sender, message):
@@ -255,9 +255,9 @@
 def _move_request(daemon, req, now):
     cell = assign_cell(daemon, req.policy.service, req.arrival)
     if not cell:
-        return ending.fail(daemon, req, problems.Reason.NO_BACKEND, now,
-                           retry_after_s=RETRY_AFTER_S)
-    out = ending.withdraw(daemon, req)
+        return completion.fail(daemon, req, problems.Reason.NO_BACKEND, now,
+                               retry_after_s=RETRY_AFTER_S)
+    out = completion.withdraw(daemon, req)
     req.cell = cell
     return out + requeue(daemon, req, now)
 
--- a/crocuskeel/core/door/recovering.py
+++ b/crocuskeel/core/door/recovering.py
@@ -1,7 +1,7 @@
 """Closed attempts: completion, resumption, retry or failure."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import queueing
 from crocuskeel.core.door import replaying
 from crocuskeel.core.door import reporting
@@ -55,7 +55,7 @@
         # AttemptClosed arrived before AttemptOpened.
         req.ttft_s = now - req.arrived_at
         out += replaying.start_watcher_replays(daemon, req)
-    return out + ending.complete(daemon, req, event, now)
+    return out + completion.complete(daemon, req, event, now)
 
 
 def _can_resume(req, end):
@@ -103,15 +103,15 @@
     """Retry an attempt that did not run; safe for every request."""
     req.outcome = req.earlier_outcome
     engine = req.engine
-    out = ending.release(daemon, req, event.end, event)
+    out = completion.release(daemon, req, event.end, event)
     if req.caller_gone and not req.watchers:
-        return out + ending.finish(daemon, req, now)
+        return out + completion.finish(daemon, req, now)
     if req.opened_attempts >= MAX_ATTEMPTS:
         reason = (Reason.OVERLOAD if event.end is End.BUSY
                   else Reason.NO_BACKEND)
         wait = event.retry_after_s or RETRY_AFTER_S
-        return out + ending.fail(daemon, req, reason, now,
-                                 retry_after_s=wait)
+        return out + completion.fail(daemon, req, reason, now,
+                                     retry_after_s=wait)
     return out + _retry(daemon, req, engine, event.end, now)
 
 
@@ -123,7 +123,7 @@
         # The server may still be producing an answer nobody will read.
         out.append(effects.CancelAttempt(req.rid, req.attempt))
     end = req.first_lost_end or str(event.end)
-    out += ending.release(daemon, req, end, event)
+    out += completion.release(daemon, req, end, event)
     out += reporting.wasted(req, req.tokens)
     if _may_run_again(req, event):
         if _take_retry(daemon, req):
@@ -160,14 +160,14 @@
         outcome = Outcome.RAN
     reason = (Reason.BACKEND_FAILED if event.end is End.FAILED
               else Reason.BACKEND_LOST)
-    return ending.fail(daemon, req, reason, now, outcome=outcome,
-                       retry_after_s=RETRY_AFTER_S)
+    return completion.fail(daemon, req, reason, now, outcome=outcome,
+                           retry_after_s=RETRY_AFTER_S)
 
 
 def _retry(daemon, req, engine, end, now):
     verdict = quarantine.verdict(daemon, req.arrival.fingerprint)
     if verdict == "quarantined":
-        return ending.fail(daemon, req, Reason.QUARANTINED, now)
+        return completion.fail(daemon, req, Reason.QUARANTINED, now)
     # The dispatcher prefers failure domains other than those avoided.
     req.avoid = tuple(sorted({*req.avoid, engine}))
     out = [reporting.record(req, "retried", now, end=str(end),
@@ -210,4 +210,4 @@
     out = [reporting.record(req, "cancelled", now),
            effects.CancelAttempt(req.rid, req.attempt)]
     out += reporting.wasted(req, req.tokens)
-    return out + ending.release(daemon, req, End.CANCELLED)
+    return out + completion.release(daemon, req, End.CANCELLED)
--- a/crocuskeel/core/door/replaying.py
+++ b/crocuskeel/core/door/replaying.py
@@ -1,7 +1,7 @@
 """Replays of existing answers, for resends and resumed streams."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import ending
+from crocuskeel.core.door import completion
 from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import events
@@ -36,8 +36,8 @@
         return None
     digest, has_answer, outcome = _find_original(daemon, original_rid)
     if digest != arrival.digest:
-        return ending.refuse_arrival(arrival.rid, Reason.KEY_MISMATCH,
-                                     class_name=class_name)
+        return completion.refuse_arrival(arrival.rid, Reason.KEY_MISMATCH,
+                                         class_name=class_name)
     if not has_answer:
         return _answer_duplicate(arrival.rid, outcome)
     if _is_full(daemon):
@@ -59,8 +59,8 @@
 
 
 def _refuse_overload(rid):
-    return ending.refuse_arrival(rid, Reason.OVERLOAD,
-                                 retry_after_s=RETRY_AFTER_S)
+    return completion.refuse_arrival(rid, Reason.OVERLOAD,
+                                     retry_after_s=RETRY_AFTER_S)
 
 
 def _replay_local(daemon, relay):
@@ -103,13 +103,13 @@
     This request never ran. Its caller gets the answer of the earlier
     request or, if that is lost, its outcome as far as known.
     """
-    waiting_callers = ending.waiting_callers(req)
+    waiting_callers = completion.waiting_callers(req)
     req.claim_requested = False
     for rid in req.watchers:
         # A relay that is only answered as a duplicate would otherwise
         # never be removed and would block a graceful shutdown.
         daemon.door.relays.pop(rid, None)
-    out = ending.finish(daemon, req, now)
+    out = completion.finish(daemon, req, now)
     for rid in waiting_callers:
         out += replay_from_holder(daemon, rid, message)
     return out
@@ -147,7 +147,7 @@
         return []
     caller = follower.caller(daemon, event.token)
     if caller is None:
-        return ending.refuse_arrival(event.rid, Reason.UNAUTHORIZED)
+        return completion.refuse_arrival(event.rid, Reason.UNAUTHORIZED)
     if _is_full(daemon):
         return _refuse_overload(event.rid)
     host, incarnation = _origin(event.stream)
@@ -263,5 +263,5 @@
     """Remove retained answers whose retention time has passed."""
     kept = daemon.door.kept
     while kept and next(iter(kept.values())).expires_at <= now:
-        ending.evict_oldest(daemon.door)
+        completion.evict_oldest(daemon.door)
     return []
--- a/crocuskeel/core/follower/steps.py
+++ b/crocuskeel/core/follower/handlers.py
@@ -12,7 +12,7 @@
 from crocuskeel.conf import storage
 from crocuskeel.core import effects
 from crocuskeel.core import events
-from crocuskeel.core.follower import force
+from crocuskeel.core.follower import adoption
 from crocuskeel.core.follower import loading
 from crocuskeel.core.follower import parking
 from crocuskeel.core.follower import state as states
@@ -45,7 +45,7 @@
     state.heard_at = now
     have = states.held_generation(daemon)
     if state.held is not None and event.generation >= have:
-        return force.adopt_if_confirmed(daemon, True)
+        return adoption.adopt_if_confirmed(daemon, True)
     if event.generation <= have or event.sender in state.asked_peers:
         return []
     # Each peer that is ahead is asked once. The first one may have lost
@@ -178,7 +178,7 @@
         return [effects.Send(sender, messages.SettingsAsk(held)),
                 effects.SetTimer(_RETRY, RETRY_S)]
     if request.have == held:
-        return force.adopt_if_confirmed(daemon, True)
+        return adoption.adopt_if_confirmed(daemon, True)
     return _answer_peer(state, sender, request)
 
 
@@ -236,8 +236,8 @@
     if state.held is not None:
         # No peer has confirmed that it holds the generation. Announce it
         # again, or adopt it once membership has no live peers.
-        out += force.announce(daemon)
-        out += force.adopt_if_confirmed(daemon, False)
+        out += adoption.announce(daemon)
+        out += adoption.adopt_if_confirmed(daemon, False)
     load = state.load
     if load is None:
         if state.newest <= states.held_generation(daemon):
--- a/crocuskeel/core/follower/loading.py
+++ b/crocuskeel/core/follower/loading.py
@@ -9,7 +9,7 @@
 from crocuskeel import conf
 from crocuskeel.conf import storage
 from crocuskeel.core import effects
-from crocuskeel.core.follower import force
+from crocuskeel.core.follower import adoption
 from crocuskeel.core.follower import state as states
 from crocuskeel.core import messages
 
@@ -137,8 +137,8 @@
     fields = (("held", tree.generation), ("source", load.source),
               ("batch", load.head.batch_id))
     out = [effects.Record("settings_held", "", fields)]
-    out += force.announce(daemon, load.source)
-    return out + force.adopt_if_confirmed(daemon, bool(load.source))
+    out += adoption.announce(daemon, load.source)
+    return out + adoption.adopt_if_confirmed(daemon, bool(load.source))
 
 
 def _keep_deltas(state, load):
--- a/crocuskeel/core/reducer.py
+++ b/crocuskeel/core/reducer.py
@@ -8,7 +8,7 @@
 import collections
 
 from crocuskeel.core import backends
-from crocuskeel.core.claims import concern as claims
+from crocuskeel.core.claims import component as claims
 from crocuskeel.core import dispatch
 from crocuskeel.core import door
 from crocuskeel.core import effects
--- a/crocuskeel/objectapi/circuit.py
+++ b/crocuskeel/objectapi/circuit.py
@@ -13,7 +13,7 @@
 
 import automat
 
-from crocuskeel.objectapi import budget as budgets
+from crocuskeel.objectapi import token_bucket as token_buckets
 
 __all__ = ["Circuit", "CircuitConfig", "new_circuit"]
 
@@ -44,7 +44,7 @@
 
     cfg: CircuitConfig
     rng: random.Random
-    budget: budgets.Budget
+    budget: token_buckets.TokenBucket
     failures: int = 0
     open_span_s: float = 0.0
     retry_at: float = 0.0
--- a/crocuskeel/objectapi/client.py
+++ b/crocuskeel/objectapi/client.py
@@ -14,11 +14,11 @@
 from twisted.internet import defer
 from twisted.internet import task
 
-from crocuskeel.objectapi import budget as budgets
 from crocuskeel.objectapi import circuit as circuits
 from crocuskeel.objectapi import exceptions
 from crocuskeel.objectapi import responses
 from crocuskeel.objectapi import results
+from crocuskeel.objectapi import token_bucket as token_buckets
 
 __all__ = ["ClientConfig", "PlatformClient", "new_client"]
 
@@ -72,7 +72,7 @@
     cfg: ClientConfig
     send: typing.Callable
     rng: random.Random
-    budget: budgets.Budget
+    budget: token_buckets.TokenBucket
     circuit: circuits.Circuit
     counts: collections.Counter
     in_flight: int = 0
@@ -220,7 +220,8 @@
     an ``HttpAnswer`` that fails with ``NotSent`` or ``AnswerLost``;
     ``rng`` is a ``random.Random`` whose seed differs on each host.
     """
-    budget = budgets.new_budget(cfg.rate, cfg.burst, reactor.seconds())
+    budget = token_buckets.new_token_bucket(
+        cfg.rate, cfg.burst, reactor.seconds())
     return PlatformClient(
         reactor=reactor, cfg=cfg, send=send, rng=rng, budget=budget,
         circuit=circuits.new_circuit(cfg.circuit, rng, budget),
--- a/crocuskeel/objectapi/budget.py
+++ b/crocuskeel/objectapi/token_bucket.py
@@ -2,11 +2,11 @@
 
 import dataclasses
 
-__all__ = ["Budget", "new_budget"]
+__all__ = ["TokenBucket", "new_token_bucket"]
 
 
 @dataclasses.dataclass(slots=True)
-class Budget:
+class TokenBucket:
     """A bucket of ``burst`` tokens, refilled at ``rate`` a second."""
 
     rate: float
@@ -38,6 +38,6 @@
         self.updated_at = now
 
 
-def new_budget(rate, burst, now):
+def new_token_bucket(rate, burst, now):
     """Return a full bucket of ``burst`` tokens, refilled at ``rate``."""
-    return Budget(rate=rate, burst=burst, tokens=burst, updated_at=now)
+    return TokenBucket(rate=rate, burst=burst, tokens=burst, updated_at=now)
--- a/crocuskeel/programs/control.py
+++ b/crocuskeel/programs/control.py
@@ -33,15 +33,15 @@
 
 def _run(reactor, loop, cfg):
     from crocuskeel.control import assembly
-    from crocuskeel.control import program
+    from crocuskeel.control import event_loop
     from crocuskeel.runtime import records
 
     records.begin_logs(cfg.log_file, cfg.cfg.host)
     ctx = assembly.new_runtime(
         reactor, loop.time, time.time, cfg, reactor.stop)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, program.stop, ctx)
-    reactor.callWhenRunning(program.start, ctx)
+        loop.add_signal_handler(number, event_loop.stop, ctx)
+    reactor.callWhenRunning(event_loop.start, ctx)
     reactor.run(installSignalHandlers=False)
 
 
--- a/crocuskeel/runtime/loop.py
+++ b/crocuskeel/runtime/loop.py
@@ -4,7 +4,7 @@
 
 from crocuskeel.core import effects
 from crocuskeel.core import events
-from crocuskeel.runtime import turns
+from crocuskeel.runtime import event_queue
 
 __all__ = ["feed", "register", "timer_handlers"]
 
@@ -20,7 +20,7 @@
 
 def feed(ctx, event):
     """Reduce ``event`` and run the resulting effects."""
-    turns.feed(ctx, event, _handle)
+    event_queue.feed(ctx, event, _handle)
 
 
 def _handle(ctx, event):
--- a/crocuskeel/runtime/polling.py
+++ b/crocuskeel/runtime/polling.py
@@ -9,9 +9,9 @@
 from crocuskeel.core import events
 from crocuskeel.core import membership
 from crocuskeel.core import placement
-from crocuskeel.runtime import bodies
 from crocuskeel.runtime import http_client
 from crocuskeel.runtime import loop
+from crocuskeel.runtime import response_bodies
 
 
 __all__ = ["Polls", "new_polls", "start"]
@@ -117,4 +117,4 @@
 
 def _read_body(response):
     return defer.Deferred.fromCoroutine(
-        bodies.read(response, MAX_REPORT_BYTES))
+        response_bodies.read(response, MAX_REPORT_BYTES))
--- a/crocuskeel/runtime/program.py
+++ b/crocuskeel/runtime/program.py
@@ -17,8 +17,8 @@
 from crocuskeel.runtime import callers
 from crocuskeel.runtime import context
 from crocuskeel.runtime import datagrams
+from crocuskeel.runtime import direct_writes
 from crocuskeel.runtime import door
-from crocuskeel.runtime import eager
 from crocuskeel.runtime import http_client
 from crocuskeel.runtime import links
 from crocuskeel.runtime import loop
@@ -103,7 +103,7 @@
         asyncio.ensure_future(links.listen(ctx)))
     site = bounded_request.new_site(
         ctx.reactor, door.new_app(ctx).resource())
-    ctx.door_port = eager.listen(
+    ctx.door_port = direct_writes.listen(
         ctx.reactor, cfg.door_port, site, cfg.address)
     watchdog.start(ctx)
     polling.start(ctx)
@@ -122,7 +122,7 @@
 def _exit_when_idle(ctx, deadline):
     # A finished response may still be queued for a caller that reads
     # slowly; exiting now would truncate a complete stream.
-    unfinished = callers.count_waiting(ctx) or eager.count_unsent(
+    unfinished = callers.count_waiting(ctx) or direct_writes.count_unsent(
         ctx.door_port)
     if unfinished and ctx.reactor.seconds() < deadline:
         ctx.reactor.callLater(
--- a/crocuskeel/runtime/records.py
+++ b/crocuskeel/runtime/records.py
@@ -12,7 +12,7 @@
 
 from crocuskeel.core import effects
 from crocuskeel.core import follower
-from crocuskeel.objectapi import budget as budgets
+from crocuskeel.objectapi import token_bucket as token_buckets
 from crocuskeel.timeline import hlc
 
 __all__ = ["Records", "begin_logs", "clock_stamp", "flush", "handlers",
@@ -36,7 +36,7 @@
 
     wall_clock: typing.Callable
     clock: hlc.Clock
-    budget: budgets.Budget
+    budget: token_buckets.TokenBucket
     ring: collections.deque
     statsd_address: str
     metrics: typing.Any = None
@@ -50,7 +50,7 @@
     """Return empty records."""
     return Records(
         wall_clock=wall_clock, clock=hlc.new_clock(),
-        budget=budgets.new_budget(
+        budget=token_buckets.new_token_bucket(
             LINES_PER_S, LINES_BURST, reactor.seconds()),
         ring=collections.deque(maxlen=RING_EVENTS),
         statsd_address=statsd_address)
--- a/crocuskeel/runtime/settings.py
+++ b/crocuskeel/runtime/settings.py
@@ -11,8 +11,8 @@
 import jsonschema
 
 from crocuskeel.core import state
-from crocuskeel.runtime import documents
 from crocuskeel.runtime import exceptions
+from crocuskeel.runtime import json_documents
 
 __all__ = ["ProcessSettings", "identity", "parse", "read"]
 
@@ -105,7 +105,8 @@
 
 def parse(text, folder):
     """Parse a settings text; file names are relative to ``folder``."""
-    document = documents.load(text, _VALIDATOR, exceptions.BadSettingsFile)
+    document = json_documents.load(
+        text, _VALIDATOR, exceptions.BadSettingsFile)
     return _settings(document, pathlib.Path(folder))
 
 
--- a/tests/claims/world.py
+++ b/tests/claims/simulation.py
@@ -50,7 +50,7 @@
     answers: list = dataclasses.field(default_factory=list)
 
 
-class World:
+class Simulation:
     """Owners, store and entry hosts; ``calls`` are not yet answered."""
 
     def __init__(self, **kwargs):
@@ -74,7 +74,7 @@
 
     # Entry hosts.
 
-    def ask(self, key, at=0, **kwargs):
+    def request_claim(self, key, at=0, **kwargs):
         """Ask owner ``at`` to claim ``key``; return the attempt."""
         attempt = Attempt(f"r{len(self.attempts)}", key, **kwargs)
         self.attempts[attempt.rid] = attempt
@@ -227,7 +227,7 @@
             if isinstance(op, effects.StorePut):
                 self._apply(op)
 
-    def calm(self, span_s=10.0):
+    def run_without_faults(self, span_s=10.0):
         """Answer every call at once for some time, without faults."""
         for at in range(len(self.owners)):
             self.pause(at, False)
--- a/tests/claims/test_faults.py
+++ b/tests/claims/test_faults.py
@@ -4,7 +4,7 @@
 
 from crocuskeel.core import claims
 from crocuskeel.core import effects
-from tests.claims import world as worlds
+from tests.claims import simulation as simulations
 
 
 def statuses(attempt):
@@ -16,28 +16,28 @@
     """Scenarios of faults; nothing fails unless a test makes it fail."""
 
     def setUp(self):
-        self.world = worlds.World(epoch_s=10.0, kept_epochs=2)
+        self.sim = simulations.Simulation(epoch_s=10.0, kept_epochs=2)
 
     def answered(self, key, **kwargs):
         """Claim ``key`` without faults; return the last answer."""
-        attempt = self.world.ask(key, **kwargs)
-        self.world.calm(2.0)
+        attempt = self.sim.request_claim(key, **kwargs)
+        self.sim.run_without_faults(2.0)
         return attempt.answers[-1]
 
     def put_in_flight(self, key, mode):
         """Claim ``key`` at owner 0; answer its write with ``mode``."""
-        attempt = self.world.ask(key)
-        self.world.answer("well")
-        self.world.answer(mode)
+        attempt = self.sim.request_claim(key)
+        self.sim.answer("well")
+        self.sim.answer(mode)
         return attempt
 
     def test_resend_names_the_holder(self):
-        first = self.world.ask("k")
-        self.world.calm(1.0)
+        first = self.sim.request_claim("k")
+        self.sim.run_without_faults(1.0)
         other_body = self.answered("k", digest="e")
         running = self.answered("k")
-        self.world.end(first, True, 0)
-        self.world.calm(2.0)
+        self.sim.end(first, True, 0)
+        self.sim.run_without_faults(2.0)
         ran = self.answered("k", at=1)
         self.assertEqual(["granted"], statuses(first))
         self.assertEqual("mismatch", other_body.status)
@@ -54,15 +54,15 @@
         by owner 1. Owner 0 resumes and commits on the version it had
         read; a success would run the booking twice.
         """
-        self.world.ask("other")
-        self.world.calm(1.0)
-        self.world.pause(0, True)
-        late = self.world.ask("k")
-        resent = self.world.ask("k", at=1)
-        while self.world.calls:
-            self.world.answer("well")
+        self.sim.request_claim("other")
+        self.sim.run_without_faults(1.0)
+        self.sim.pause(0, True)
+        late = self.sim.request_claim("k")
+        resent = self.sim.request_claim("k", at=1)
+        while self.sim.calls:
+            self.sim.answer("well")
         self.assertEqual(["granted"], statuses(resent))
-        self.world.calm()
+        self.sim.run_without_faults()
         self.assertEqual(["duplicate"], statuses(late))
 
     def test_lost_answer_is_settled_by_reading(self):
@@ -73,7 +73,7 @@
         """
         attempt = self.put_in_flight("k", "lost")
         self.assertEqual([], statuses(attempt))
-        self.world.answer("well")
+        self.sim.answer("well")
         self.assertEqual(["granted"], statuses(attempt))
 
     def test_given_up_in_doubt_frees_the_key(self):
@@ -86,10 +86,10 @@
         caller was told ``not_run``.
         """
         attempt = self.put_in_flight("k", "late")
-        self.world.give_up(attempt, 0)
-        self.world.answer("well")
-        self.world.land()
-        self.world.calm()
+        self.sim.give_up(attempt, 0)
+        self.sim.answer("well")
+        self.sim.land()
+        self.sim.run_without_faults()
         self.assertEqual([], statuses(attempt))
         self.assertEqual("granted", self.answered("k").status)
 
@@ -101,13 +101,13 @@
         deadline, a resend would run as well.
         """
         attempt = self.put_in_flight("k", "late")
-        self.world.pause(0, True)
-        self.world.send_ask(attempt, 1)
-        while self.world.calls:
-            self.world.answer("well")
+        self.sim.pause(0, True)
+        self.sim.send_ask(attempt, 1)
+        while self.sim.calls:
+            self.sim.answer("well")
         self.assertEqual("started", attempt.state)
-        self.world.advance(6.0)
-        self.world.calm()
+        self.sim.advance(6.0)
+        self.sim.run_without_faults()
         self.assertEqual("duplicate", self.answered("k").status)
 
     def test_dropped_key_is_refused(self):
@@ -116,11 +116,11 @@
         After its entry is dropped the key would look new, and the
         request would run again half an hour later.
         """
-        first = self.world.ask("k", issued_at=100.0)
-        self.world.calm(1.0)
-        self.world.end(first, True, 0)
+        first = self.sim.request_claim("k", issued_at=100.0)
+        self.sim.run_without_faults(1.0)
+        self.sim.end(first, True, 0)
         for at in range(5):
-            self.world.advance(10.0)
+            self.sim.advance(10.0)
             self.answered(f"other{at}", issued_at=200.0 + at)
         self.assertNotIn("k", self.entries())
         self.assertEqual(
@@ -137,13 +137,13 @@
         """
         self.answered("k")
         for at in range(8):
-            self.world.restart(at % 2)
+            self.sim.restart(at % 2)
             self.answered(f"other{at}", at=at % 2)
         self.assertIn("k", self.entries())
 
     def entries(self):
         """Return the entries that owner 0 knows."""
-        return self.world.owners[0].state.slots[0].ledger.entries
+        return self.sim.owners[0].state.slots[0].ledger.entries
 
     def test_outage_refuses_at_once(self):
         """During a store outage claims must be refused at once.
@@ -151,14 +151,14 @@
         If each claim called the store and waited for its timeout,
         callers would wait until their deadlines.
         """
-        first = self.world.ask("k")
-        self.world.answer("out")
-        later = [self.world.ask(f"k{at}") for at in range(20)]
+        first = self.sim.request_claim("k")
+        self.sim.answer("out")
+        later = [self.sim.request_claim(f"k{at}") for at in range(20)]
         for attempt in [first, *later]:
             self.assertEqual(["unavailable"], statuses(attempt))
             self.assertGreater(attempt.answers[0].retry_after_s, 0.0)
-        self.assertEqual([], self.world.calls)
-        self.world.advance(1.0)
+        self.assertEqual([], self.sim.calls)
+        self.sim.advance(1.0)
         self.assertEqual("granted", self.answered("k").status)
 
     def test_look_is_not_answered_from_the_cache(self):
@@ -170,31 +170,31 @@
         by hand.
         """
         self.answered("other")
-        first = self.world.ask("k", at=1)
-        self.world.calm(1.0)
-        lookup = self.world.lookup("k")
+        first = self.sim.request_claim("k", at=1)
+        self.sim.run_without_faults(1.0)
+        lookup = self.sim.lookup("k")
         self.assertEqual([], statuses(lookup))
-        self.world.calm(1.0)
+        self.sim.run_without_faults(1.0)
         self.assertEqual(["granted"], statuses(first))
         self.assertEqual(["duplicate"], statuses(lookup))
         self.assertEqual("r1", lookup.answers[0].holder_rid)
 
     def test_look_waits_for_a_read_of_its_own(self):
         """A read in progress when a lookup arrives must not answer it."""
-        self.world.ask("other")
-        lookup = self.world.lookup("k")
-        later = self.world.lookup("k", digest="e")
-        self.world.answer("well")
+        self.sim.request_claim("other")
+        lookup = self.sim.lookup("k")
+        later = self.sim.lookup("k", digest="e")
+        self.sim.answer("well")
         self.assertEqual([], statuses(lookup) + statuses(later))
-        self.world.calm(1.0)
+        self.sim.run_without_faults(1.0)
         self.assertEqual(["absent"] * 2, statuses(lookup) + statuses(later))
 
     def test_lookup_claims_nothing(self):
         """A lookup must not claim the key, or its request could not run."""
-        lookup = self.world.lookup("k")
-        self.world.calm(1.0)
+        lookup = self.sim.lookup("k")
+        self.sim.run_without_faults(1.0)
         self.assertEqual(["absent"], statuses(lookup))
-        self.assertEqual(0, self.world.version)
+        self.assertEqual(0, self.sim.version)
         self.assertEqual("granted", self.answered("k").status)
 
     def test_lookup_during_a_read_is_answered(self):
@@ -203,15 +203,18 @@
         The slot has nothing to write when the read ends, so no further
         read starts and the lookup would wait for ever.
         """
-        self.world = worlds.World(epoch_s=0.5, kept_epochs=1, writes_s=10.0)
-        attempts = [self.world.ask("k0", issued_at=1.0) for _ in range(6)]
+        self.sim = simulations.Simulation(
+            epoch_s=0.5, kept_epochs=1, writes_s=10.0)
+        attempts = [self.sim.request_claim("k0", issued_at=1.0)
+                    for _ in range(6)]
         for _ in range(4):
-            self.world.land(0)
-        attempts += [self.world.ask("k0", issued_at=1.0) for _ in range(7)]
-        self.world.give_up(attempts[-1], 1)
-        self.world.advance(2.0)
-        lookup = self.world.lookup("k0", 1, issued_at=1.0)
-        self.world.calm()
+            self.sim.land(0)
+        attempts += [self.sim.request_claim("k0", issued_at=1.0)
+                     for _ in range(7)]
+        self.sim.give_up(attempts[-1], 1)
+        self.sim.advance(2.0)
+        lookup = self.sim.lookup("k0", 1, issued_at=1.0)
+        self.sim.run_without_faults()
         self.assertEqual(1, len(lookup.answers), lookup)
 
     def test_look_in_an_outage(self):
@@ -221,14 +224,14 @@
         known to be held is still reported.
         """
         self.answered("k")
-        self.world.advance(1.0)
-        free = self.world.lookup("new")
-        self.world.answer("out")
-        lookups = [free, self.world.lookup("new"), self.world.lookup("k")]
+        self.sim.advance(1.0)
+        free = self.sim.lookup("new")
+        self.sim.answer("out")
+        lookups = [free, self.sim.lookup("new"), self.sim.lookup("k")]
         self.assertEqual(
             [["unavailable"], ["unavailable"], ["duplicate"]],
             [statuses(each) for each in lookups])
-        self.assertEqual([], self.world.calls)
+        self.assertEqual([], self.sim.calls)
 
     def test_look_while_a_claim_is_in_doubt(self):
         """A key with a claim in doubt must not be reported as absent.
@@ -237,9 +240,9 @@
         then starts the request.
         """
         self.put_in_flight("k", "late")
-        lookup = self.world.lookup("k")
+        lookup = self.sim.lookup("k")
         for mode in ("well", "late", "well"):
-            self.world.answer(mode)
+            self.sim.answer(mode)
         self.assertEqual(["unavailable"], statuses(lookup))
 
     def test_lookups_share_reads(self):
@@ -248,9 +251,9 @@
         Otherwise each refusal in an overload costs a store call.
         """
         for at in range(200):
-            self.world.lookup(f"k{at}")
-            self.world.calm(0.1)
-        reads = self.world.owners[0].state.seq
+            self.sim.lookup(f"k{at}")
+            self.sim.run_without_faults(0.1)
+        reads = self.sim.owners[0].state.seq
         self.assertTrue(50 < reads <= 105, reads)
 
     def test_answers_wait_for_their_commit(self):
@@ -258,22 +261,22 @@
 
         Both requests are in one commit, which the store refuses.
         """
-        first = self.world.ask("k")
-        second = self.world.ask("k")
-        self.world.answer("well")
+        first = self.sim.request_claim("k")
+        second = self.sim.request_claim("k")
+        self.sim.answer("well")
         self.assertEqual([], statuses(second))
-        self.world.answer("out")
+        self.sim.answer("out")
         self.assertEqual(
             [["unavailable"]] * 2, [statuses(first), statuses(second)])
 
     def test_late_not_run_does_not_free_what_ran(self):
         """A delayed ``not_run`` must not free a key whose request ran."""
-        first = self.world.ask("k")
-        self.world.calm(1.0)
-        self.world.end(first, True, 0)
-        self.world.calm(2.0)
-        self.world.settle(first, "not_run", 1)
-        self.world.calm(2.0)
+        first = self.sim.request_claim("k")
+        self.sim.run_without_faults(1.0)
+        self.sim.end(first, True, 0)
+        self.sim.run_without_faults(2.0)
+        self.sim.settle(first, "not_run", 1)
+        self.sim.run_without_faults(2.0)
         self.assertEqual("duplicate", self.answered("k", at=1).status)
 
     def test_overtaken_ask_is_not_claimed(self):
@@ -284,11 +287,11 @@
         an attempt that never runs, though its caller was told
         ``not_run``.
         """
-        attempt = worlds.Attempt("r0", "k", state="over")
-        self.world.attempts["r0"] = attempt
-        self.world.settle(attempt, "not_run", 0)
-        self.world.send_ask(attempt, 0)
-        self.world.calm()
+        attempt = simulations.Attempt("r0", "k", state="over")
+        self.sim.attempts["r0"] = attempt
+        self.sim.settle(attempt, "not_run", 0)
+        self.sim.send_ask(attempt, 0)
+        self.sim.run_without_faults()
         self.assertEqual("granted", self.answered("k").status)
 
     def test_two_owners_both_get_on(self):
@@ -299,17 +302,17 @@
         """
         asked = []
         for at in range(100):
-            asked.append(self.world.ask(f"a{at}", at=0))
-            asked.append(self.world.ask(f"b{at}", at=1))
-            self.world.calm(0.1)
-        self.world.calm(5.0)
+            asked.append(self.sim.request_claim(f"a{at}", at=0))
+            asked.append(self.sim.request_claim(f"b{at}", at=1))
+            self.sim.run_without_faults(0.1)
+        self.sim.run_without_faults(5.0)
         for owner in ("a", "b"):
             granted = [each for each in asked if each.key[0] == owner
                        and statuses(each) == ["granted"]]
             self.assertGreater(len(granted), 90, owner)
 
     def test_full_ledger_refuses_and_drops_nothing(self):
-        self.world = worlds.World(max_bytes=800)
+        self.sim = simulations.Simulation(max_bytes=800)
         answers = [self.answered(f"k{at}").status for at in range(20)]
         granted = answers.count("granted")
         self.assertEqual(
@@ -317,12 +320,12 @@
             answers)
         self.assertTrue(3 < granted < 20, granted)
         self.assertEqual(granted, len(self.entries()))
-        self.assertLessEqual(len(self.world.body), 800 + 100)
+        self.assertLessEqual(len(self.sim.body), 800 + 100)
 
     def test_unreadable_ledger_grants_nothing(self):
         self.answered("k")
-        self.world.body = b"\xff"
-        self.world.restart(0)
+        self.sim.body = b"\xff"
+        self.sim.restart(0)
         self.assertEqual("unavailable", self.answered("k2").status)
 
     def test_key_dated_in_the_future_is_refused(self):
@@ -330,7 +333,7 @@
 
         One wrong clock would otherwise make all callers' keys too old.
         """
-        self.world.owners[0].state.wall = lambda now: 1000.0 + now
+        self.sim.owners[0].state.wall = lambda now: 1000.0 + now
         ahead = self.answered("k", issued_at=5000.0)
         self.assertEqual("too_new", ahead.status)
 
@@ -338,11 +341,11 @@
         """A busy slot writes 3 times per second; an idle one at once."""
         quiet = self.put_in_flight("k", "well")
         self.assertEqual(["granted"], statuses(quiet))
-        versions = self.world.version
+        versions = self.sim.version
         for at in range(100):
-            self.world.ask(f"k{at}")
-            self.world.calm(0.1)
-        made = self.world.version - versions
+            self.sim.request_claim(f"k{at}")
+            self.sim.run_without_faults(0.1)
+        made = self.sim.version - versions
         self.assertLessEqual(made, 3 * 10 + 3)
         self.assertGreater(made, 25)
 
@@ -359,9 +362,9 @@
         self.assertEqual(set(range(64)), slots)
 
     def test_put_is_conditional_on_the_version_read(self):
-        world = worlds.World()
-        world.ask("k")
-        world.answer("well")
-        (_, put), = world.calls
+        sim = simulations.Simulation()
+        sim.request_claim("k")
+        sim.answer("well")
+        (_, put), = sim.calls
         self.assertEqual(0, put.version)
         self.assertIsInstance(put, effects.StorePut)
--- a/tests/claims/test_properties.py
+++ b/tests/claims/test_properties.py
@@ -5,7 +5,7 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from tests.claims import world as worlds
+from tests.claims import simulation as simulations
 
 KEYS = 3
 OWNER = st.integers(0, 1)
@@ -27,26 +27,26 @@
 )
 
 
-def run_step(world, step, issue_times):
-    """Run one step in ``world``."""
+def run_step(sim, step, issue_times):
+    """Run one step in ``sim``."""
     name, *args = step
-    attempts = list(world.attempts.values())
+    attempts = list(sim.attempts.values())
     if name == "ask":
-        world.ask(f"k{args[0]}", args[1],
-                  issued_at=issue_times[args[0]])
+        sim.request_claim(f"k{args[0]}", args[1],
+                          issued_at=issue_times[args[0]])
     elif name == "look":
-        world.lookup(f"k{args[0]}", args[1],
-                     issued_at=issue_times[args[0]])
+        sim.lookup(f"k{args[0]}", args[1],
+                   issued_at=issue_times[args[0]])
     elif name in ("answer", "land", "pause", "restart", "advance"):
-        getattr(world, name)(*args)
+        getattr(sim, name)(*args)
     elif attempts:
         attempt = attempts[-1 - args[0] % len(attempts)]
         if name == "reask":
-            world.send_ask(attempt, args[1], deadline_s=1.0)
+            sim.send_ask(attempt, args[1], deadline_s=1.0)
         elif name == "give_up":
-            world.give_up(attempt, args[1])
+            sim.give_up(attempt, args[1])
         else:
-            world.end(attempt, args[2], args[1])
+            sim.end(attempt, args[2], args[1])
 
 
 class AtMostOnceTest(unittest.TestCase):
@@ -67,28 +67,28 @@
         without being recorded, or if a key is freed or dropped while its
         attempt may run.
         """
-        world = worlds.World(
+        sim = simulations.Simulation(
             epoch_s=0.5, kept_epochs=1, writes_s=10.0)
         for step in steps:
-            run_step(world, step, issue_times)
-            self.check(world)
-        world.calm()
-        for attempt in world.attempts.values():
-            world.end(attempt, True, 0)
-        self.check(world)
-        self.check_answered(world)
+            run_step(sim, step, issue_times)
+            self.check(sim)
+        sim.run_without_faults()
+        for attempt in sim.attempts.values():
+            sim.end(attempt, True, 0)
+        self.check(sim)
+        self.check_answered(sim)
 
-    def check(self, world):
+    def check(self, sim):
         """Check that a key runs at most once; ``over`` attempts never run."""
         started = [
-            each for each in world.attempts.values()
+            each for each in sim.attempts.values()
             if each.state in ("started", "ran")]
         keys = [each.key for each in started]
         self.assertEqual(len(set(keys)), len(keys), started)
 
-    def check_answered(self, world):
+    def check_answered(self, sim):
         """Check that nothing is pending after a time without faults."""
-        for owner in world.owners:
+        for owner in sim.owners:
             for slot in owner.state.slots.values():
                 self.assertEqual({}, slot.requests)
                 self.assertEqual({}, slot.lookups)
--- a/tests/control/world.py
+++ b/tests/control/simulation.py
@@ -24,7 +24,7 @@
 
     ``none``, ``lost`` (a write takes effect, its answer is lost),
     ``late`` (the answer is lost, the write takes effect at
-    ``World.apply_late_writes``) or ``unavailable``. ``held_orders``, if
+    ``Simulation.apply_late_writes``) or ``unavailable``. ``held_orders``, if
     not None, collects orders before the check that precedes sending,
     ``in_transit`` orders that were sent but not delivered.
     """
@@ -40,9 +40,9 @@
     held_orders: list | None = None
     in_transit: list | None = None
 
-    def now(self, world):
+    def now(self, sim):
         """Return this host's own monotonic time."""
-        return self.clock_offset_s + world.now * self.clock_rate
+        return self.clock_offset_s + sim.now * self.clock_rate
 
 
 @dataclasses.dataclass
@@ -110,7 +110,7 @@
             (), "", self.highest_fence if self.checks_fence else 0)
 
 
-class World:
+class Simulation:
     """Hosts x and y, and engines of service ``s`` in three domains."""
 
     def __init__(self, count=6, checks_fence=True,
@@ -135,14 +135,14 @@
         for number in range(count):
             domain = "abc"[number * 3 // count]
             self.add_engine(f"e{number}", "s", domain, checks_fence)
-        self.want("s", "m:1", checks_fence)
+        self.set_desired_model("s", "m:1", checks_fence)
 
     def add_engine(self, name, service, domain, checks_fence):
         """Add an engine that has version 1 of model ``m``."""
         self.engines[name] = Engine(
             name, service, domain, checks_fence, {"m": ("1", 0.0)})
 
-    def want(self, service, model, checks_fence=True):
+    def set_desired_model(self, service, model, checks_fence=True):
         """Accept a new generation of the settings."""
         self.generation += 1
         self.services = {**self.services, service: {
--- a/tests/control/test_lease.py
+++ b/tests/control/test_lease.py
@@ -2,19 +2,19 @@
 
 import unittest
 
-from tests.control import world as worlds
+from tests.control import simulation as simulations
 
-Outcome = worlds.Outcome
+Outcome = simulations.Outcome
 TAKEOVER_S = 15.0 + 2.0 + 4.0
 
 
-def world_with_holder_x(**kwargs):
-    """Return a world where x holds the lease and engines have converged."""
-    world = worlds.World(**kwargs)
-    world.run(TAKEOVER_S + 2, "x")
-    world.run(10)
-    assert world.holders() == "x", world.holders()
-    return world
+def simulation_with_holder_x(**kwargs):
+    """Return one where x holds the lease and engines have converged."""
+    sim = simulations.Simulation(**kwargs)
+    sim.run(TAKEOVER_S + 2, "x")
+    sim.run(10)
+    assert sim.holders() == "x", sim.holders()
+    return sim
 
 
 class LeaseTest(unittest.TestCase):
@@ -27,20 +27,20 @@
         over when the lease has expired. The failure occurs if x keeps
         sending orders because nothing tells it that it lost the lease.
         """
-        world = world_with_holder_x(checks_fence=False)
-        world.hosts["x"].lease_fault = "unavailable"
+        sim = simulation_with_holder_x(checks_fence=False)
+        sim.hosts["x"].lease_fault = "unavailable"
         for number in range(2, 40):
-            world.want("s", f"m:{number}", False)
-            world.run(1)
-        self.assertEqual("xy", world.holders())
-        last = max(at for at, host, *_ in world.delivered if host == "x")
-        first = min(at for at, host, *_ in world.delivered if host == "y")
-        self.assertLess(last + world.hosts["x"].state.cfg.order_s, first)
-        self.assertIn("lease_lapsed", world.record_kinds("x"))
-        world.hosts["x"].lease_fault = "none"
-        world.run(TAKEOVER_S)
-        self.assertEqual("y", world.holders())
-        self.assertIn("lease_lost", world.record_kinds("x"))
+            sim.set_desired_model("s", f"m:{number}", False)
+            sim.run(1)
+        self.assertEqual("xy", sim.holders())
+        last = max(at for at, host, *_ in sim.delivered if host == "x")
+        first = min(at for at, host, *_ in sim.delivered if host == "y")
+        self.assertLess(last + sim.hosts["x"].state.cfg.order_s, first)
+        self.assertIn("lease_lapsed", sim.record_kinds("x"))
+        sim.hosts["x"].lease_fault = "none"
+        sim.run(TAKEOVER_S)
+        self.assertEqual("y", sim.holders())
+        self.assertIn("lease_lost", sim.record_kinds("x"))
 
     def test_order_decided_before_a_long_pause(self):
         """An engine must not be reverted to an outdated version.
@@ -50,21 +50,21 @@
         The failure occurs if the lease is not checked between the
         decision and the sending.
         """
-        world = world_with_holder_x(checks_fence=False)
-        x = world.hosts["x"]
+        sim = simulation_with_holder_x(checks_fence=False)
+        x = sim.hosts["x"]
         x.held_orders = []
-        world.want("s", "m:2", False)
-        world.run(4)
+        sim.set_desired_model("s", "m:2", False)
+        sim.run(4)
         self.assertEqual(1, len(x.held_orders))
         x.paused = True
-        world.want("s", "m:3", False)
-        world.run(90)
-        delivered_count = len(world.delivered)
+        sim.set_desired_model("s", "m:3", False)
+        sim.run(90)
+        delivered_count = len(sim.delivered)
         x.paused = False
-        world.send_held_orders(x)
-        self.assertEqual(delivered_count, len(world.delivered))
+        sim.send_held_orders(x)
+        self.assertEqual(delivered_count, len(sim.delivered))
         self.assertEqual(
-            {"3"}, {each.version() for each in world.engines.values()})
+            {"3"}, {each.version() for each in sim.engines.values()})
 
     def test_short_pause(self):
         """After a pause no order is sent before the lease is renewed.
@@ -74,21 +74,21 @@
         the lease doubtful: the clock may have stood still for part of
         the pause.
         """
-        world = world_with_holder_x()
-        x = world.hosts["x"]
-        world.want("s", "m:2")
-        world.run(4, "x")
-        self.assertEqual(1, len(world.delivered))
+        sim = simulation_with_holder_x()
+        x = sim.hosts["x"]
+        sim.set_desired_model("s", "m:2")
+        sim.run(4, "x")
+        self.assertEqual(1, len(sim.delivered))
         x.paused = True
-        world.now += 3
+        sim.now += 3
         x.lease_fault = "unavailable"
-        world.resume(x)
-        world.run(2, "x")
-        self.assertEqual(1, len(world.delivered))
-        self.assertIn("clock_jump", world.record_kinds("x"))
+        sim.resume(x)
+        sim.run(2, "x")
+        self.assertEqual(1, len(sim.delivered))
+        self.assertIn("clock_jump", sim.record_kinds("x"))
         x.lease_fault = "none"
-        world.run(5, "x")
-        self.assertLess(1, len(world.delivered))
+        sim.run(5, "x")
+        self.assertLess(1, len(sim.delivered))
 
     def test_lost_answer_of_an_acquisition(self):
         """A lost answer must not stop orders for a whole lease duration.
@@ -99,20 +99,20 @@
         """
         for mode in ("lost", "late"):
             with self.subTest(mode=mode):
-                world = worlds.World()
-                x = world.hosts["x"]
+                sim = simulations.Simulation()
+                x = sim.hosts["x"]
                 x.lease_fault = mode
                 while not x.state.lease.nonce:
-                    world.run(0.5, "x")
+                    sim.run(0.5, "x")
                 if mode == "late":
-                    world.run(0.5, "x")
-                self.assertEqual("", world.holders())
-                world.apply_late_writes()
+                    sim.run(0.5, "x")
+                self.assertEqual("", sim.holders())
+                sim.apply_late_writes()
                 x.lease_fault = "none"
-                world.run(1.5, "x")
-                self.assertEqual("x", world.holders())
+                sim.run(1.5, "x")
+                self.assertEqual("x", sim.holders())
                 self.assertEqual(1, x.state.lease.fence)
-                world.run(6, "x")
+                sim.run(6, "x")
                 self.assertEqual(1, x.state.lease.fence)
                 self.assertGreater(x.state.lease.version, 1)
 
@@ -123,19 +123,19 @@
         The failure occurs if a write is not conditional on the version
         that was read.
         """
-        world = worlds.World()
+        sim = simulations.Simulation()
         for _ in range(80):
-            world.run(0.5)
-            self.assertIn(world.holders(), ("", "x", "y"))
-        first = world.holders()
+            sim.run(0.5)
+            self.assertIn(sim.holders(), ("", "x", "y"))
+        first = sim.holders()
         second = "y" if first == "x" else "x"
         self.assertNotEqual("", first)
-        fence = world.hosts[first].state.lease.fence
-        world.hosts[first].paused = True
-        world.run(TAKEOVER_S + 4)
-        self.assertTrue(world.hosts[second].state.lease.holding)
+        fence = sim.hosts[first].state.lease.fence
+        sim.hosts[first].paused = True
+        sim.run(TAKEOVER_S + 4)
+        self.assertTrue(sim.hosts[second].state.lease.holding)
         self.assertGreater(
-            world.hosts[second].state.lease.fence, fence)
+            sim.hosts[second].state.lease.fence, fence)
 
     def test_late_order_at_a_checking_engine(self):
         """A former holder must not revert a rollout.
@@ -145,22 +145,22 @@
         orders don't carry the fencing number of their holder's
         acquisition.
         """
-        world = world_with_holder_x()
-        x = world.hosts["x"]
+        sim = simulation_with_holder_x()
+        x = sim.hosts["x"]
         x.in_transit = []
-        world.want("s", "m:2")
-        world.run(4)
+        sim.set_desired_model("s", "m:2")
+        sim.run(4)
         (_, order), = x.in_transit
         x.paused = True
-        world.want("s", "m:3")
-        world.run(90)
-        self.assertEqual("3", world.engines[order.engine].version())
-        outcome = world.deliver_order(x, order)
+        sim.set_desired_model("s", "m:3")
+        sim.run(90)
+        self.assertEqual("3", sim.engines[order.engine].version())
+        outcome = sim.deliver_order(x, order)
         self.assertIs(Outcome.STALE_FENCE, outcome)
         x.paused = False
-        world.report_outcome(x, order, outcome)
-        self.assertIn("lease_stepped_down", world.record_kinds("x"))
-        self.assertEqual("y", world.holders())
+        sim.report_outcome(x, order, outcome)
+        self.assertIn("lease_stepped_down", sim.record_kinds("x"))
+        self.assertEqual("y", sim.holders())
 
     def test_late_order_at_an_engine_that_does_not_check(self):
         """An engine must not end with the former holder's version.
@@ -170,24 +170,24 @@
         effect. The failure occurs if y does not wait until no order of
         x can still arrive.
         """
-        world = world_with_holder_x(checks_fence=False)
-        x = world.hosts["x"]
+        sim = simulation_with_holder_x(checks_fence=False)
+        x = sim.hosts["x"]
         x.in_transit = []
-        world.want("s", "m:2", False)
-        world.run(4)
+        sim.set_desired_model("s", "m:2", False)
+        sim.run(4)
         (sent_at, order), = x.in_transit
-        world.want("s", "m:3", False)
-        world.feed(x, worlds.events.StopAsked())
-        world.run(x.state.cfg.order_s - (world.now - sent_at))
-        world.report_outcome(x, order, Outcome.UNKNOWN)
+        sim.set_desired_model("s", "m:3", False)
+        sim.feed(x, simulations.events.StopAsked())
+        sim.run(x.state.cfg.order_s - (sim.now - sent_at))
+        sim.report_outcome(x, order, Outcome.UNKNOWN)
         self.assertTrue(x.exited)
-        world.run(5)
-        self.assertTrue(world.hosts["y"].state.lease.holding)
-        world.deliver_order(x, order)
-        world.run(90)
-        hosts = [host for host, _ in world.accepted_orders(order.engine)]
+        sim.run(5)
+        self.assertTrue(sim.hosts["y"].state.lease.holding)
+        sim.deliver_order(x, order)
+        sim.run(90)
+        hosts = [host for host, _ in sim.accepted_orders(order.engine)]
         self.assertEqual(sorted(hosts), hosts)
-        self.assertEqual("3", world.engines[order.engine].version())
+        self.assertEqual("3", sim.engines[order.engine].version())
 
     def test_planned_stop(self):
         """A planned stop must not delay a rollout.
@@ -197,19 +197,20 @@
         not wait for the whole lease duration. The failure occurs if the
         lease is left to expire.
         """
-        world = world_with_holder_x(share=0.5, loads_per_s=0.2, load_burst=1.0)
-        x = world.hosts["x"]
+        sim = simulation_with_holder_x(
+            share=0.5, loads_per_s=0.2, load_burst=1.0)
+        x = sim.hosts["x"]
         x.in_transit = []
-        world.want("s", "m:2")
-        world.run(4)
+        sim.set_desired_model("s", "m:2")
+        sim.run(4)
         (_, order), = x.in_transit
-        world.feed(x, worlds.events.StopAsked())
-        world.run(6)
+        sim.feed(x, simulations.events.StopAsked())
+        sim.run(6)
         self.assertFalse(x.exited)
         self.assertEqual(1, len(x.in_transit))
-        world.report_outcome(x, order, world.deliver_order(x, order))
+        sim.report_outcome(x, order, sim.deliver_order(x, order))
         self.assertTrue(x.exited)
-        world.run(x.state.cfg.renew_s + 0.5)
-        self.assertTrue(world.hosts["y"].state.lease.holding)
+        sim.run(x.state.cfg.renew_s + 0.5)
+        self.assertTrue(sim.hosts["y"].state.lease.holding)
         self.assertEqual(
-            1, sum(host == "x" for _, host, *_ in world.delivered))
+            1, sum(host == "x" for _, host, *_ in sim.delivered))
--- a/tests/control/test_rollout.py
+++ b/tests/control/test_rollout.py
@@ -7,8 +7,8 @@
 
 from crocuskeel.core import control
 from crocuskeel.core.control import events
+from tests.control import simulation as simulations
 from tests.control import test_lease
-from tests.control import world as worlds
 
 MAX_OBSERVATION_AGE_S = 3 * control.Config("h").observe_s
 
@@ -24,23 +24,23 @@
         before that batch arrives last. The failure occurs if orders of
         an outdated plan are sent.
         """
-        world = test_lease.world_with_holder_x()
-        x = world.hosts["x"]
+        sim = test_lease.simulation_with_holder_x()
+        x = sim.hosts["x"]
         x.held_orders = []
-        world.want("s", "m:2")
-        world.run(4, "x")
+        sim.set_desired_model("s", "m:2")
+        sim.run(4, "x")
         self.assertEqual(1, len(x.held_orders))
-        first, services = world.generation, world.services
-        world.want("s", "m:3")
-        world.feed(x, events.SettingsChecked(
-            True, world.generation, {"services": world.services}))
-        world.feed(x, events.SettingsChecked(
+        first, services = sim.generation, sim.services
+        sim.set_desired_model("s", "m:3")
+        sim.feed(x, events.SettingsChecked(
+            True, sim.generation, {"services": sim.services}))
+        sim.feed(x, events.SettingsChecked(
             True, first, {"services": services}))
-        world.send_held_orders(x)
-        self.assertEqual([], world.delivered)
-        world.run(60, "x")
+        sim.send_held_orders(x)
+        self.assertEqual([], sim.delivered)
+        sim.run(60, "x")
         self.assertEqual(
-            {"3"}, {order.item.version for _, _, order, *_ in world.delivered})
+            {"3"}, {order.item.version for _, _, order, *_ in sim.delivered})
 
     def test_state_reverted_by_another_party(self):
         """An engine must not keep a wrong version forever.
@@ -50,13 +50,13 @@
         order that repairs it has the same id as the first, so that the
         engine treats it as a duplicate.
         """
-        world = test_lease.world_with_holder_x(checks_fence=False)
-        world.want("s", "m:2", False)
-        world.run(60, "x")
-        engine = world.engines["e0"]
+        sim = test_lease.simulation_with_holder_x(checks_fence=False)
+        sim.set_desired_model("s", "m:2", False)
+        sim.run(60, "x")
+        engine = sim.engines["e0"]
         self.assertEqual("2", engine.version())
         engine.models["m"] = ("1", 0.0)
-        world.run(60, "x")
+        sim.run(60, "x")
         self.assertEqual("2", engine.version())
 
     def test_failing_loads_pause_only_their_rollout(self):
@@ -67,26 +67,26 @@
         newer version must be tried. The failure occurs if failures are
         not counted.
         """
-        world = test_lease.world_with_holder_x()
+        sim = test_lease.simulation_with_holder_x()
         for number in range(4):
-            world.add_engine(f"t{number}", "t", "a", True)
-            world.engines[f"e{number}"].refuses_orders = True
-        world.want("s", "m:2")
-        world.want("t", "m:2")
-        world.run(240, "x")
-        self.assertIn("rollout_paused", world.record_kinds("x"))
-        refused = [order for *_, order, outcome, _ in world.delivered
-                   if outcome is worlds.Outcome.REFUSED]
+            sim.add_engine(f"t{number}", "t", "a", True)
+            sim.engines[f"e{number}"].refuses_orders = True
+        sim.set_desired_model("s", "m:2")
+        sim.set_desired_model("t", "m:2")
+        sim.run(240, "x")
+        self.assertIn("rollout_paused", sim.record_kinds("x"))
+        refused = [order for *_, order, outcome, _ in sim.delivered
+                   if outcome is simulations.Outcome.REFUSED]
         self.assertEqual(3, len(refused))
         versions = {name: engine.version()
-                    for name, engine in world.engines.items()}
+                    for name, engine in sim.engines.items()}
         self.assertEqual({"2"}, {versions[f"t{n}"] for n in range(4)})
-        for engine in world.engines.values():
+        for engine in sim.engines.values():
             engine.refuses_orders = False
-        world.want("s", "m:3")
-        world.run(240, "x")
-        self.assertIn("rollout_resumed", world.record_kinds("x"))
-        self.assertEqual("3", world.engines["e0"].version())
+        sim.set_desired_model("s", "m:3")
+        sim.run(240, "x")
+        self.assertIn("rollout_resumed", sim.record_kinds("x"))
+        self.assertEqual("3", sim.engines["e0"].version())
 
     def test_weight_store_rate_over_a_takeover(self):
         """A takeover must not exceed the weight store's rate limit.
@@ -95,16 +95,16 @@
         once. The failure occurs if y starts with a full bucket; the
         weight store then throttles every load.
         """
-        world = test_lease.world_with_holder_x(
+        sim = test_lease.simulation_with_holder_x(
             count=24, share=1.0, domain_share=1.0)
-        world.want("s", "m:2")
-        world.run(2.5)
-        world.feed(world.hosts["x"], events.StopAsked())
-        world.run(30)
-        self.assertTrue(world.hosts["y"].state.lease.holding)
-        times = [at for at, *_ in world.delivered]
+        sim.set_desired_model("s", "m:2")
+        sim.run(2.5)
+        sim.feed(sim.hosts["x"], events.StopAsked())
+        sim.run(30)
+        self.assertTrue(sim.hosts["y"].state.lease.holding)
+        times = [at for at, *_ in sim.delivered]
         self.assertGreater(len(times), 10)
-        cfg = world.hosts["x"].state.cfg
+        cfg = sim.hosts["x"].state.cfg
         for first, start in enumerate(times):
             for count, end in enumerate(times[first:], 1):
                 self.assertLessEqual(
@@ -125,45 +125,45 @@
         failure occurs if orders go to further engines without counting
         those that are already unavailable.
         """
-        world = test_lease.world_with_holder_x(
+        sim = test_lease.simulation_with_holder_x(
             count=12, share=share, domain_share=0.5, max_failures=100,
             load_burst=12.0, loads_per_s=5.0)
-        world.want("s", "m:2")
+        sim.set_desired_model("s", "m:2")
         for wait_s, fault, number in faults:
-            self.run_and_check(world, wait_s, share)
-            engine = world.engines[f"e{number}"]
+            self.run_and_check(sim, wait_s, share)
+            engine = sim.engines[f"e{number}"]
             if fault == "crash":
-                engine.crash(world.now)
+                engine.crash(sim.now)
             elif fault == "hang":
-                engine.crash(world.now, 20.0)
+                engine.crash(sim.now, 20.0)
             else:
                 engine.refuses_orders = not engine.refuses_orders
-        self.run_and_check(world, 10, share)
+        self.run_and_check(sim, 10, share)
 
-    def run_and_check(self, world, span_s, share):
+    def run_and_check(self, sim, span_s, share):
         """Advance the time and check each order to a serving engine."""
         for _ in range(span_s * 2):
-            before = len(world.delivered)
-            lost = {engine.name for engine in world.engines.values()
+            before = len(sim.delivered)
+            lost = {engine.name for engine in sim.engines.values()
                     if engine.unavailable_since is not None
-                    and (world.now - engine.unavailable_since
+                    and (sim.now - engine.unavailable_since
                          > MAX_OBSERVATION_AGE_S)}
-            world.run(0.5, "x")
+            sim.run(0.5, "x")
             ordered = {order.engine
-                       for _, _, order, _, served in world.delivered[before:]
+                       for _, _, order, _, served in sim.delivered[before:]
                        if served}
             if not ordered:
                 continue
             unavailable = {
-                engine.name for engine in world.engines.values()
-                if not engine.serves(world.now)
+                engine.name for engine in sim.engines.values()
+                if not engine.serves(sim.now)
                 and (engine.name in lost or engine.version() == "2")}
             self.assertLessEqual(
                 len(unavailable | lost), max(1, int(share * 12)),
-                world.delivered)
-            for domain in {world.engines[name].domain for name in ordered}:
+                sim.delivered)
+            for domain in {sim.engines[name].domain for name in ordered}:
                 in_domain = [name for name in unavailable | lost
-                             if world.engines[name].domain == domain]
+                             if sim.engines[name].domain == domain]
                 self.assertLessEqual(len(in_domain), 2)
 
 
@@ -195,48 +195,49 @@
         limit allows. The failure occurs if the orders of two holders
         overlap in time.
         """
-        world = worlds.World(
+        sim = simulations.Simulation(
             count=3, checks_fence=False, clock_rates=clock_rates, share=1.0,
             span_s=6.0, margin_s=1.0, renew_s=1.5, order_s=5.0,
             loads_per_s=10.0, observe_s=1.0, max_failures=1000)
-        world.run(12)
+        sim.run(12)
         self.timed_out = []
-        for host in world.hosts.values():
+        for host in sim.hosts.values():
             host.in_transit = [] if delayed else None
         for name, value in steps:
-            self.apply_step(world, name, value)
-            for engine in world.engines:
-                fences = [fence for _, fence in world.accepted_orders(engine)]
+            self.apply_step(sim, name, value)
+            for engine in sim.engines:
+                fences = [fence for _, fence in sim.accepted_orders(engine)]
                 self.assertEqual(sorted(fences), fences)
 
-    def apply_step(self, world, name, value):
+    def apply_step(self, sim, name, value):
         """Apply one step; orders in transit arrive at their time limit."""
-        host = world.hosts.get(value)
+        host = sim.hosts.get(value)
         if name == "run":
             for _ in range(value):
-                world.want("s", f"m:{world.generation + 1}", False)
-                world.run(0.5)
-                world.run(0.5)
-                self.deliver_due_orders(world)
+                sim.set_desired_model("s", f"m:{sim.generation + 1}", False)
+                sim.run(0.5)
+                sim.run(0.5)
+                self.deliver_due_orders(sim)
         elif name == "pause":
             host.paused = True
         elif name == "resume":
-            world.resume(host)
+            sim.resume(host)
         elif name == "late_writes":
-            world.apply_late_writes()
+            sim.apply_late_writes()
         else:
             host.lease_fault = name
 
-    def deliver_due_orders(self, world):
+    def deliver_due_orders(self, sim):
         """Time orders out at their limit; deliver them a margin later."""
-        for host in world.hosts.values():
+        for host in sim.hosts.values():
             cfg = host.state.cfg
             for sent_at, order in list(host.in_transit or ()):
-                age_s = world.now - sent_at
+                age_s = sim.now - sent_at
                 if age_s >= cfg.order_s and order not in self.timed_out:
                     self.timed_out.append(order)
-                    world.report_outcome(host, order, worlds.Outcome.UNKNOWN)
+                    sim.report_outcome(
+                        host, order, simulations.Outcome.UNKNOWN)
                 if age_s >= cfg.order_s + cfg.margin_s:
                     host.in_transit.remove((sent_at, order))
                     self.timed_out.remove(order)
-                    world.deliver_order(host, order)
+                    sim.deliver_order(host, order)
--- a/tests/dispatch/test_properties.py
+++ b/tests/dispatch/test_properties.py
@@ -5,7 +5,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import floors
 from crocuskeel.core.dispatch import limits
 from crocuskeel.core import effects
@@ -67,7 +67,7 @@
         if not tiers:
             return
         cell = support.cell_of(harness)
-        slots = choice.most_slots(harness.daemon, cell)
+        slots = engine_selection.most_slots(harness.daemon, cell)
         for class_queue in cell.classes.values():
             if class_queue.tier > min(tiers):
                 self.assertLessEqual(
--- a/tests/door/test_faults.py
+++ b/tests/door/test_faults.py
@@ -6,8 +6,8 @@
 from crocuskeel.core import events
 from crocuskeel.core import membership
 from tests.door import driver
-from tests.door import key_rows
-from tests.door import rows
+from tests.door import fault_table
+from tests.door import key_fault_table
 
 
 class FaultTableTest(unittest.TestCase):
@@ -26,16 +26,16 @@
                     row.expect.split(", "), host.labels(), row.failure)
 
     def test_caller(self):
-        self._run(rows.CALLER)
+        self._run(fault_table.CALLER)
 
     def test_engine(self):
-        self._run(rows.ENGINE)
+        self._run(fault_table.ENGINE)
 
     def test_peer(self):
-        self._run(rows.PEER)
+        self._run(fault_table.PEER)
 
     def test_keys(self):
-        self._run(key_rows.KEYS)
+        self._run(key_fault_table.KEYS)
 
 
 class FirstByteTimeoutTest(unittest.TestCase):
@@ -67,7 +67,7 @@
         """
         host = driver.Host()
         waiting = host.arrive()
-        running = host.arrive(**rows.BOOK)
+        running = host.arrive(**fault_table.BOOK)
         host.grant(running, "d1")
         host.claim(running)
         membership.handle(host.daemon, events.DrainAsked(), host.now)
--- a/tests/follower/test_follower.py
+++ b/tests/follower/test_follower.py
@@ -7,7 +7,7 @@
 from crocuskeel.conf import storage
 from crocuskeel.core import events
 from crocuskeel.core import follower
-from crocuskeel.core.follower import force
+from crocuskeel.core.follower import adoption
 from crocuskeel.core import messages
 from tests.follower import fleet as fleets
 
@@ -193,7 +193,7 @@
             newly_told = [live[0]]
             while newly_told:
                 announced = {name for host in newly_told
-                             for name in force.neighbours(host, live)}
+                             for name in adoption.neighbours(host, live)}
                 newly_told = sorted(announced - reached)
                 reached |= announced
             self.assertEqual(set(live), reached)
--- a/tests/outage/test_outage.py
+++ b/tests/outage/test_outage.py
@@ -5,7 +5,7 @@
 from bench.outage import callers
 from bench.outage import report
 from bench.outage import scenarios
-from tests.claims import world as claims_world
+from tests.claims import simulation as simulations
 
 # A caller's maximum retry time, its last resend and the run itself.
 MAX_ANSWER_S = 60.0
@@ -70,13 +70,13 @@
         fails. A resend reaches the same owner, which knows the claim but
         used to answer "unavailable" for the time of its back-off.
         """
-        world = claims_world.World(epoch_s=10.0, kept_epochs=2)
-        first = world.ask("k")
-        world.calm(1.0)
-        world.end(first, True, 0)
-        world.advance(2.0)
-        world.answer("out")
-        resent = world.ask("k")
+        sim = simulations.Simulation(epoch_s=10.0, kept_epochs=2)
+        first = sim.request_claim("k")
+        sim.run_without_faults(1.0)
+        sim.end(first, True, 0)
+        sim.advance(2.0)
+        sim.answer("out")
+        resent = sim.request_claim("k")
         self.assertEqual("granted", first.answers[-1].status)
         self.assertEqual(["duplicate"],
                          [each.status for each in resent.answers])
--- a/tests/runtime/test_stop.py
+++ b/tests/runtime/test_stop.py
@@ -12,8 +12,8 @@
 from crocuskeel.core import events
 from crocuskeel.programs import daemon as program_daemon
 from crocuskeel.runtime import bounded_request
+from crocuskeel.runtime import direct_writes
 from crocuskeel.runtime import door
-from crocuskeel.runtime import eager
 from crocuskeel.runtime import loop
 from crocuskeel.runtime import program
 from tests.runtime import support
@@ -62,7 +62,7 @@
         ctx = self.harness.ctx
         site = bounded_request.new_site(
             self.harness.reactor, door.new_app(ctx).resource())
-        ctx.door_port = eager.new_port(
+        ctx.door_port = direct_writes.new_port(
             self.harness.reactor, 0, site, "127.0.0.1")
         self.exits = []
         ctx.on_exit = lambda: self.exits.append(1)
@@ -72,7 +72,7 @@
         for sock in (daemon_socket, self.caller_socket):
             sock.setblocking(False)
         protocol = site.buildProtocol(None)
-        self.connection = eager.new_connection(
+        self.connection = direct_writes.new_connection(
             daemon_socket, protocol, ctx.door_port)
         endpoint = address.IPv4Address("TCP", "127.0.0.1", 1)
         self.connection.getHost = self.connection.getPeer = lambda: endpoint
@@ -81,7 +81,7 @@
 
     def _read_all(self):
         received = io.BytesIO()
-        while eager.count_unsent(self.harness.ctx.door_port):
+        while direct_writes.count_unsent(self.harness.ctx.door_port):
             self.connection.doWrite()
             received.write(self._receive())
         received.write(self._receive())
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -11,7 +11,7 @@
 from crocuskeel.core import problems
 from crocuskeel.core import state
 from crocuskeel.runtime import settings as daemon_settings
-from tests.door import rows as door_rows
+from tests.door import fault_table
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DOCS = ROOT / "docs"
@@ -97,7 +97,7 @@
         self.assertEqual(len(named), self.text.count("`tests/"))
 
     def test_rows_of_fault_tables_exist(self):
-        tables = (door_rows.CALLER, door_rows.ENGINE, door_rows.PEER)
+        tables = (fault_table.CALLER, fault_table.ENGINE, fault_table.PEER)
         known = {row.name for table in tables for row in table}
         for group in _ROWS.findall(self.text):
             for name in re.findall(r"`(\w+)\*?`", group):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer as a whole: what no concern does alone."""
+"""The reducer as a whole: what no component does alone."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 class ReducerTest(unittest.TestCase):
-    """Routing, and rules over several concerns."""
+    """Routing, and rules over several components."""
 
     def test_a_message_to_oneself_is_reduced_at_once(self):
         daemon = _daemon()
