--- a/bench/claims_figures.py
+++ b/bench/claims_figures.py
@@ -15,7 +15,7 @@
 
 from crocuskeel.core import claims
 from crocuskeel.core.claims import ledger as ledgers
-from crocuskeel.core.claims.state import Ask
+from crocuskeel.core.claims.state import ClaimRequest
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import messages
@@ -123,7 +123,7 @@
     ledger = ledgers.empty()
     for number in range(count):
         key = claims.key_digest("w", "c", str(number))
-        ledgers.claim(ledger, Ask(
+        ledgers.add_claim(ledger, ClaimRequest(
             f"perth-a-1:1:{number}", key, "0123456789abcdef", "perth-a-1",
             1, 1.7e9, 0.0))
     run.version, run.body = 1, ledgers.encode(ledger, "n")
--- a/bench/loopback/hop.py
+++ b/bench/loopback/hop.py
@@ -60,7 +60,7 @@
                     IDLE_TIMEOUT_S)]
             case events.AttemptClosed(rid=rid):
                 # The runtime ignores this if the answer was complete.
-                return [effects.Answer(rid, problems.problem(
+                return [effects.Answer(rid, problems.new_problem(
                     problems.Reason.BACKEND_FAILED))]
         return []
 
--- a/bench/membership_figures.py
+++ b/bench/membership_figures.py
@@ -131,7 +131,7 @@
                         (self.now, daemon.me.host, fields[0][1]))
 
     def _send(self, daemon, effect):
-        known = membership.info(daemon, effect.host)
+        known = membership.member_info(daemon, effect.host)
         address = effect.address or known.address
         event = events.Received(daemon.me.host, daemon.me.incarnation,
                                 effect.message)
--- a/bench/outage/scenarios.py
+++ b/bench/outage/scenarios.py
@@ -97,7 +97,7 @@
 def _new_servers(deployment, clock):
     servers = {}
     for service, count in deployment.servers.items():
-        kind = conf.service(deployment.tree, service).kind
+        kind = conf.find_service(deployment.tree, service).kind
         for number in range(count):
             name = f"{service}-{number}"
             domain = deployment.domains[number % len(deployment.domains)]
--- a/bench/outage/store.py
+++ b/bench/outage/store.py
@@ -66,7 +66,7 @@
     store.mode = mode
     if mode == DOWN:
         for deferred, _path, _version in store.watches:
-            _fail(deferred, exceptions.AnswerLost())
+            _fail(deferred, exceptions.ResponseLost())
         store.watches.clear()
 
 
@@ -75,7 +75,7 @@
     current = store.objects.get(path, (_NO_VERSION, b""))[0]
     if current != version:
         store.conflicts += 1
-        return results.HttpAnswer(_CONFLICT, {}, b"")
+        return results.HttpResponse(_CONFLICT, {}, b"")
     store.objects[path] = (current + 1, body)
     for watch in [watch for watch in store.watches if watch[1] == path]:
         store.watches.remove(watch)
@@ -107,7 +107,7 @@
         _fail_call(store, deferred)
     elif path == "/hosts":
         body = json.dumps(store.list_hosts()).encode()
-        _answer_later(store, deferred, results.HttpAnswer(_OK, {}, body))
+        _answer_later(store, deferred, results.HttpResponse(_OK, {}, body))
     elif "watch" in parts.query:
         _watch(store, deferred, path, urllib.parse.parse_qs(parts.query))
     else:
@@ -152,7 +152,7 @@
         _fail(deferred, exceptions.NotSent())
         return "refused"
     if sample < REFUSED_SHARE + BUSY_SHARE:
-        _answer(deferred, results.HttpAnswer(_BUSY, {}, b""))
+        _answer(deferred, results.HttpResponse(_BUSY, {}, b""))
         return "busy"
     return "hang"
 
@@ -176,12 +176,12 @@
 
 def _read(store, path):
     if path not in store.objects:
-        return results.HttpAnswer(_NOT_FOUND, {}, b"")
+        return results.HttpResponse(_NOT_FOUND, {}, b"")
     return _with_etag(*store.objects[path])
 
 
 def _with_etag(version, body, status=_OK):
-    return results.HttpAnswer(status, {"etag": f'"{version}"'}, body)
+    return results.HttpResponse(status, {"etag": f'"{version}"'}, body)
 
 
 def _answer_later(store, deferred, answer):
--- a/bench/policy/fleet.py
+++ b/bench/policy/fleet.py
@@ -118,7 +118,7 @@
     for node in fleet.nodes.values():
         cell = node.daemon.dispatch.cells.get(name)
         if node.up and cell and cell.lost_at is None:
-            yield cell, engine_selection.most_slots(node.daemon, cell)
+            yield cell, engine_selection.max_slots(node.daemon, cell)
 
 
 def execute(fleet, node, effect):
@@ -206,7 +206,7 @@
 
 
 def _read_host_list(fleet, node):
-    hosts = tuple(membership.info(other.daemon, other.name)
+    hosts = tuple(membership.member_info(other.daemon, other.name)
                   for other in fleet.nodes.values() if other.up)
     backends = tuple(
         messages.Backend(server.name, server.service,
@@ -247,7 +247,7 @@
     for node in fleet.nodes.values():
         for cell in node.daemon.dispatch.cells.values() if node.up else ():
             if cell.lost_at is None and now > WARMUP_S:
-                slots = engine_selection.slots(node.daemon, cell, now)
+                slots = engine_selection.usable_slots(node.daemon, cell, now)
                 fewest = fleet.tally.slots.get(cell.name, slots)
                 fleet.tally.slots[cell.name] = min(slots, fewest)
 
--- a/bench/policy/scenarios.py
+++ b/bench/policy/scenarios.py
@@ -67,7 +67,7 @@
 def _servers(deployment, clock):
     servers = {}
     for service, count in deployment.servers.items():
-        kind = loads.conf.service(deployment.tree, service).kind
+        kind = loads.conf.find_service(deployment.tree, service).kind
         for number in range(count):
             name = f"{service}-{number}"
             domain = deployment.domains[number % len(deployment.domains)]
--- a/bench/policy/tally.py
+++ b/bench/policy/tally.py
@@ -99,7 +99,8 @@
 def _reserved_slots(tally, cell, name):
     tier, floor = tally.floors[name]
     group = states.ClassQueue(name, tier, floor)
-    return floors.seats(group, tally.slots.get(cell, DEFAULT_SLOTS))
+    return floors.protected_queue_size(
+        group, tally.slots.get(cell, DEFAULT_SLOTS))
 
 
 def record_effects(tally, out, now):
@@ -135,7 +136,8 @@
         tier = tally.floors[name][0]
         for cell, slots in cells(cell_name):
             if any(group.tier > tier
-                   and group.waiting > floors.seats(group, slots)
+                   and group.waiting > floors.protected_queue_size(
+                       group, slots)
                    for group in cell.classes.values()):
                 tally.inversions += 1
     tally.shed_calls.clear()
@@ -241,7 +243,7 @@
              if cell.startswith(policy.service + "/")]
     service_classes = [name for name in deployment.mix if load.conf.resolve(
         deployment.tree, policy.workspace, name).service == policy.service]
-    bounds = [floors.wait_bound(
+    bounds = [floors.max_grant_gap_s(
         policy.floor, len(service_classes), tally.slots[cell],
         tally.longest_hold_s.get(cell, 0.0)) for cell in cells]
     return max(bounds, default=0.0)
--- a/crocuskeel/conf/__init__.py
+++ b/crocuskeel/conf/__init__.py
@@ -7,7 +7,7 @@
 from crocuskeel.conf.batches import REMOVE
 from crocuskeel.conf.commit import Commit
 from crocuskeel.conf.commit import commit_step
-from crocuskeel.conf.commit import Done
+from crocuskeel.conf.commit import Committed
 from crocuskeel.conf.commit import new_commit
 from crocuskeel.conf.commit import Outcome
 from crocuskeel.conf.commit import Reason
@@ -32,10 +32,10 @@
 from crocuskeel.conf.parsing import parse_document
 from crocuskeel.conf.resolving import cell_size
 from crocuskeel.conf.resolving import find_caller
-from crocuskeel.conf.resolving import origin
+from crocuskeel.conf.resolving import find_origin
+from crocuskeel.conf.resolving import find_service
 from crocuskeel.conf.resolving import resolve
-from crocuskeel.conf.resolving import service
-from crocuskeel.conf.storage import advance
+from crocuskeel.conf.storage import apply_delta
 from crocuskeel.conf.storage import assemble
 from crocuskeel.conf.storage import Delta
 from crocuskeel.conf.storage import Head
@@ -50,10 +50,10 @@
     'CallerIdentity',
     'ClassPolicy',
     'Commit',
+    'Committed',
     'ConfError',
     'Conflict',
     'Delta',
-    'Done',
     'Edit',
     'Head',
     'Index',
@@ -69,8 +69,8 @@
     'ServicePolicy',
     'SettingsFault',
     'Tree',
-    'advance',
     'apply_batch',
+    'apply_delta',
     'assemble',
     'cell_size',
     'commit_step',
@@ -78,16 +78,16 @@
     'document_edits',
     'empty_tree',
     'find_caller',
+    'find_origin',
+    'find_service',
     'merge',
     'missing_parts',
     'new_batch',
     'new_commit',
-    'origin',
     'parse',
     'parse_document',
     'resolve',
     'reversal',
-    'service',
     'to_document',
     'workspaces',
 ]
--- a/crocuskeel/conf/commit.py
+++ b/crocuskeel/conf/commit.py
@@ -60,7 +60,7 @@
 class WriteHead:
     """Update the head if it still has ``version``; None creates it.
 
-    Answered by ``HeadWritten``, ``HeadMoved`` or ``OutcomeUnknown``.
+    Answered by ``HeadWritten``, ``HeadVersionConflict`` or ``OutcomeUnknown``.
     """
 
     head: storage.Head
@@ -96,7 +96,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeadMoved:
+class HeadVersionConflict:
     """The head had another version and was not updated."""
 
 
@@ -133,7 +133,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Done:
+class Committed:
     """The batch is accepted as ``generation``.
 
     ``tree`` is that generation if this commit wrote it, and None if the
@@ -161,9 +161,9 @@
 
 Operation: TypeAlias = ReadHead | ReadPart | WriteParts | WriteHead
 Answer: TypeAlias = (
-    HeadRead | PartRead | PartsWritten | HeadWritten | HeadMoved
+    HeadRead | PartRead | PartsWritten | HeadWritten | HeadVersionConflict
     | OutcomeUnknown | StoreFailed)
-Step: TypeAlias = Operation | Done | Refused
+Step: TypeAlias = Operation | Committed | Refused
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -263,7 +263,7 @@
         pending=_still_pending(state, _generation(answer.head)))
     found = _accepted_generation(state)
     if found is not None:
-        return state, Done(found, None)
+        return state, Committed(found, None)
     newest, base = _generation(state.head), state.batch.base_generation
     if base > newest or state.tree.generation > newest:
         # The store was restored from an older copy. A commit on it would
@@ -288,7 +288,8 @@
     if _newest_known_generation(state) == _generation(state.head):
         return _prepare(state)
     assert state.head is not None
-    digest = storage.delta_of(state.head, _newest_known_generation(state) + 1)
+    digest = storage.find_delta_digest(
+        state.head, _newest_known_generation(state) + 1)
     assert digest is not None
     return _request(state, ReadPart(digest))
 
@@ -300,7 +301,7 @@
         return _refuse(state, Reason.CORRUPT, detail=str(exc))
     tree = state.tree
     if delta.generation > tree.generation:
-        advanced = storage.advance(tree, delta)
+        advanced = storage.apply_delta(tree, delta)
         if advanced.is_err():
             detail = advanced.unwrap_err()
             return _refuse(state, Reason.CORRUPT, detail=detail)
@@ -331,7 +332,7 @@
 def _on_head_written(state: Commit) -> Transition:
     assert state.prepared is not None
     tree = state.prepared.tree
-    return state, Done(tree.generation, tree)
+    return state, Committed(tree.generation, tree)
 
 
 def _on_outcome_unknown(state: Commit) -> Transition:
@@ -348,7 +349,7 @@
     """Return the state after ``answer`` and what to do next.
 
     ``answer`` is the store's answer to the last returned operation.
-    ``Done`` and ``Refused`` end the commit.
+    ``Committed`` and ``Refused`` end the commit.
     """
     match answer:
         case HeadRead():
@@ -359,7 +360,7 @@
             return _on_parts_written(state)
         case HeadWritten():
             return _on_head_written(state)
-        case HeadMoved():
+        case HeadVersionConflict():
             return _retry(state, ReadHead())
         case OutcomeUnknown():
             return _on_outcome_unknown(state)
--- a/crocuskeel/conf/resolving.py
+++ b/crocuskeel/conf/resolving.py
@@ -157,7 +157,7 @@
     return tree.lookups.caller(token_sha256)
 
 
-def origin(
+def find_origin(
     tree: model.Tree, workspace: str, class_name: str, key: str,
 ) -> model.Origin | None:
     """Return the value of ``key`` and its layer; None if unknown."""
@@ -170,7 +170,7 @@
     return find_value(tree.common, body, workspace, class_name, key)
 
 
-def service(tree: model.Tree, name: str) -> model.ServicePolicy | None:
+def find_service(tree: model.Tree, name: str) -> model.ServicePolicy | None:
     """Return one service's settings, completed by built-in values."""
     body = tree.common.get('services', {}).get(name)
     if body is None:
--- a/crocuskeel/conf/storage.py
+++ b/crocuskeel/conf/storage.py
@@ -221,7 +221,7 @@
     return Ok(PreparedCommit(after, new_head, delta, (*changed, stored)))
 
 
-def advance(tree: model.Tree, delta: Delta) -> Result[model.Tree, str]:
+def apply_delta(tree: model.Tree, delta: Delta) -> Result[model.Tree, str]:
     """Return the generation after ``tree``, or why the delta can't apply.
 
     On an error a follower must load the whole tree.
@@ -276,7 +276,7 @@
     return merging.AcceptedBatch(delta.generation, delta.batch)
 
 
-def delta_of(head: Head, generation: int) -> str | None:
+def find_delta_digest(head: Head, generation: int) -> str | None:
     """Return the digest of a generation's delta; None if not listed."""
     for entry in head.recent:
         if entry.generation == generation:
--- a/crocuskeel/control/exceptions.py
+++ b/crocuskeel/control/exceptions.py
@@ -1,13 +1,13 @@
 """Exceptions of the control daemon's runtime."""
 
-__all__ = ["BadSettingsFile", "ControlError", "OrderNotPermitted"]
+__all__ = ["ControlError", "OrderNotPermitted", "SettingsFileError"]
 
 
 class ControlError(Exception):
     """Base class of the exceptions in this package."""
 
 
-class BadSettingsFile(ControlError):
+class SettingsFileError(ControlError):
     """The settings file is invalid; the message says where."""
 
 
--- a/crocuskeel/control/settings.py
+++ b/crocuskeel/control/settings.py
@@ -59,14 +59,14 @@
 
 
 def read(path):
-    """Read a settings file; raises :class:`BadSettingsFile`."""
+    """Read a settings file; raises :class:`SettingsFileError`."""
     path = pathlib.Path(path)
     return parse(_read_text(path), path.parent)
 
 
 def parse(text, directory):
     """Parse settings; ``token_file`` is relative to ``directory``."""
-    doc = json_documents.load(text, _VALIDATOR, exceptions.BadSettingsFile)
+    doc = json_documents.load(text, _VALIDATOR, exceptions.SettingsFileError)
     values = {key: value for section in _SECTIONS
               for key, value in doc.get(section, {}).items()}
     cfg = control.Config(host=doc["host"], **values)
@@ -81,7 +81,7 @@
 def _check_lease_timing(cfg):
     # The lease must not expire when a single renewal is lost.
     if 2 * cfg.renew_s >= cfg.span_s - cfg.margin_s:
-        raise exceptions.BadSettingsFile(
+        raise exceptions.SettingsFileError(
             "$.lease: 2 * renew_s must be less than span_s - margin_s")
 
 
@@ -89,4 +89,4 @@
     try:
         return path.read_text()
     except (OSError, UnicodeDecodeError) as exc:
-        raise exceptions.BadSettingsFile(str(exc)) from exc
+        raise exceptions.SettingsFileError(str(exc)) from exc
--- a/crocuskeel/core/backends/grouping.py
+++ b/crocuskeel/core/backends/grouping.py
@@ -10,7 +10,7 @@
 from crocuskeel import conf
 from crocuskeel.core import placement
 
-__all__ = ["build", "cell_engines", "cell_for", "cell_size", "cells"]
+__all__ = ["assign_cell", "build", "cell_engines", "cell_size", "cells"]
 
 DEFAULT_SIZE = 32
 _SEPARATOR = "/"
@@ -57,7 +57,7 @@
     return daemon.backends.cells.get(cell, ())
 
 
-def cell_for(daemon, service, key):
+def assign_cell(daemon, service, key):
     """Return the cell that work with this key goes to, "" if none.
 
     Equal keys (a prompt's prefix, a resent request's fingerprint) go to
--- a/crocuskeel/core/backends/state.py
+++ b/crocuskeel/core/backends/state.py
@@ -17,8 +17,8 @@
 from crocuskeel.core import messages
 from crocuskeel.core import placement
 
-__all__ = ["BackendsState", "get", "handle", "new_state", "service_backends",
-           "usable"]
+__all__ = ["BackendsState", "get", "handle", "is_usable", "new_state",
+           "service_backends"]
 
 OWNER_READ_INTERVAL_S = 1.0
 OTHER_READ_INTERVAL_S = 15.0
@@ -60,7 +60,7 @@
     return daemon.backends.by_service.get(service, ())
 
 
-def usable(daemon, name):
+def is_usable(daemon, name):
     """Tell whether a backend server may get new work."""
     state = daemon.backends
     return name in state.known and name not in state.leaving
--- a/crocuskeel/core/claims/__init__.py
+++ b/crocuskeel/core/claims/__init__.py
@@ -8,9 +8,9 @@
 from crocuskeel.core.claims.state import ClaimsConfig
 from crocuskeel.core.claims.state import ClaimsState
 from crocuskeel.core.claims.state import new_state
-from crocuskeel.core.claims.state import owner_of
+from crocuskeel.core.claims.state import slot_owner
 
 __all__ = [
     "COMPONENT", "ClaimsConfig", "ClaimsState", "Outcome", "handle",
-    "key_digest", "new_state", "owner_of", "slot_of",
+    "key_digest", "new_state", "slot_of", "slot_owner",
 ]
--- a/crocuskeel/core/claims/commits.py
+++ b/crocuskeel/core/claims/commits.py
@@ -81,7 +81,7 @@
             continue
         verdict = ledgers.check(commit.ledger, request, cfg.max_bytes)
         if verdict is ledgers.Verdict.FREE:
-            ledgers.claim(commit.ledger, request)
+            ledgers.add_claim(commit.ledger, request)
             taken.add(request.key)
             commit.claimed.append(request.rid)
             commit.changed = True
--- a/crocuskeel/core/claims/ledger.py
+++ b/crocuskeel/core/claims/ledger.py
@@ -15,9 +15,9 @@
 import xxhash
 
 __all__ = [
-    "Entry", "InvalidLedger", "Ledger", "Outcome", "Verdict", "advance_epoch",
-    "check", "claim", "copy", "decode", "empty", "encode", "key_digest",
-    "settle", "slot_of",
+    "Entry", "InvalidLedger", "Ledger", "Outcome", "Verdict", "add_claim",
+    "advance_epoch", "check", "copy", "decode", "empty", "encode",
+    "key_digest", "settle", "slot_of",
 ]
 
 _FORMAT = 1
@@ -199,7 +199,7 @@
     return 160 + len(request.rid) + len(request.host)
 
 
-def claim(ledger, request):
+def add_claim(ledger, request):
     """Append the entry of a request whose verdict is FREE."""
     entry = _new_entry(ledger, request)
     ledger.entries[request.key] = entry
--- a/crocuskeel/core/claims/lookups.py
+++ b/crocuskeel/core/claims/lookups.py
@@ -19,7 +19,7 @@
 def receive(state, slot, event, now):
     """Answer a lookup without a read, or queue it for the next read."""
     msg = event.message
-    lookup = states.Ask(
+    lookup = states.ClaimRequest(
         rid=msg.rid, key=msg.key, digest=msg.digest, host=event.sender,
         incarnation=event.incarnation, issued_at=msg.issued_at,
         deadline=now)
--- a/crocuskeel/core/claims/reducer.py
+++ b/crocuskeel/core/claims/reducer.py
@@ -62,7 +62,7 @@
 def _claim_received(state, event, now):
     msg = event.message
     slot = _slot(state, msg.slot)
-    request = states.Ask(
+    request = states.ClaimRequest(
         rid=msg.rid, key=msg.key, digest=msg.digest, host=event.sender,
         incarnation=event.incarnation, issued_at=msg.issued_at,
         deadline=now + msg.deadline_in_s)
--- a/crocuskeel/core/claims/state.py
+++ b/crocuskeel/core/claims/state.py
@@ -9,8 +9,8 @@
 from crocuskeel.core import placement
 
 __all__ = [
-    "Ask", "ClaimsConfig", "ClaimsState", "Commit", "Phase", "Slot",
-    "new_state", "owner_of",
+    "ClaimRequest", "ClaimsConfig", "ClaimsState", "Commit", "Phase", "Slot",
+    "new_state", "slot_owner",
 ]
 
 
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
+class ClaimRequest:
     """A claim or lookup that waits for its answer.
 
     ``in_doubt``: it was part of a write whose result is unknown.
@@ -97,11 +97,11 @@
     phase: Phase = Phase.IDLE
     op: tuple = ()
     commit: Commit | None = None
-    requests: dict[str, Ask] = dataclasses.field(default_factory=dict)
+    requests: dict[str, ClaimRequest] = dataclasses.field(default_factory=dict)
     outcomes: dict[tuple, ledgers.Outcome] = dataclasses.field(
         default_factory=dict)
     outcomes_due: float = 0.0
-    lookups: dict[str, Ask] = dataclasses.field(default_factory=dict)
+    lookups: dict[str, ClaimRequest] = dataclasses.field(default_factory=dict)
     lookups_in_read: set[str] = dataclasses.field(default_factory=set)
     next_lookup_read: float = 0.0
     in_doubt_version: int | None = None
@@ -136,7 +136,7 @@
         cfg=cfg or ClaimsConfig(), wall=wall)
 
 
-def owner_of(slot, hosts):
+def slot_owner(slot, hosts):
     """Return the live host that entry hosts should ask for ``slot``.
 
     This only matters for efficiency: any host may serve any slot, and
--- a/crocuskeel/core/control/observing.py
+++ b/crocuskeel/core/control/observing.py
@@ -148,7 +148,7 @@
             "engine_restarted", (("engine", engine.name),)))
     if engine.accepted_order and engine.accepted_at < engine.requested_at:
         effs += _verify_order(state, engine, restarted, now)
-    return effs + leases.seen_fence(state, event.highest_fence, now)
+    return effs + leases.check_fence(state, event.highest_fence, now)
 
 
 def _update_engine(engine, event):
--- a/crocuskeel/core/control/planning.py
+++ b/crocuskeel/core/control/planning.py
@@ -63,7 +63,7 @@
 
 def step(state, now):
     """Return the next orders, if this process may send any now."""
-    if not leases.fresh(state, now):
+    if not leases.is_valid(state, now):
         return []
     if not _settings_fresh(state, now):
         return []
@@ -152,6 +152,6 @@
     or another generation accepted.
     """
     recently_active = 0 <= now - state.last_step <= state.cfg.jump_s
-    return (recently_active and leases.fresh(state, now)
+    return (recently_active and leases.is_valid(state, now)
             and order.fence == state.lease.fence
             and order.generation == state.generation)
--- a/crocuskeel/core/control/reducer.py
+++ b/crocuskeel/core/control/reducer.py
@@ -17,7 +17,7 @@
     """
     if state.ended:
         return []
-    effs = leases.notice_clock(state, now)
+    effs = leases.detect_pause(state, now)
     fence = state.lease.fence
     effs += _HANDLERS[type(event)](state, event, now)
     if state.lease.fence != fence:
@@ -58,7 +58,7 @@
     in_flight = any(each.sent_order for each in state.engines.values())
     if in_flight or lease.open_call:
         return []
-    if not state.releasing and leases.fresh(state, now):
+    if not state.releasing and leases.is_valid(state, now):
         if lease.unsettled:
             return []
         state.releasing = True
--- a/crocuskeel/core/dispatch/__init__.py
+++ b/crocuskeel/core/dispatch/__init__.py
@@ -1,8 +1,8 @@
 """Dispatching of a cell: queues, floors, grants and engine statistics."""
 
-from crocuskeel.core.dispatch.floors import wait_bound
+from crocuskeel.core.dispatch.floors import max_grant_gap_s
 from crocuskeel.core.dispatch.handling import handle
 from crocuskeel.core.dispatch.state import DispatchState
 from crocuskeel.core.dispatch.state import new_state
 
-__all__ = ["DispatchState", "handle", "new_state", "wait_bound"]
+__all__ = ["DispatchState", "handle", "max_grant_gap_s", "new_state"]
--- a/crocuskeel/core/dispatch/engine_selection.py
+++ b/crocuskeel/core/dispatch/engine_selection.py
@@ -5,9 +5,9 @@
 from crocuskeel.core.dispatch import limits
 from crocuskeel.core import quarantine
 
-__all__ = ["expected_duration", "free_slots", "has_prefix_cached",
-           "in_flight", "is_plain", "most_slots", "pick_empty_engine",
-           "pick_engine", "slots", "time_to_empty_s", "usable_engines"]
+__all__ = ["expected_duration", "free_slots", "has_prefix_cached", "in_flight",
+           "is_plain", "max_slots", "pick_empty_engine", "pick_engine",
+           "time_to_empty_s", "usable_engines", "usable_slots"]
 
 # Penalties in seconds. They are far above any service time, so they only
 # affect the order of preference.
@@ -18,7 +18,7 @@
 def usable_engines(daemon, cell):
     """Return the cell's engines that may get new work."""
     return [name for name in backends.cell_engines(daemon, cell.name)
-            if backends.usable(daemon, name)]
+            if backends.is_usable(daemon, name)]
 
 
 def in_flight(daemon, cell, view, now):
@@ -44,7 +44,7 @@
     return max(0, limits.capacity(view, now) - used)
 
 
-def slots(daemon, cell, now):
+def usable_slots(daemon, cell, now):
     """Return the usable slots of a cell, free or not."""
     total = sum(limits.capacity(limits.engine_view(daemon, name), now)
                 for name in usable_engines(daemon, cell)
@@ -52,7 +52,7 @@
     return max(1, total)
 
 
-def most_slots(daemon, cell):
+def max_slots(daemon, cell):
     """Return the slots of a cell at its engines' maximum limits.
 
     The protected queue sizes of floors are computed from this number. The
--- a/crocuskeel/core/dispatch/floors.py
+++ b/crocuskeel/core/dispatch/floors.py
@@ -8,8 +8,8 @@
 
 import math
 
-__all__ = ["MIN_FLOOR", "add_credit", "next_class", "seats",
-           "spend_credit", "wait_bound"]
+__all__ = ["MIN_FLOOR", "add_credit", "max_grant_gap_s", "next_class",
+           "protected_queue_size", "spend_credit"]
 
 MIN_FLOOR = 0.01
 MAX_CREDIT = 1.0
@@ -22,7 +22,7 @@
     return max(class_queue.floor, MIN_FLOOR)
 
 
-def seats(class_queue, slots):
+def protected_queue_size(class_queue, slots):
     """Return the protected queue size of a class under its floor.
 
     That many waiting attempts don't compete with higher tiers: the share
@@ -57,7 +57,7 @@
                default=None)
 
 
-def wait_bound(floor, classes, slots, longest_s):
+def max_grant_gap_s(floor, classes, slots, longest_s):
     """Return the longest time a class with waiting work gets no grant.
 
     ``classes`` is the number of classes in the cell, ``slots`` the number
--- a/crocuskeel/core/dispatch/granting.py
+++ b/crocuskeel/core/dispatch/granting.py
@@ -200,7 +200,7 @@
 def _trim_reserved(daemon, cell, ready):
     for name, key in list(cell.reserved.items()):
         unneeded = key is None and not ready
-        if unneeded or not backends.usable(daemon, name):
+        if unneeded or not backends.is_usable(daemon, name):
             del cell.reserved[name]
 
 
--- a/crocuskeel/core/dispatch/handling.py
+++ b/crocuskeel/core/dispatch/handling.py
@@ -144,7 +144,7 @@
         return shedding.refuse_arrival(
             daemon, cell, entry_host, request,
             problems.Reason.QUARANTINED, now)
-    if not any(backends.usable(daemon, name) for name
+    if not any(backends.is_usable(daemon, name) for name
                in backends.cell_engines(daemon, cell.name)):
         return shedding.refuse_arrival(
             daemon, cell, entry_host, request,
--- a/crocuskeel/core/dispatch/headroom.py
+++ b/crocuskeel/core/dispatch/headroom.py
@@ -29,7 +29,7 @@
     """Return how many free slots the lower tiers must leave free."""
     wanted = math.ceil(
         cell.headroom_factor * math.sqrt(cell.top_tier_running))
-    most = int(MAX_SHARE * engine_selection.slots(daemon, cell, now))
+    most = int(MAX_SHARE * engine_selection.usable_slots(daemon, cell, now))
     return min(wanted, most)
 
 
--- a/crocuskeel/core/dispatch/limits.py
+++ b/crocuskeel/core/dispatch/limits.py
@@ -67,7 +67,7 @@
     tree = daemon.follower.tree
     if backend is None or tree is None:
         return DEFAULT_SLOTS
-    policy = conf.service(tree, backend.service)
+    policy = conf.find_service(tree, backend.service)
     return policy.max_slots_per_engine if policy else DEFAULT_SLOTS
 
 
--- a/crocuskeel/core/dispatch/ownership.py
+++ b/crocuskeel/core/dispatch/ownership.py
@@ -143,7 +143,7 @@
 def _is_dead(daemon, host):
     if host == daemon.me.host:
         return False
-    info = membership.info(daemon, host)
+    info = membership.member_info(daemon, host)
     return info is None or info.status == "dead"
 
 
--- a/crocuskeel/core/dispatch/shedding.py
+++ b/crocuskeel/core/dispatch/shedding.py
@@ -84,13 +84,14 @@
 def shed_lower_tiers(daemon, cell, tier, now):
     """Cut every lower tier down to its protected queue sizes."""
     out = []
-    slots = engine_selection.most_slots(daemon, cell)
+    slots = engine_selection.max_slots(daemon, cell)
     for key in [key for key, waiting in cell.suspects.items()
                 if waiting.ask.tier > tier]:
         out += _remove_and_refuse(
             daemon, cell, key, problems.Reason.OVERLOAD, now)
     for class_queue in _lower_tiers(cell, tier):
-        while class_queue.waiting > floors.seats(class_queue, slots):
+        while class_queue.waiting > floors.protected_queue_size(
+                class_queue, slots):
             key = _newest_of_largest_flow(class_queue)
             out += _remove_and_refuse(
                 daemon, cell, key, problems.Reason.OVERLOAD, now)
@@ -143,10 +144,11 @@
     Only attempts beyond the protected queue sizes are considered, of the
     class that most exceeds its fair share; None if there are none.
     """
-    slots = engine_selection.most_slots(daemon, cell)
+    slots = engine_selection.max_slots(daemon, cell)
     class_queues = [
         class_queue for class_queue in _lower_tiers(cell, tier)
-        if class_queue.waiting > floors.seats(class_queue, slots)]
+        if class_queue.waiting > floors.protected_queue_size(
+            class_queue, slots)]
     if not class_queues:
         return None
     lowest = max(class_queue.tier for class_queue in class_queues)
@@ -211,6 +213,6 @@
     if not recent:
         return False
     class_queue = cell.classes.get(request.class_name)
-    slots = engine_selection.most_slots(daemon, cell)
+    slots = engine_selection.max_slots(daemon, cell)
     return class_queue is not None and (
-        class_queue.waiting >= floors.seats(class_queue, slots))
+        class_queue.waiting >= floors.protected_queue_size(class_queue, slots))
--- a/crocuskeel/core/door/claim_keys.py
+++ b/crocuskeel/core/door/claim_keys.py
@@ -23,4 +23,4 @@
 def owner_of(daemon, key):
     """Return the host that records the claims of the key's slot."""
     slot = slot_of(daemon, key)
-    return claims.owner_of(slot, membership.live(daemon))
+    return claims.slot_owner(slot, membership.live(daemon))
--- a/crocuskeel/core/door/claim_lookup.py
+++ b/crocuskeel/core/door/claim_lookup.py
@@ -96,7 +96,7 @@
     wait = lookup.problem.retry_after_s
     if outcome is problems.Outcome.UNKNOWN and lookup.key:
         wait = max(wait, MIN_RETRY_AFTER_S)
-    found = problems.problem(reason, outcome, lookup.problem.detail, wait)
+    found = problems.new_problem(reason, outcome, lookup.problem.detail, wait)
     out = [effects.Answer(rid, found, lookup.location) for rid in lookup.rids]
     fields = (("reason", str(reason)), ("outcome", str(outcome)),
               ("class", lookup.class_name))
--- a/crocuskeel/core/door/completion.py
+++ b/crocuskeel/core/door/completion.py
@@ -24,7 +24,7 @@
 def refuse_arrival(rid, reason, detail="", retry_after_s=0.0,
                    class_name="", location=""):
     """Refuse a request that was not admitted."""
-    found = problems.problem(
+    found = problems.new_problem(
         reason, problems.Outcome.NOT_RUN, detail, retry_after_s)
     fields = (("reason", str(reason)), ("class", class_name))
     return [effects.Answer(rid, found, location),
@@ -119,7 +119,7 @@
     ``outcome`` defaults to the combined outcome of all its attempts.
     """
     req.outcome = req.outcome if outcome is None else outcome
-    found = problems.problem(reason, req.outcome, detail, retry_after_s)
+    found = problems.new_problem(reason, req.outcome, detail, retry_after_s)
     if claim_lookup.needs_lookup(found) and not (
             req.repeatable or req.claimed):
         return _fail_after_lookup(daemon, req, found, now)
--- a/crocuskeel/core/door/granting.py
+++ b/crocuskeel/core/door/granting.py
@@ -71,7 +71,7 @@
     req.alone = alone
     req.granted_at = now
     out = [reporting.record(req, "granted", now, alone=alone)]
-    if not backends.usable(daemon, engine):
+    if not backends.is_usable(daemon, engine):
         return out + _requeue_elsewhere(daemon, req, now)
     if req.repeatable or req.claimed:
         return out + running.open_attempt(daemon, req, now)
@@ -80,7 +80,7 @@
 
 def claim_granted(daemon, req, now):
     """Open the attempt after its claim was recorded."""
-    if not backends.usable(daemon, req.engine):
+    if not backends.is_usable(daemon, req.engine):
         return _requeue_elsewhere(daemon, req, now)
     return running.open_attempt(daemon, req, now)
 
--- a/crocuskeel/core/door/local_granting.py
+++ b/crocuskeel/core/door/local_granting.py
@@ -81,7 +81,7 @@
         return ""
     names = {name for name in free if name not in req.avoid}
     usable = (name for name in backends.cell_engines(daemon, req.cell)
-              if backends.usable(daemon, name))
+              if backends.is_usable(daemon, name))
     if not names and req.avoid and set(usable) <= set(req.avoid):
         # All usable engines are avoided: retrying on one of them is
         # better than no answer.
@@ -102,13 +102,13 @@
         used[engine] = used.get(engine, 0) + 1
     return {name: used.get(name, 0)
             for name in backends.cell_engines(daemon, cell)
-            if backends.usable(daemon, name)
+            if backends.is_usable(daemon, name)
             and used.get(name, 0) < slot_share(daemon, name)}
 
 
 def slot_share(daemon, engine):
     """Return how many slots of an engine this host may grant locally."""
-    hosts = max(1, len(membership.everyone(daemon)))
+    hosts = max(1, len(membership.all_members(daemon)))
     return max(1, _slot_count(daemon, engine) // hosts)
 
 
@@ -117,5 +117,5 @@
     tree = daemon.follower.tree
     if backend is None or tree is None:
         return DEFAULT_SLOTS
-    service = conf.service(tree, backend.service)
+    service = conf.find_service(tree, backend.service)
     return service.max_slots_per_engine if service else DEFAULT_SLOTS
--- a/crocuskeel/core/door/locating.py
+++ b/crocuskeel/core/door/locating.py
@@ -54,7 +54,7 @@
 
 
 def _info(daemon, host):
-    found = membership.info(daemon, host)
+    found = membership.member_info(daemon, host)
     if found is None and host == daemon.me.host:
         me = daemon.me
         return messages.MemberUpdate(
--- a/crocuskeel/core/door/models.py
+++ b/crocuskeel/core/door/models.py
@@ -20,7 +20,7 @@
     """
     if policy.kind == "plain":
         return Ok("")
-    service = conf.service(daemon.follower.tree, policy.service)
+    service = conf.find_service(daemon.follower.tree, policy.service)
     if service is None or not service.models:
         return Ok("")
     names = [model.partition(_VERSION)[0] for model in service.models]
--- a/crocuskeel/core/door/queueing.py
+++ b/crocuskeel/core/door/queueing.py
@@ -33,7 +33,7 @@
     to the dispatcher that already knows it.
     """
     key = str(arrival.prefix) if arrival.prefix else arrival.fingerprint
-    return backends.cell_for(daemon, service, key)
+    return backends.assign_cell(daemon, service, key)
 
 
 def get_cell_state(daemon, cell, now):
--- a/crocuskeel/core/door/replaying.py
+++ b/crocuskeel/core/door/replaying.py
@@ -89,8 +89,8 @@
 
 
 def _answer_duplicate(rid, outcome, retry_after_s=0.0):
-    found = problems.problem(Reason.DUPLICATE, outcome,
-                             retry_after_s=retry_after_s)
+    found = problems.new_problem(Reason.DUPLICATE, outcome,
+                                 retry_after_s=retry_after_s)
     fields = (("reason", str(Reason.DUPLICATE)),
               ("outcome", str(outcome)))
     return [effects.Answer(rid, found),
@@ -184,7 +184,7 @@
 
 
 def _answer_stream_unknown(rid):
-    found = problems.problem(Reason.STREAM_UNKNOWN, Outcome.UNKNOWN)
+    found = problems.new_problem(Reason.STREAM_UNKNOWN, Outcome.UNKNOWN)
     fields = (("reason", str(Reason.STREAM_UNKNOWN)),
               ("outcome", str(Outcome.UNKNOWN)))
     return [effects.Answer(rid, found),
--- a/crocuskeel/core/door/reporting.py
+++ b/crocuskeel/core/door/reporting.py
@@ -2,7 +2,7 @@
 
 from crocuskeel.core import effects
 
-__all__ = ["count", "record", "refused", "served", "span", "wasted"]
+__all__ = ["count", "record", "refused", "served", "timing", "wasted"]
 
 
 def record(req, kind, now, **extra):
@@ -26,7 +26,7 @@
     return effects.Measure(name, value)
 
 
-def span(name, seconds):
+def timing(name, seconds):
     """Return a timing; statsd expects milliseconds."""
     return effects.Measure(name, seconds * 1000.0, "ms")
 
@@ -52,9 +52,9 @@
     attained = in_time and steady and bool(
         req.watchers or not req.caller_gone)
     out = [count(f"{name}.answered"),
-           span(f"{name}.ttft", req.ttft_s)]
+           timing(f"{name}.ttft", req.ttft_s)]
     if closed.itl_s:
-        out.append(span(f"{name}.itl", closed.itl_s))
+        out.append(timing(f"{name}.itl", closed.itl_s))
     out.append(count(f"{name}.attained", int(attained)))
     if attained:
         out.append(count(f"{name}.goodput", work_units(req, closed.tokens)))
--- a/crocuskeel/core/entry/duty_lease.py
+++ b/crocuskeel/core/entry/duty_lease.py
@@ -60,7 +60,7 @@
 
 def may_act(duties, now):
     """Return whether this host may do the duties now."""
-    return is_holder(duties) and leases.fresh(duties.lease_state, now)
+    return is_holder(duties) and leases.is_valid(duties.lease_state, now)
 
 
 def acts_until(duties):
@@ -76,7 +76,7 @@
 def step(host, now):
     """Renew the lease, or try to acquire it when it is this host's turn."""
     duties = host.duties
-    out = leases.notice_clock(duties.lease_state, now)
+    out = leases.detect_pause(duties.lease_state, now)
     lease = duties.lease_state.lease
     if duties.lease_state.stopping and not lease.unsettled:
         return _log_records(out + _release(duties, now))
@@ -129,7 +129,7 @@
     if duties is None:
         return []
     candidate = duties.lease_state
-    out = leases.notice_clock(candidate, now)
+    out = leases.detect_pause(candidate, now)
     fence = candidate.lease.fence
     out += handler(candidate, event, now)
     if candidate.lease.fence != fence:
@@ -197,7 +197,7 @@
     """Release the lease once no call of a duty is in progress."""
     candidate = duties.lease_state
     lease = candidate.lease
-    if duties.releasing or lease.open_call or not leases.fresh(
+    if duties.releasing or lease.open_call or not leases.is_valid(
             candidate, now):
         return []
     if any(call.in_progress for call in duties.calls.values()):
--- a/crocuskeel/core/follower/__init__.py
+++ b/crocuskeel/core/follower/__init__.py
@@ -1,10 +1,10 @@
 """Settings follower: learns of new generations and adopts them in order."""
 
 from crocuskeel.core.follower.handlers import handle
-from crocuskeel.core.follower.handlers import hear
-from crocuskeel.core.follower.parking import forget
+from crocuskeel.core.follower.handlers import record_peer_generation
+from crocuskeel.core.follower.parking import drop_parked
 from crocuskeel.core.follower.parking import park
-from crocuskeel.core.follower.parking import unpark
+from crocuskeel.core.follower.parking import take_released
 from crocuskeel.core.follower.state import caller
 from crocuskeel.core.follower.state import FollowerState
 from crocuskeel.core.follower.state import generation
@@ -12,5 +12,6 @@
 from crocuskeel.core.follower.state import policy
 from crocuskeel.core.follower.state import ready
 
-__all__ = ["FollowerState", "caller", "forget", "generation", "handle",
-           "hear", "new_state", "park", "policy", "ready", "unpark"]
+__all__ = ["FollowerState", "caller", "drop_parked", "generation", "handle",
+           "new_state", "park", "policy", "ready", "record_peer_generation",
+           "take_released"]
--- a/crocuskeel/core/follower/handlers.py
+++ b/crocuskeel/core/follower/handlers.py
@@ -20,7 +20,7 @@
 from crocuskeel.core import messages
 from crocuskeel.core import placement
 
-__all__ = ["handle", "hear"]
+__all__ = ["handle", "record_peer_generation"]
 
 WATCHERS = 3
 WATCH_TIMEOUT_S = 4.0
@@ -34,7 +34,7 @@
 _HEAD = ("follower", "head")
 
 
-def hear(daemon, event, now):
+def record_peer_generation(daemon, event, now):
     """Record a peer's generation; return effects.
 
     Called for each message before the message itself is handled.
@@ -186,7 +186,7 @@
     if not state.head:
         return []
     head = storage.decode_head(state.head)
-    digests = [storage.delta_of(head, number)
+    digests = [storage.find_delta_digest(head, number)
                for number in range(request.have + 1, head.generation + 1)]
     deltas = [state.deltas.get(digest) for digest in digests]
     blobs = () if None in deltas else tuple(p.blob for p in deltas)
@@ -204,7 +204,7 @@
         return []
     _record_newer(daemon.follower, head.generation, now)
     numbers = range(answer.base + 1, head.generation + 1)
-    digests = [storage.delta_of(head, number) for number in numbers]
+    digests = [storage.find_delta_digest(head, number) for number in numbers]
     received = [conf.Part(digest, blob)
                 for digest, blob in zip(digests, answer.deltas) if digest]
     return loading.start_load(daemon, head, sender, received)
--- a/crocuskeel/core/follower/loading.py
+++ b/crocuskeel/core/follower/loading.py
@@ -78,7 +78,8 @@
     if load.use_index or have == 0:
         return None
     wanted = range(have + 1, load.head.generation + 1)
-    digests = [storage.delta_of(load.head, number) for number in wanted]
+    digests = [storage.find_delta_digest(load.head, number)
+               for number in wanted]
     return None if None in digests else digests
 
 
@@ -116,7 +117,7 @@
     tree = _base_tree(daemon.follower)
     for digest in digests:
         delta = storage.decode_delta(load.parts[digest])
-        advanced = storage.advance(tree, delta)
+        advanced = storage.apply_delta(tree, delta)
         if advanced.is_err():
             return None
         tree = advanced.unwrap()
--- a/crocuskeel/core/follower/parking.py
+++ b/crocuskeel/core/follower/parking.py
@@ -8,7 +8,7 @@
 from crocuskeel.core import events
 from crocuskeel.core.follower import state as states
 
-__all__ = ["forget", "park", "release", "unpark"]
+__all__ = ["drop_parked", "park", "release", "take_released"]
 
 _PARKABLE_EVENTS = (events.RequestArrived, events.ResumeArrived)
 
@@ -30,7 +30,7 @@
     return True
 
 
-def forget(daemon, event):
+def drop_parked(daemon, event):
     """Drop the parked arrival of a caller that disconnected.
 
     Return whether there was one.
@@ -46,7 +46,7 @@
     state.parked.clear()
 
 
-def unpark(daemon):
+def take_released(daemon):
     """Return the released arrivals and clear them."""
     state = daemon.follower
     released = state.released
--- a/crocuskeel/core/leadership/lease.py
+++ b/crocuskeel/core/leadership/lease.py
@@ -24,8 +24,8 @@
 from crocuskeel.core.leadership import events
 from crocuskeel.core.leadership import state as states
 
-__all__ = ["ends_at", "fresh", "lapses_at", "note_version", "notice_clock",
-           "on_read", "on_written", "release", "seen_fence", "step",
+__all__ = ["check_fence", "detect_pause", "ends_at", "is_valid", "lapses_at",
+           "note_version", "on_read", "on_written", "release", "step",
            "step_down"]
 
 _NONCE_BITS = 128
@@ -61,7 +61,7 @@
         return _Stored("?", "?", 0, _UNKNOWN_SPAN_S, _UNKNOWN_SPAN_S)
 
 
-def fresh(state, now):
+def is_valid(state, now):
     """Return whether this process may act as the holder now."""
     lease = state.lease
     return (lease.holding and lease.confirmed_at >= lease.doubted_at
@@ -92,7 +92,7 @@
     return lease.seen_at + max(cfg.span_s, lease.span_s) + cfg.margin_s
 
 
-def notice_clock(state, now):
+def detect_pause(state, now):
     """Detect a pause of this process and stop relying on the lease.
 
     It has to be called before anything else. After a pause, a holder's
@@ -125,7 +125,7 @@
 
 def _detect_lapse(state, now):
     lease = state.lease
-    lapsed = lease.holding and not fresh(state, now)
+    lapsed = lease.holding and not is_valid(state, now)
     changed, lease.lapsed = lapsed != lease.lapsed, lapsed
     if not (changed and lapsed):
         return []
@@ -249,7 +249,7 @@
 
 # Loss of the lease.
 
-def seen_fence(state, fence, now):
+def check_fence(state, fence, now):
     """Step down if an engine has seen the token of a newer holder."""
     if state.lease.holding and fence > state.lease.fence:
         return step_down(state, fence, now)
--- a/crocuskeel/core/membership/handlers.py
+++ b/crocuskeel/core/membership/handlers.py
@@ -10,7 +10,7 @@
 from crocuskeel.core.membership import updates
 from crocuskeel.core import messages
 
-__all__ = ["handle", "hear"]
+__all__ = ["handle", "record_contact"]
 
 _PREFIX = "members"
 
@@ -47,7 +47,7 @@
     return []
 
 
-def hear(daemon, event, now):
+def record_contact(daemon, event, now):
     """Record contact with a member; any of its messages counts."""
     state = daemon.members
     member = state.members.get(event.sender)
@@ -62,7 +62,7 @@
     state = daemon.members
     if state.superseded or event.sender == state.me.host:
         return []
-    hear(daemon, event, now)
+    record_contact(daemon, event, now)
     member = state.members.get(event.sender)
     if member and event.incarnation < member.update.incarnation:
         return _reject_old_incarnation(event, member)
@@ -120,5 +120,5 @@
 def _start_leaving(daemon):
     state = daemon.members
     state.me = dataclasses.replace(state.me, status=st.LEAVING)
-    st.changed(state)
+    st.invalidate_caches(state)
     return gossip.send_urgent(daemon, state.me.host)
--- a/crocuskeel/core/membership/state.py
+++ b/crocuskeel/core/membership/state.py
@@ -5,9 +5,9 @@
 from crocuskeel.core import messages
 
 __all__ = ["ALIVE", "DEAD", "LEAVING", "SUSPECT", "Member",
-           "MembershipState", "PendingProbe", "Relay", "changed", "everyone",
-           "has_left", "info", "is_live", "live", "new_state", "peers",
-           "set_load"]
+           "MembershipState", "PendingProbe", "Relay", "all_members",
+           "has_left", "invalidate_caches", "is_live", "live",
+           "member_info", "new_state", "peers", "set_load"]
 
 ALIVE = "alive"
 LEAVING = "leaving"
@@ -107,7 +107,7 @@
     return MembershipState(me=me, seeds=seeds)
 
 
-def changed(state):
+def invalidate_caches(state):
     """Drop the cached values derived from the members."""
     state.live_cache = None
     state.peers_cache = None
@@ -139,7 +139,7 @@
     return state.live_cache
 
 
-def info(daemon, host):
+def member_info(daemon, host):
     """Return the newest ``MemberUpdate`` of a host or None."""
     state = daemon.members
     if host == state.me.host:
@@ -165,7 +165,7 @@
             and member.update.status == DEAD)
 
 
-def everyone(daemon):
+def all_members(daemon):
     """Return the ``MemberUpdate`` of every known host, dead or alive."""
     state = daemon.members
     others = sorted(state.members)
--- a/crocuskeel/core/membership/updates.py
+++ b/crocuskeel/core/membership/updates.py
@@ -96,7 +96,7 @@
     if state.superseded:
         return []
     state.superseded = True
-    st.changed(state)
+    st.invalidate_caches(state)
     return [effects.Record("host_superseded", "",
                            (("host", state.me.host),))]
 
@@ -108,7 +108,7 @@
     state.members[update.host] = st.Member(
         update, leaving=update.status == st.LEAVING, heard_at=now)
     _add_to_round(daemon, update.host)
-    st.changed(state)
+    st.invalidate_caches(state)
     gossip.enqueue(daemon, update.host)
     return [_record("member_joined", update)]
 
@@ -132,7 +132,7 @@
     member.compact_update = None
     member.leaving = member.leaving or update.status == st.LEAVING
     if _affects_live_hosts(known, update):
-        st.changed(state)
+        st.invalidate_caches(state)
     gossip.enqueue(daemon, update.host)
     if update.status == st.SUSPECT:
         return [_record("member_suspect", update),
--- a/crocuskeel/core/problems.py
+++ b/crocuskeel/core/problems.py
@@ -1,13 +1,13 @@
 """Refusal codes and outcomes that callers see (RFC 9457 problem details).
 
-Every refusal names one :class:`Reason`; ``TABLE`` gives its HTTP status
-and title.
+Every refusal names one :class:`Reason`; ``PROBLEM_TYPES`` gives its HTTP
+status and title.
 """
 
 import dataclasses
 import enum
 
-__all__ = ["Outcome", "Problem", "Reason", "TABLE", "problem"]
+__all__ = ["Outcome", "PROBLEM_TYPES", "Problem", "Reason", "new_problem"]
 
 
 class Outcome(enum.StrEnum):
@@ -52,7 +52,7 @@
     title: str
 
 
-TABLE = {
+PROBLEM_TYPES = {
     Reason.UNAUTHORIZED: ProblemType(401, "The bearer token is not known"),
     Reason.BAD_REQUEST: ProblemType(400, "The request can't be understood"),
     Reason.TOO_LARGE: ProblemType(413, "The request is over its size limit"),
@@ -96,7 +96,7 @@
     retry_after_s: float = 0.0
 
 
-def problem(reason, outcome=Outcome.NOT_RUN, detail="",
-            retry_after_s=0.0):
+def new_problem(reason, outcome=Outcome.NOT_RUN, detail="",
+                retry_after_s=0.0):
     """Build a :class:`Problem`."""
     return Problem(reason, outcome, detail, retry_after_s)
--- a/crocuskeel/core/reducer.py
+++ b/crocuskeel/core/reducer.py
@@ -81,14 +81,14 @@
         current = pending.popleft()
         if follower.park(daemon, current, now):
             continue
-        if follower.forget(daemon, current):
+        if follower.drop_parked(daemon, current):
             continue
         for effect in _step(daemon, current, now):
             if _is_to_self(daemon, effect):
                 pending.append(_received_from_self(daemon, effect))
             else:
                 out.append(effect)
-        pending.extend(follower.unpark(daemon))
+        pending.extend(follower.take_released(daemon))
         if _must_drain(daemon):
             pending.append(events.DrainAsked())
     return out
@@ -105,8 +105,8 @@
         # Any message may carry a newer settings generation; the follower
         # handles it before the message itself is processed. Any message
         # also shows that its sender is alive.
-        out = follower.hear(daemon, event, now)
-        membership.hear(daemon, event, now)
+        out = follower.record_peer_generation(daemon, event, now)
+        membership.record_contact(daemon, event, now)
         kind = type(event.message)
     else:
         out = []
--- a/crocuskeel/ctl/client.py
+++ b/crocuskeel/ctl/client.py
@@ -29,8 +29,8 @@
     """``hosts`` are ``address:port``, tried in order.
 
     ``send(method, url, headers, data, timeout)`` returns a Deferred of
-    a ``objectapi.HttpAnswer``, or fails with ``objectapi.NotSent`` or
-    ``objectapi.AnswerLost``.
+    a ``objectapi.HttpResponse``, or fails with ``objectapi.NotSent`` or
+    ``objectapi.ResponseLost``.
     """
 
     hosts: tuple[str, ...]
@@ -102,7 +102,7 @@
         response = await client.send(method, url, headers, data, timeout)
     except objectapi.NotSent as exc:
         return _HostFailure(host, f"not reached: {exc}", False)
-    except objectapi.AnswerLost as exc:
+    except objectapi.ResponseLost as exc:
         return _HostFailure(host, f"no response: {exc}", True)
     return _parse_response(host, response)
 
--- a/crocuskeel/ctl/editing.py
+++ b/crocuskeel/ctl/editing.py
@@ -143,7 +143,7 @@
 
 
 def _init_result(url, batch, result):
-    if isinstance(result, commit.Done):
+    if isinstance(result, commit.Committed):
         return Ok(Report(
             f"stored as generation {result.generation}\n",
             {"generation": result.generation, "batch_id": batch.id}))
--- a/crocuskeel/objectapi/__init__.py
+++ b/crocuskeel/objectapi/__init__.py
@@ -2,14 +2,14 @@
 
 from crocuskeel.objectapi.client import ClientConfig
 from crocuskeel.objectapi.client import new_client
-from crocuskeel.objectapi.exceptions import AnswerLost
 from crocuskeel.objectapi.exceptions import NotSent
+from crocuskeel.objectapi.exceptions import ResponseLost
 from crocuskeel.objectapi.exceptions import TransportError
 from crocuskeel.objectapi.results import Conflict
 from crocuskeel.objectapi.results import Found
 from crocuskeel.objectapi.results import HostEntry
 from crocuskeel.objectapi.results import HostList
-from crocuskeel.objectapi.results import HttpAnswer
+from crocuskeel.objectapi.results import HttpResponse
 from crocuskeel.objectapi.results import NotFound
 from crocuskeel.objectapi.results import ObjectList
 from crocuskeel.objectapi.results import ObjectRef
@@ -21,9 +21,8 @@
 from crocuskeel.objectapi.transport import new_treq_send
 
 __all__ = [
-    "AnswerLost", "ClientConfig", "Conflict", "Found", "HostEntry",
-    "HostList", "HttpAnswer", "NotFound", "NotSent", "ObjectList",
-    "ObjectRef", "Rejected", "TransportError", "Unavailable",
-    "Unchanged", "WriteUnknown", "Written", "new_client",
-    "new_treq_send",
+    "ClientConfig", "Conflict", "Found", "HostEntry", "HostList",
+    "HttpResponse", "NotFound", "NotSent", "ObjectList", "ObjectRef",
+    "Rejected", "ResponseLost", "TransportError", "Unavailable", "Unchanged",
+    "WriteUnknown", "Written", "new_client", "new_treq_send",
 ]
--- a/crocuskeel/objectapi/client.py
+++ b/crocuskeel/objectapi/client.py
@@ -208,7 +208,7 @@
             return results.Unavailable(responses.NOT_SENT), False
         except defer.CancelledError:
             return responses.lost_result(is_write, responses.CANCELLED), False
-        except (exceptions.AnswerLost, defer.TimeoutError):
+        except (exceptions.ResponseLost, defer.TimeoutError):
             return responses.lost_result(is_write, responses.LOST), False
         return responses.classify(call.parse, response, is_write)
 
@@ -217,7 +217,7 @@
     """Return a client.
 
     ``send(method, url, headers, data, timeout_s)`` returns a Deferred of
-    an ``HttpAnswer`` that fails with ``NotSent`` or ``AnswerLost``;
+    an ``HttpResponse`` that fails with ``NotSent`` or ``ResponseLost``;
     ``rng`` is a ``random.Random`` whose seed differs on each host.
     """
     budget = token_buckets.new_token_bucket(
--- a/crocuskeel/objectapi/exceptions.py
+++ b/crocuskeel/objectapi/exceptions.py
@@ -4,7 +4,7 @@
 the types in :mod:`crocuskeel.objectapi.results`.
 """
 
-__all__ = ["AnswerLost", "NotSent", "TransportError"]
+__all__ = ["NotSent", "ResponseLost", "TransportError"]
 
 
 class TransportError(Exception):
@@ -15,5 +15,5 @@
     """No byte of the request was sent; it had no effect."""
 
 
-class AnswerLost(TransportError):
+class ResponseLost(TransportError):
     """The request may have been sent; a write may have taken effect."""
--- a/crocuskeel/objectapi/results.py
+++ b/crocuskeel/objectapi/results.py
@@ -3,16 +3,16 @@
 import dataclasses
 
 __all__ = [
-    "Conflict", "Found", "HostEntry", "HostList", "HttpAnswer",
-    "NotFound", "ObjectList", "ObjectRef", "ReadResult", "Rejected",
-    "Unavailable", "Unchanged", "WriteResult", "WriteUnknown", "Written",
+    "Conflict", "Found", "HostEntry", "HostList", "HttpResponse", "NotFound",
+    "ObjectList", "ObjectRef", "ReadResult", "Rejected", "Unavailable",
+    "Unchanged", "WriteResult", "WriteUnknown", "Written",
 ]
 
 _result = dataclasses.dataclass(frozen=True, slots=True)
 
 
 @_result
-class HttpAnswer:
+class HttpResponse:
     """An HTTP response; the keys of ``headers`` are lower case."""
 
     status: int
--- a/crocuskeel/objectapi/transport.py
+++ b/crocuskeel/objectapi/transport.py
@@ -29,8 +29,8 @@
                   connect_timeout_s=_CONNECT_TIMEOUT_S):
     """Return ``send(method, url, headers, data, timeout_s)``.
 
-    It returns a Deferred that fires with an ``HttpAnswer`` or fails with
-    ``NotSent`` or ``AnswerLost``. ``timeout_s`` bounds the call.
+    It returns a Deferred that fires with an ``HttpResponse`` or fails with
+    ``NotSent`` or ``ResponseLost``. ``timeout_s`` bounds the call.
     """
     pool = web_client.HTTPConnectionPool(reactor)
     pool.maxPersistentPerHost = max_connections
@@ -46,7 +46,7 @@
         response = await http.request(
             method, url, headers=headers, data=data)
         body = await response.content()
-        return results.HttpAnswer(
+        return results.HttpResponse(
             response.code, _normalize_headers(response.headers), body)
 
     async def send(method, url, headers, data, timeout_s):
@@ -58,7 +58,7 @@
         except _NOT_SENT as exc:
             raise exceptions.NotSent(str(exc)) from exc
         except Exception as exc:
-            raise exceptions.AnswerLost(repr(exc)) from exc
+            raise exceptions.ResponseLost(repr(exc)) from exc
 
     def start(method, url, headers, data, timeout_s):
         return defer.Deferred.fromCoroutine(
--- a/crocuskeel/ops/binding.py
+++ b/crocuskeel/ops/binding.py
@@ -16,9 +16,9 @@
     routes.register(app, routes.Runtime(
         reactor=ctx.reactor,
         daemon=ctx.daemon,
-        ring=lambda: records.recent(ctx)[0],
+        ring=lambda: records.recent_events(ctx)[0],
         feed=lambda event: loop.feed(ctx, event),
-        record=lambda effect: records.note(
+        record=lambda effect: records.record_event(
             ctx, effect.kind, effect.rid, **dict(effect.fields)),
         platform=lambda: ctx.platform,
     ))
--- a/crocuskeel/ops/changes.py
+++ b/crocuskeel/ops/changes.py
@@ -101,7 +101,7 @@
 
 def new_response(batch, result):
     """Return the response to an operator for a finished commit."""
-    if isinstance(result, commit.Done):
+    if isinstance(result, commit.Committed):
         return Accepted(result.generation, batch.id)
     return Rejected(
         batch.id, result.reason.value, result.outcome.value, result.detail,
--- a/crocuskeel/ops/overview.py
+++ b/crocuskeel/ops/overview.py
@@ -132,7 +132,7 @@
             domain=each.domain, region=each.region,
             address=each.address, door_port=each.door_port,
             load=each.load)
-        for each in sorted(membership.everyone(daemon),
+        for each in sorted(membership.all_members(daemon),
                            key=lambda each: each.host))
 
 
@@ -149,7 +149,7 @@
         CellStatus(
             cell=name, dispatcher=placement.owner(name, live),
             engines=len(engines),
-            usable=sum(backends.usable(daemon, engine)
+            usable=sum(backends.is_usable(daemon, engine)
                        for engine in engines),
             tiers=_tiers(_dispatched_cell(daemon, name)))
         for name, engines in sorted(daemon.backends.cells.items()))
@@ -193,7 +193,7 @@
 
 
 def _engine_state(daemon, name, view, now):
-    if not backends.usable(daemon, name):
+    if not backends.is_usable(daemon, name):
         return "leaving"
     if view is not None and view.off_until > now:
         return "off"
--- a/crocuskeel/ops/routes.py
+++ b/crocuskeel/ops/routes.py
@@ -220,7 +220,7 @@
 def _commit_record(batch, result):
     fields = [("batch", batch.id), ("author", batch.author),
               ("edits", len(batch.edits))]
-    if isinstance(result, commit.Done):
+    if isinstance(result, commit.Committed):
         fields.append(("to", result.generation))
         return effects.Record("settings_committed", "", tuple(fields))
     fields.append(("reason", result.reason.value))
--- a/crocuskeel/ops/store.py
+++ b/crocuskeel/ops/store.py
@@ -21,7 +21,7 @@
 
 async def run_commit(reactor, client, batch, tree, resent,
                      timeout_s=COMMIT_TIMEOUT_S):
-    """Commit a batch; return ``commit.Done`` or ``commit.Refused``.
+    """Commit a batch; return ``commit.Committed`` or ``commit.Refused``.
 
     ``client`` is a platform client, ``tree`` the newest generation that
     is known here; ``resent`` says that another host may have begun to
@@ -31,7 +31,7 @@
     deadline = reactor.seconds() + timeout_s
     wait_s = BACKOFF_S
     state, step = commit.new_commit(batch, tree, resent=resent)
-    while not isinstance(step, (commit.Done, commit.Refused)):
+    while not isinstance(step, (commit.Committed, commit.Refused)):
         if reactor.seconds() >= deadline:
             return _timed_out(state)
         result = await _execute(client, step)
@@ -111,7 +111,7 @@
         case objectapi.Written():
             return commit.HeadWritten()
         case objectapi.Conflict() | objectapi.NotFound():
-            return commit.HeadMoved()
+            return commit.HeadVersionConflict()
         case objectapi.WriteUnknown():
             return commit.OutcomeUnknown()
     return commit.StoreFailed()
--- a/crocuskeel/ops/values.py
+++ b/crocuskeel/ops/values.py
@@ -45,7 +45,7 @@
 
 def values(tree, workspace, class_name):
     """Return the :class:`Values`, None if either name is unknown."""
-    found = [(key, conf.origin(tree, workspace, class_name, key))
+    found = [(key, conf.find_origin(tree, workspace, class_name, key))
              for key in _KEYS]
     if any(origin is None for _key, origin in found):
         return None
--- a/crocuskeel/programs/control.py
+++ b/crocuskeel/programs/control.py
@@ -24,7 +24,7 @@
     """Run until a requested shutdown completes; return the exit code."""
     args = new_parser().parse_args(argv)
     cfg = arguments.read_settings(
-        args.settings, settings.read, exceptions.BadSettingsFile)
+        args.settings, settings.read, exceptions.SettingsFileError)
     if cfg is None:
         return arguments.EXIT_SETTINGS
     _run(*reactors.install(), cfg)
@@ -36,7 +36,7 @@
     from crocuskeel.control import event_loop
     from crocuskeel.runtime import records
 
-    records.begin_logs(cfg.log_file, cfg.cfg.host)
+    records.configure_logging(cfg.log_file, cfg.cfg.host)
     ctx = assembly.new_runtime(
         reactor, loop.time, time.time, cfg, reactor.stop)
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/crocuskeel/programs/daemon.py
+++ b/crocuskeel/programs/daemon.py
@@ -25,7 +25,7 @@
     """Run the daemon until it is drained; return the exit code."""
     args = new_parser().parse_args(argv)
     cfg = arguments.read_settings(
-        args.settings, settings.read, exceptions.BadSettingsFile)
+        args.settings, settings.read, exceptions.SettingsFileError)
     if cfg is None:
         return arguments.EXIT_SETTINGS
     return _run(*reactors.install(), cfg)
@@ -37,7 +37,7 @@
     from crocuskeel.runtime import program
     from crocuskeel.runtime import records
 
-    records.begin_logs(cfg.log_file, cfg.host)
+    records.configure_logging(cfg.log_file, cfg.host)
     ctx = program.new_runtime(reactor, cfg, time.time)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop_.add_signal_handler(
--- a/crocuskeel/runtime/bounded_request.py
+++ b/crocuskeel/runtime/bounded_request.py
@@ -50,7 +50,7 @@
 
     def _refuse(self):
         self.refused = True
-        problem = problems.problem(
+        problem = problems.new_problem(
             problems.Reason.TOO_LARGE,
             detail=f"a body may have {self.max_body} bytes")
         body = json.dumps(problem_bodies.as_dict(problem)).encode()
--- a/crocuskeel/runtime/callers.py
+++ b/crocuskeel/runtime/callers.py
@@ -175,7 +175,7 @@
     """End a request after an internal error of this program."""
     exchange = ctx.exchanges.get(rid)
     if exchange is not None:
-        end_with_problem(ctx, exchange, problems.problem(
+        end_with_problem(ctx, exchange, problems.new_problem(
             problems.Reason.INTERNAL, problems.Outcome.UNKNOWN))
 
 
--- a/crocuskeel/runtime/door.py
+++ b/crocuskeel/runtime/door.py
@@ -78,7 +78,7 @@
 
 def _refuse(req, reason, detail=""):
     problem_bodies.write_problem(
-        req, problems.problem(reason, detail=detail))
+        req, problems.new_problem(reason, detail=detail))
     return _unfinished()
 
 
@@ -95,7 +95,7 @@
     try:
         event = parse(req, exchange.rid, token, body)
     except exceptions.BadRequest as exc:
-        callers.end_with_problem(ctx, exchange, problems.problem(
+        callers.end_with_problem(ctx, exchange, problems.new_problem(
             problems.Reason.BAD_REQUEST, detail=str(exc)))
         return _unfinished()
     exchange.stream_requested = event.stream
@@ -110,7 +110,7 @@
     exchange = callers.new_exchange(ctx, req, token, event_id=event_id)
     if event_id is None or identity is None or not stream_ids.proof_matches(
             ctx.cfg.key, identity, event_id):
-        callers.end_with_problem(ctx, exchange, problems.problem(
+        callers.end_with_problem(ctx, exchange, problems.new_problem(
             problems.Reason.STREAM_UNKNOWN, problems.Outcome.UNKNOWN))
         return _unfinished()
     exchange.event_count = event_id.after
--- a/crocuskeel/runtime/exceptions.py
+++ b/crocuskeel/runtime/exceptions.py
@@ -1,14 +1,14 @@
 """Errors of the runtime."""
 
-__all__ = ["BadRequest", "BadSettingsFile", "LinkRefused",
-           "RuntimeLayerError", "TooLarge"]
+__all__ = ["BadRequest", "LinkRefused", "RuntimeLayerError",
+           "SettingsFileError", "TooLarge"]
 
 
 class RuntimeLayerError(Exception):
     """Base class of the runtime's errors."""
 
 
-class BadSettingsFile(RuntimeLayerError):
+class SettingsFileError(RuntimeLayerError):
     """The process settings file is invalid; the message says where."""
 
 
--- a/crocuskeel/runtime/ops.py
+++ b/crocuskeel/runtime/ops.py
@@ -47,11 +47,11 @@
     """Answer a request under ``/ops/``."""
     operation = ctx.ops.get((req.method, name))
     if operation is None:
-        return _refuse(req, problems.problem(
+        return _refuse(req, problems.new_problem(
             problems.Reason.BAD_REQUEST, detail=f"no operation {name}"))
     caller = follower.caller(ctx.daemon, parsing.token_hash(req))
     if caller is None or operation.role not in caller.roles:
-        return _refuse(req, problems.problem(
+        return _refuse(req, problems.new_problem(
             problems.Reason.UNAUTHORIZED,
             detail=f"the role {operation.role} is needed"))
     args = {key.decode("latin-1"): values[-1].decode("latin-1")
--- a/crocuskeel/runtime/peers.py
+++ b/crocuskeel/runtime/peers.py
@@ -148,7 +148,7 @@
 
 def address_of(ctx, host):
     """Return a host's (address, peer port), None if unknown."""
-    info = membership.info(ctx.daemon, host)
+    info = membership.member_info(ctx.daemon, host)
     if info is not None and info.peer_port:
         return info.address, info.peer_port
     for name, address, port in ctx.cfg.seeds:
--- a/crocuskeel/runtime/problem_bodies.py
+++ b/crocuskeel/runtime/problem_bodies.py
@@ -15,7 +15,7 @@
 
 def as_dict(problem):
     """Return the members of the problem's JSON object."""
-    problem_type = problems.TABLE[problem.reason]
+    problem_type = problems.PROBLEM_TYPES[problem.reason]
     return {
         "type": f"urn:crocuskeel:problem:{problem.reason}",
         "title": problem_type.title,
--- a/crocuskeel/runtime/program.py
+++ b/crocuskeel/runtime/program.py
@@ -107,7 +107,8 @@
         ctx.reactor, cfg.door_port, site, cfg.address)
     watchdog.start(ctx)
     polling.start(ctx)
-    records.note(ctx, "started", door=cfg.door_port, peers=cfg.peer_port)
+    records.record_event(
+        ctx, "started", door=cfg.door_port, peers=cfg.peer_port)
     loop.feed(ctx, events.Started())
 
 
@@ -128,7 +129,7 @@
         ctx.reactor.callLater(
             EXIT_CHECK_INTERVAL_S, _exit_when_idle, ctx, deadline)
         return
-    records.note(ctx, "stopped")
+    records.record_event(ctx, "stopped")
     records.flush(ctx)
     ctx.stopping = True
     links.stop(ctx)
--- a/crocuskeel/runtime/records.py
+++ b/crocuskeel/runtime/records.py
@@ -15,8 +15,8 @@
 from crocuskeel.objectapi import token_bucket as token_buckets
 from crocuskeel.timeline import hlc
 
-__all__ = ["Records", "begin_logs", "clock_stamp", "flush", "handlers",
-           "merge_clock", "new_records", "note", "recent"]
+__all__ = ["Records", "clock_stamp", "configure_logging", "flush", "handlers",
+           "merge_clock", "new_records", "recent_events", "record_event"]
 
 RING_EVENTS = 5000
 FLUSH_S = 0.2
@@ -56,7 +56,7 @@
         statsd_address=statsd_address)
 
 
-def begin_logs(log_file, host):
+def configure_logging(log_file, host):
     """Write logs as JSON lines to a file, by default standard error."""
     logger.remove()
     logger.configure(extra={"host": host, "line": ""})
@@ -125,7 +125,7 @@
     records.clock.merge(remote, records.wall_clock() * 1000)
 
 
-def note(ctx, kind, rid="", **fields):
+def record_event(ctx, kind, rid="", **fields):
     """Record an event of the runtime itself."""
     _record(ctx, effects.Record(kind, rid, tuple(fields.items())))
 
@@ -165,7 +165,7 @@
         logger.bind(line=lines).info("")
 
 
-def recent(ctx, after=0, limit=RING_EVENTS):
+def recent_events(ctx, after=0, limit=RING_EVENTS):
     """Return up to ``limit`` events after a number, and the last number."""
     rows = [event for number, event in ctx.records.ring
             if number > after][:limit]
--- a/crocuskeel/runtime/settings.py
+++ b/crocuskeel/runtime/settings.py
@@ -94,26 +94,26 @@
 
 
 def read(path):
-    """Read a settings file; raises :class:`BadSettingsFile`."""
+    """Read a settings file; raises :class:`SettingsFileError`."""
     path = pathlib.Path(path)
     try:
         text = path.read_text()
     except OSError as exc:
-        raise exceptions.BadSettingsFile(str(exc)) from exc
+        raise exceptions.SettingsFileError(str(exc)) from exc
     return parse(text, path.parent)
 
 
 def parse(text, folder):
     """Parse a settings text; file names are relative to ``folder``."""
     document = json_documents.load(
-        text, _VALIDATOR, exceptions.BadSettingsFile)
+        text, _VALIDATOR, exceptions.SettingsFileError)
     return _settings(document, pathlib.Path(folder))
 
 
 def _settings(document, folder):
     key = _read_secret(folder, document["key_file"])
     if len(key) < MIN_KEY_BYTES:
-        raise exceptions.BadSettingsFile(
+        raise exceptions.SettingsFileError(
             f"$.key_file: the key is shorter than {MIN_KEY_BYTES} bytes")
     platform = document.get("platform")
     token = _read_secret(folder, platform["token_file"]) if platform else b""
@@ -134,7 +134,7 @@
     try:
         return (folder / name).read_bytes().strip()
     except OSError as exc:
-        raise exceptions.BadSettingsFile(str(exc)) from exc
+        raise exceptions.SettingsFileError(str(exc)) from exc
 
 
 def identity(cfg, incarnation):
--- a/crocuskeel/runtime/watchdog.py
+++ b/crocuskeel/runtime/watchdog.py
@@ -31,7 +31,7 @@
     if late_s > MAX_LATE_S:
         # Data that arrived during the pause has not been read yet, so all
         # servers would look silent now. The next round checks them.
-        records.note(ctx, "paused", late_s=round(late_s, 3))
+        records.record_event(ctx, "paused", late_s=round(late_s, 3))
         return
     check(ctx)
 
--- a/crocuskeel/wire/exceptions.py
+++ b/crocuskeel/wire/exceptions.py
@@ -1,17 +1,17 @@
 """Errors of the wire layer."""
 
-__all__ = ["BadCode", "BadMessage", "OtherDeployment", "WireError"]
+__all__ = ["AuthenticationError", "BadMessage", "WireError", "WrongRecipient"]
 
 
 class WireError(Exception):
     """Base class of the wire layer's errors."""
 
 
-class BadCode(WireError):
+class AuthenticationError(WireError):
     """The authentication code is invalid: the sender lacks the key."""
 
 
-class OtherDeployment(WireError):
+class WrongRecipient(WireError):
     """The message is for another deployment or receiver."""
 
 
--- a/crocuskeel/wire/seal.py
+++ b/crocuskeel/wire/seal.py
@@ -34,7 +34,7 @@
 def open_sealed(key, sealed, deployment, receiver):
     """Return the ``Batch`` of a ``Sealed`` message.
 
-    Raises :class:`BadCode`, :class:`OtherDeployment` or
+    Raises :class:`AuthenticationError`, :class:`WrongRecipient` or
     :class:`BadMessage`. An empty receiver in the batch means any host,
     as in a first probe to an address whose host is not known yet.
     """
@@ -43,14 +43,14 @@
     try:
         _new_mac(key, sealed.body).verify(sealed.code)
     except crypto_exceptions.InvalidSignature as exc:
-        raise exceptions.BadCode(
+        raise exceptions.AuthenticationError(
             "invalid message authentication code") from exc
     try:
         batch = pb.Batch.FromString(sealed.body)
     except pb_message.DecodeError as exc:
         raise exceptions.BadMessage("batch can't be decoded") from exc
     if batch.deployment != deployment:
-        raise exceptions.OtherDeployment(batch.deployment)
+        raise exceptions.WrongRecipient(batch.deployment)
     if batch.receiver not in ("", receiver):
-        raise exceptions.OtherDeployment(batch.receiver)
+        raise exceptions.WrongRecipient(batch.receiver)
     return batch
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -75,7 +75,7 @@
             for event in received:
                 backends.handle(daemon, event, 0.0)
             with self.subTest(description):
-                self.assertEqual(is_usable, backends.usable(daemon, "e1"))
+                self.assertEqual(is_usable, backends.is_usable(daemon, "e1"))
 
     def test_leaving_is_told_to_all_once(self):
         daemon = _daemon()
@@ -96,7 +96,7 @@
         daemon = _daemon()
         server = _backend("e1")
         backends.handle(daemon, _news(4, servers=(server,)), 0.0)
-        self.assertTrue(backends.usable(daemon, "e1"))
+        self.assertTrue(backends.is_usable(daemon, "e1"))
         out = backends.handle(daemon, events.Received(
             "h2", 1, messages.HostListAsk(-1)), 0.0)
         self.assertEqual(
--- a/tests/conf/test_commit.py
+++ b/tests/conf/test_commit.py
@@ -65,7 +65,8 @@
         written = self._write(operation)
         if behavior == ANSWER_LOST:
             return commit.OutcomeUnknown()
-        return commit.HeadWritten() if written else commit.HeadMoved()
+        return (commit.HeadWritten() if written
+                else commit.HeadVersionConflict())
 
 
 class Committer:
@@ -88,7 +89,7 @@
         if self.result is None:
             answer = store.execute(self.next, behavior)
             self.state, self.next = conf.commit_step(self.state, answer)
-            if isinstance(self.next, (conf.Done, conf.Refused)):
+            if isinstance(self.next, (conf.Committed, conf.Refused)):
                 self.result = self.next
 
     def run(self, store: Store, until=()) -> None:
@@ -140,7 +141,7 @@
         document = document_of(store)
         for committer in committers:
             edit, = committer.batch.edits
-            if isinstance(committer.result, conf.Done):
+            if isinstance(committer.result, conf.Committed):
                 head = store.heads[committer.result.generation - 1]
                 self.assertEqual(committer.batch.id, head.batch_id)
                 node = document
@@ -194,7 +195,7 @@
         later.run(store)
         for _ in range(2):
             first.run(store)
-            self.assertEqual(conf.Done(2, None), first.result)
+            self.assertEqual(conf.Committed(2, None), first.result)
             first.resend()
         self.assertEqual(
             6, document_of(store)['workspaces']['w0']['weight'])
@@ -249,7 +250,8 @@
         self.check(store, committers)
         result_types = [type(committer.result) for committer in committers]
         self.assertEqual(
-            [conf.Done, conf.Done, conf.Done, conf.Refused], result_types)
+            [conf.Committed, conf.Committed, conf.Committed, conf.Refused],
+            result_types)
         conflict, = committers[3].result.conflicts
         self.assertEqual((53, 51, 'op-1', 1.0), (
             conflict.ours.value, conflict.theirs.value, conflict.author,
--- a/tests/conf/test_parsing.py
+++ b/tests/conf/test_parsing.py
@@ -118,7 +118,7 @@
                 layer_settings['queue_limit'] = value
             tree = trees.from_document(document, 7)
             policy = conf.resolve(tree, 'w1', 'fast')
-            found = conf.origin(tree, 'w1', 'fast', 'queue_limit')
+            found = conf.find_origin(tree, 'w1', 'fast', 'queue_limit')
             self.assertEqual((7, value), (
                 policy.generation, policy.queue_limit))
             self.assertEqual((layer, value), (found.layer, found.value))
--- a/tests/conf/test_storage.py
+++ b/tests/conf/test_storage.py
@@ -44,7 +44,7 @@
         delta = storage.decode_delta(storage.delta_part(result.delta))
         index = storage.decode_index(storage.index_part(result.tree))
         stored = {part.digest: part for part in result.parts}
-        by_delta = conf.advance(tree, delta).unwrap()
+        by_delta = conf.apply_delta(tree, delta).unwrap()
         by_parts = conf.assemble(2, index, stored, tree)
         by_full_load = conf.assemble(2, index, storage.tree_parts(result.tree))
         for found in (by_delta, by_parts, by_full_load):
@@ -67,17 +67,17 @@
         """
         tree = samples.tree()
         delta = prepared(tree, EDIT).delta
-        after = conf.advance(tree, delta).unwrap()
+        after = conf.apply_delta(tree, delta).unwrap()
         other = samples.tree(3)
         removal = conf.Edit(('workspaces', 'w5'), conf.REMOVE)
         undo = prepared(after, removal).delta
-        reverted = conf.advance(after, undo).unwrap()
+        reverted = conf.apply_delta(after, undo).unwrap()
         self.assertEqual(
             conf.to_document(tree), conf.to_document(reverted))
-        self.assertTrue(conf.advance(after, delta).is_err())
-        self.assertTrue(conf.advance(reverted, delta).is_err())
-        self.assertTrue(conf.advance(other, delta).is_err())
-        self.assertTrue(conf.advance(conf.empty_tree(), delta).is_err())
+        self.assertTrue(conf.apply_delta(after, delta).is_err())
+        self.assertTrue(conf.apply_delta(reverted, delta).is_err())
+        self.assertTrue(conf.apply_delta(other, delta).is_err())
+        self.assertTrue(conf.apply_delta(conf.empty_tree(), delta).is_err())
 
     def test_damaged_parts_are_refused(self):
         """Guards against using a truncated, damaged or wrong part.
--- a/tests/control/test_runtime.py
+++ b/tests/control/test_runtime.py
@@ -151,5 +151,5 @@
         for text, pattern in cases:
             with self.subTest(text=text):
                 with self.assertRaisesRegex(
-                        exceptions.BadSettingsFile, pattern):
+                        exceptions.SettingsFileError, pattern):
                     self.parse(text)
--- a/tests/ctl/fleet.py
+++ b/tests/ctl/fleet.py
@@ -115,7 +115,7 @@
                 if host != daemon.me.host:
                     members.members[host] = member_state.Member(
                         other.members.me)
-            member_state.changed(members)
+            member_state.invalidate_caches(members)
 
     def _store_initial_settings(self):
         batch = batches.new_batch("init", 0.0, 0, [
@@ -140,7 +140,7 @@
                     storage.part_key(recent.delta)][1]
                 part = conf.Part(recent.delta, blob)
                 if recent.generation == tree.generation + 1:
-                    state.tree = storage.advance(
+                    state.tree = storage.apply_delta(
                         tree, storage.decode_delta(part)).unwrap()
                     state.deltas[recent.delta] = part
             state.head = storage.encode_head(head)
@@ -173,8 +173,8 @@
         if host not in self.stuck and method == "POST":
             self.adopt_settings()
         if host in self.lost_response_hosts:
-            raise objectapi.AnswerLost("connection lost")
-        return objectapi.HttpAnswer(response.code, {}, body)
+            raise objectapi.ResponseLost("connection lost")
+        return objectapi.HttpResponse(response.code, {}, body)
 
     def run(self, *argv, token=OPERATOR, hosts="10.0.0.1:8100"):
         """Run the command; return its exit code, stdout and stderr."""
--- a/tests/dispatch/test_floors.py
+++ b/tests/dispatch/test_floors.py
@@ -24,7 +24,7 @@
         harness = support.new_harness(count=2)
         gaps = self._overload(harness, rounds=800)
         for name, (_tier, floor) in FLOORS.items():
-            bound = dispatch.wait_bound(
+            bound = dispatch.max_grant_gap_s(
                 floor, len(FLOORS), slots=16, longest_s=SERVICE_S)
             self.assertGreater(len(gaps[name]), 5, name)
             self.assertLessEqual(max(gaps[name]), bound + STEP_S, name)
--- a/tests/dispatch/test_properties.py
+++ b/tests/dispatch/test_properties.py
@@ -67,12 +67,12 @@
         if not tiers:
             return
         cell = support.cell_of(harness)
-        slots = engine_selection.most_slots(harness.daemon, cell)
+        slots = engine_selection.max_slots(harness.daemon, cell)
         for class_queue in cell.classes.values():
             if class_queue.tier > min(tiers):
                 self.assertLessEqual(
                     class_queue.waiting,
-                    floors.seats(class_queue, slots))
+                    floors.protected_queue_size(class_queue, slots))
 
 
 class SlotsTest(unittest.TestCase):
--- a/tests/follower/fleet.py
+++ b/tests/follower/fleet.py
@@ -72,9 +72,10 @@
         if handle_arrival(daemon, event, self.now, self.handled):
             return
         if type(event) is events.Received:
-            self._do(name, follower.hear(daemon, event, self.now))
+            self._do(name, follower.record_peer_generation(
+                daemon, event, self.now))
         self._do(name, follower.handle(daemon, event, self.now))
-        for arrival in follower.unpark(daemon):
+        for arrival in follower.take_released(daemon):
             self.handled.append((arrival.rid, follower.generation(daemon),
                                 follower.ready(daemon, self.now)))
 
--- a/tests/membership/test_failures.py
+++ b/tests/membership/test_failures.py
@@ -114,7 +114,7 @@
             for _ in range(steps):
                 fleet.run(0.1)
                 for daemon in fleet.daemons.values():
-                    membership.hear(daemon, message, fleet.now)
+                    membership.record_contact(daemon, message, fleet.now)
             suspected = {kind for _, host, kind in fleet.records
                          if host != busy.me.host}
             self.assertEqual(expect_dead, "member_suspect" in suspected)
@@ -229,7 +229,7 @@
         self.assertNotIn(old.me.host, membership.live(old))
         fleet.stop(old.me.address)
         for daemon in fleet.daemons.values():
-            known = membership.info(daemon, old.me.host)
+            known = membership.member_info(daemon, old.me.host)
             self.assertEqual(new, known.address)
         self.assert_agreed(fleet)
 
@@ -311,7 +311,7 @@
         fleet.stop(_address(fleet, 0))
         fleet.run(20.0)
         for daemon in fleet.daemons.values():
-            self.assertEqual(3, len(membership.everyone(daemon)))
+            self.assertEqual(3, len(membership.all_members(daemon)))
             membership.handle(daemon, events.TimerFired(probing.TICK),
                               fleet.now + params.DEAD_RETENTION_S)
-            self.assertEqual(2, len(membership.everyone(daemon)))
+            self.assertEqual(2, len(membership.all_members(daemon)))
--- a/tests/membership/test_updates.py
+++ b/tests/membership/test_updates.py
@@ -44,7 +44,7 @@
         last = (0, 0)
         for update in updates:
             _receive(daemon, update)
-            known = membership.info(daemon, "other")
+            known = membership.member_info(daemon, "other")
             if known is not None:
                 now = (known.incarnation, known.refutations)
                 self.assertGreaterEqual(now, last)
@@ -63,7 +63,7 @@
             _receive(daemon, first, *order)
             late = events.TimerFired(("members", "declare", "other"))
             membership.handle(daemon, late, 100.0)
-            known = membership.info(daemon, "other")
+            known = membership.member_info(daemon, "other")
             seen.append((known.incarnation, known.refutations,
                          known.status))
         self.assertEqual(*seen)
--- a/tests/objectapi/test_client.py
+++ b/tests/objectapi/test_client.py
@@ -14,7 +14,7 @@
 
     def __init__(self, script=None):
         self.script = list(script or ())
-        self.default = objectapi.HttpAnswer(200, {"etag": '"7"'}, b"x")
+        self.default = objectapi.HttpResponse(200, {"etag": '"7"'}, b"x")
         self.calls = []
         self.unanswered = []
         self.open_calls = 0
@@ -41,7 +41,7 @@
     """Return a response of the API."""
     http_headers = {
         key.replace("_", "-"): value for key, value in headers.items()}
-    return objectapi.HttpAnswer(status, http_headers, body)
+    return objectapi.HttpResponse(status, http_headers, body)
 
 
 def new_client(api, clock, seed=1, **kwargs):
@@ -61,7 +61,7 @@
     return (fired or [None])[0], clock.seconds() - started_at
 
 
-LOST_RESPONSE = objectapi.AnswerLost("connection lost")
+LOST_RESPONSE = objectapi.ResponseLost("connection lost")
 REFUSED_CONNECTION = objectapi.NotSent("connection refused")
 PUT = ("put", "a/b", b"x", 3)
 
--- a/tests/objectapi/test_transport.py
+++ b/tests/objectapi/test_transport.py
@@ -67,10 +67,10 @@
         self.start("DELETE")
         transport.loseConnection()
         self.assertEqual(1, len(self.reactor.tcpClients))
-        self.assertTrue(self.outcomes[1].check(objectapi.AnswerLost))
+        self.assertTrue(self.outcomes[1].check(objectapi.ResponseLost))
 
     def test_silent_connection_is_bounded(self):
         self.start()
         self.connect()
         self.reactor.advance(1.01)
-        self.assertTrue(self.outcomes[0].check(objectapi.AnswerLost))
+        self.assertTrue(self.outcomes[0].check(objectapi.ResponseLost))
--- a/tests/ops/test_metrics_page.py
+++ b/tests/ops/test_metrics_page.py
@@ -7,7 +7,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "reference" / "metrics.md"
-_METRIC_CALLS = ("Measure", "count", "span")
+_METRIC_CALLS = ("Measure", "count", "timing")
 _ROW = re.compile(r"^\| `([^`]+)` \|", re.MULTILINE)
 
 
--- a/tests/runtime/test_caller.py
+++ b/tests/runtime/test_caller.py
@@ -83,7 +83,7 @@
 
     def _end_with_problem(self, **extra):
         def end_with_problem(event):
-            return [effects.Answer(event.rid, problems.problem(
+            return [effects.Answer(event.rid, problems.new_problem(
                 problems.Reason.OVERLOAD, retry_after_s=1.2), **extra)]
         return end_with_problem
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -122,7 +122,7 @@
             r"^\| `(\w+)` \| (\d+) \|", REFUSALS.read_text(),
             re.MULTILINE))
         wanted = {str(reason): str(kind.status)
-                  for reason, kind in problems.TABLE.items()}
+                  for reason, kind in problems.PROBLEM_TYPES.items()}
         self.assertEqual(wanted, found)
 
     def test_every_process_setting_has_its_row(self):
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -106,9 +106,9 @@
 
     def test_refused_batches(self):
         rows = (
-            (wire.BadCode, self._seal(key=b"x" * 32)),
-            (wire.OtherDeployment, self._seal(deployment="chiang-rai")),
-            (wire.OtherDeployment, self._seal(receiver="c")),
+            (wire.AuthenticationError, self._seal(key=b"x" * 32)),
+            (wire.WrongRecipient, self._seal(deployment="chiang-rai")),
+            (wire.WrongRecipient, self._seal(receiver="c")),
         )
         for error, sealed in rows:
             with self.assertRaises(error):
--- a/tools/demo_settings.py
+++ b/tools/demo_settings.py
@@ -38,7 +38,7 @@
     batch = conf.new_batch(AUTHOR, 0.0, 0, edits)
     state, step = conf.new_commit(
         batch, conf.empty_tree(), resent=False)
-    while not isinstance(step, (conf.Done, conf.Refused)):
+    while not isinstance(step, (conf.Committed, conf.Refused)):
         answer = await _execute_step(client, step)
         state, step = conf.commit_step(state, answer)
     if isinstance(step, conf.Refused):
@@ -78,7 +78,7 @@
     if isinstance(result, objectapi.Written):
         return commit.HeadWritten()
     if isinstance(result, objectapi.Conflict):
-        return commit.HeadMoved()
+        return commit.HeadVersionConflict()
     if isinstance(result, objectapi.WriteUnknown):
         return commit.OutcomeUnknown()
     return commit.StoreFailed()
