--- a/bench/claims_figures.py
+++ b/bench/claims_figures.py
@@ -33,7 +33,7 @@
 
     def __init__(self, window_s, load, seed=1):
         cfg = claims.ClaimsConfig(
-            slots=1, writes_s=1 / window_s, settle_wait_s=window_s,
+            slots=1, commits_per_s=1 / window_s, outcome_delay_s=window_s,
             max_bytes=1_000_000)
         self.rng = random.Random(seed)
         self.state = claims.new_state("h0", 1, self.rng, cfg)
--- a/bench/membership_figures.py
+++ b/bench/membership_figures.py
@@ -169,12 +169,13 @@
     # real sites.
     for index, host in enumerate(names):
         fleet.add(host, f"domain-{index * DOMAINS // hosts}")
-    members = tuple(daemon.members.me for daemon in fleet.daemons.values())
+    members = tuple(
+        daemon.members.own_update for daemon in fleet.daemons.values())
     for daemon in fleet.daemons.values():
         ack = messages.ProbeAck(0, members)
         membership.handle(daemon, events.HostListSeen(1, members, ()), 0.0)
         membership.handle(daemon, events.Received("", 0, ack), 0.0)
-        daemon.members.queue.clear()
+        daemon.members.pending_updates.clear()
     fleet.lost = lambda sender, receiver: fleet.rng.random() < loss
     fleet.run(6.0)
     return fleet
--- a/bench/outage/replays.py
+++ b/bench/outage/replays.py
@@ -51,12 +51,13 @@
 
 def _replay_end(world, source, source_rid, deadline):
     if deadline is not None and world.fleet.clock.now >= deadline:
-        return events.AttemptEnd.GONE
+        return events.AttemptEnd.STREAM_UNKNOWN
     if source.held_events is not None or not source.up:
-        return None if deadline is not None else events.AttemptEnd.GONE
+        return (None if deadline is not None
+                else events.AttemptEnd.STREAM_UNKNOWN)
     if source_rid in source.daemon.door.requests:
         return None
-    replay = source.daemon.door.kept.get(source_rid)
-    if replay is not None and replay.done:
+    replay = source.daemon.door.ended_requests.get(source_rid)
+    if replay is not None and replay.has_answer:
         return events.AttemptEnd.DONE
-    return events.AttemptEnd.GONE
+    return events.AttemptEnd.STREAM_UNKNOWN
--- a/bench/outage/world.py
+++ b/bench/outage/world.py
@@ -92,7 +92,7 @@
     clock = world.fleet.clock
     node.daemon = factory.new_daemon(
         identity, seed=world.seed,
-        wall=lambda now: callers.EPOCH_S + now)
+        wall_clock=lambda now: callers.EPOCH_S + now)
     name = f"{identity.host}/{identity.incarnation}/{world.seed}"
     reactor = reactors.new_reactor(clock)
     client = objectapi.new_client(
@@ -100,7 +100,7 @@
         stores.sender(world.store), random.Random(f"client/{name}"))
     world.contexts[node.name] = types.SimpleNamespace(
         daemon=node.daemon, platform=client, reactor=reactor,
-        queue=collections.deque(), reducing=False,
+        event_queue=collections.deque(), handling_event=False,
         reduce=lambda _daemon, event, _now: _deliver_later(world, node, event))
 
 
@@ -140,10 +140,10 @@
             callers.handle_error(world, rid, problem)
         case effects.Record(kind="answered", rid=rid, fields=fields):
             callers.handle_result(world, rid, dict(fields))
-        case effects.Replay(rid=rid, held=held):
-            replays.replay_local(world, node, rid, held)
-        case effects.ReplayFrom(rid=rid, host=host, held=held):
-            replays.replay_from_peer(world, node, rid, host, held)
+        case effects.Replay(rid=rid, original_rid=original_rid):
+            replays.replay_local(world, node, rid, original_rid)
+        case effects.ReplayFrom(rid=rid, host=host, original_rid=original_rid):
+            replays.replay_from_peer(world, node, rid, host, original_rid)
         case effects.OpenAttempt(rid=rid):
             _record_first_run(world, node, rid)
             return False
@@ -230,7 +230,7 @@
 
 def _poll_ready(world, node, started_at):
     now = world.fleet.clock.now
-    if follower.ready(node.daemon, now) and node.daemon.backends.known:
+    if follower.ready(node.daemon, now) and node.daemon.backends.by_name:
         world.restart_ready_s.append(now - started_at)
     else:
         clocks.call_later(
--- a/bench/policy/fleet.py
+++ b/bench/policy/fleet.py
@@ -39,7 +39,8 @@
 MAX_RESENDS = 6
 _ATTEMPT_ENDS = {
     "done": events.AttemptEnd.DONE, "busy": events.AttemptEnd.BUSY,
-    "refused": events.AttemptEnd.REFUSED, "broken": events.AttemptEnd.BROKEN}
+    "refused": events.AttemptEnd.REFUSED,
+    "broken": events.AttemptEnd.CONNECTION_LOST}
 
 
 @dataclasses.dataclass(slots=True)
@@ -117,7 +118,7 @@
 def _cells(fleet, name):
     for node in fleet.nodes.values():
         cell = node.daemon.dispatch.cells.get(name)
-        if node.up and cell and cell.lost_at is None:
+        if node.up and cell and cell.ownership_lost_at is None:
             yield cell, engine_selection.max_slots(node.daemon, cell)
 
 
@@ -150,7 +151,8 @@
         case effects.Answer(rid=rid, problem=problem):
             _handle_problem(fleet, rid, problem)
         case effects.ReplayFrom(rid=rid):
-            gone = events.AttemptClosed(rid, 0, events.AttemptEnd.GONE)
+            gone = events.AttemptClosed(
+                rid, 0, events.AttemptEnd.STREAM_UNKNOWN)
             clocks.call_later(
                 fleet.clock, CROSS_DOMAIN_LATENCY_S, deliver, fleet, node,
                 gone)
@@ -246,7 +248,7 @@
     now = fleet.clock.now
     for node in fleet.nodes.values():
         for cell in node.daemon.dispatch.cells.values() if node.up else ():
-            if cell.lost_at is None and now > WARMUP_S:
+            if cell.ownership_lost_at is None and now > WARMUP_S:
                 slots = engine_selection.usable_slots(node.daemon, cell, now)
                 fewest = fleet.tally.slots.get(cell.name, slots)
                 fleet.tally.slots[cell.name] = min(slots, fewest)
@@ -350,7 +352,7 @@
         itl = 0.0
         if tokens > 1:
             itl = (now - job.first_at) / (tokens - 1)
-        end = _ATTEMPT_ENDS.get(kind, events.AttemptEnd.SILENT)
+        end = _ATTEMPT_ENDS.get(kind, events.AttemptEnd.TIMED_OUT)
         event = events.AttemptClosed(
             job.rid, job.attempt, end, job.forwarded, tokens, ttft, itl)
     deliver(fleet, node, event)
@@ -360,7 +362,7 @@
     server = fleet.servers[effect.backend]
     job = engines.find_job(server, effect.rid, effect.attempt)
     if not server.up or job is None:
-        kind = (events.AttemptEnd.GONE if server.up
+        kind = (events.AttemptEnd.STREAM_UNKNOWN if server.up
                 else events.AttemptEnd.REFUSED)
         event = events.AttemptClosed(effect.rid, effect.attempt, kind)
         clocks.call_later(
--- a/bench/policy/tally.py
+++ b/bench/policy/tally.py
@@ -136,9 +136,9 @@
         tier = tally.floors[name][0]
         for cell, slots in cells(cell_name):
             if any(group.tier > tier
-                   and group.waiting > floors.protected_queue_size(
+                   and group.waiting_count > floors.protected_queue_size(
                        group, slots)
-                   for group in cell.classes.values()):
+                   for group in cell.class_queues.values()):
                 tally.inversions += 1
     tally.shed_calls.clear()
 
--- a/crocuskeel/conf/batches.py
+++ b/crocuskeel/conf/batches.py
@@ -51,14 +51,14 @@
     """Edits that take effect together.
 
     ``id`` identifies the batch permanently: a commit that finds the id
-    already accepted does not apply it again. ``at`` is the author's Unix
-    time in seconds, for display only; nothing is ordered by it.
+    already accepted does not apply it again. ``created_at`` is the author's
+    Unix time in seconds, for display only; nothing is ordered by it.
     ``base_generation`` is the generation that the edits were made on.
     """
 
     id: str
     author: str
-    at: float
+    created_at: float
     base_generation: int
     edits: tuple[Edit, ...]
 
@@ -81,7 +81,7 @@
     return {
         'id': batch.id,
         'author': batch.author,
-        'at': batch.at,
+        'at': batch.created_at,
         'base_generation': batch.base_generation,
         'edits': [encode_edit(edit) for edit in batch.edits],
     }
@@ -96,14 +96,15 @@
 
 
 def new_batch(
-    author: str, at: float, base_generation: int, edits: Iterable[Edit],
+    author: str, created_at: float, base_generation: int,
+    edits: Iterable[Edit],
 ) -> Batch:
     """Return a batch whose id is a hash of its content.
 
     A batch that is resent after a lost answer has the same id; any
     difference in content gives another id.
     """
-    batch = Batch('', author, at, base_generation, tuple(edits))
+    batch = Batch('', author, created_at, base_generation, tuple(edits))
     digest = hashlib.sha256(parts.canonical_json(encode_batch(batch)))
     return dataclasses.replace(batch, id=digest.hexdigest()[:32])
 
--- a/crocuskeel/conf/commit.py
+++ b/crocuskeel/conf/commit.py
@@ -173,8 +173,8 @@
     ``tree`` is the newest generation available here; deltas advance it
     to that of ``head``. ``in_flight`` is the operation whose answer is
     awaited. ``history`` holds the batches accepted since this one's base.
-    ``pending`` is the generation of the newest head on which a write of
-    this batch may still take effect; None if there is no such write.
+    ``pending_generation`` is the generation of the newest head on which a
+    write of this batch may still take effect; None if there is no such write.
     """
 
     batch: batches.Batch
@@ -185,7 +185,7 @@
     version: int | str | None = None
     history: tuple[merging.AcceptedBatch, ...] = ()
     prepared: storage.PreparedCommit | None = None
-    pending: int | None = None
+    pending_generation: int | None = None
 
 
 Transition: TypeAlias = tuple[Commit, Step]
@@ -207,7 +207,8 @@
     """
     first = ReadHead()
     pending = UNREAD_HEAD if resent else None
-    return Commit(batch, tree, first, max_retries, pending=pending), first
+    return Commit(batch, tree, first, max_retries,
+                  pending_generation=pending), first
 
 
 def _request(state: Commit, operation: Operation) -> Transition:
@@ -217,7 +218,7 @@
 def _refuse(state: Commit, reason: Reason, **details) -> Transition:
     # An attempt on this head or an older one would have had the same
     # conflict, so none has a write in flight that can still succeed.
-    settled = state.pending is None or reason is Reason.CONFLICT
+    settled = state.pending_generation is None or reason is Reason.CONFLICT
     unknown = not settled or reason is Reason.OUTSIDE_WINDOW
     outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_APPLIED
     return state, Refused(reason, outcome, **details)
@@ -235,11 +236,11 @@
 
 
 def _oldest_listed_generation(head: storage.Head | None) -> int:
-    return head.recent[0].generation if head else 1
+    return head.recent_batches[0].generation if head else 1
 
 
 def _accepted_generation(state: Commit) -> int | None:
-    for entry in state.head.recent if state.head else ():
+    for entry in state.head.recent_batches if state.head else ():
         if entry.batch_id == state.batch.id:
             return entry.generation
     return None
@@ -250,17 +251,17 @@
     # has a newer generation, from another batch, it no longer can, as the
     # version that it requires is gone. A read that returns the same head,
     # or an older one, proves nothing.
-    if state.pending == UNREAD_HEAD:
+    if state.pending_generation == UNREAD_HEAD:
         return newest
-    if state.pending is None or newest > state.pending:
+    if state.pending_generation is None or newest > state.pending_generation:
         return None
-    return state.pending
+    return state.pending_generation
 
 
 def _on_head(state: Commit, answer: HeadRead) -> Transition:
     state = dataclasses.replace(
         state, head=answer.head, version=answer.version,
-        pending=_still_pending(state, _generation(answer.head)))
+        pending_generation=_still_pending(state, _generation(answer.head)))
     found = _accepted_generation(state)
     if found is not None:
         return state, Committed(found, None)
@@ -340,7 +341,7 @@
         # Writing again without a read would be safe too, as the version is
         # the same, but could not tell our write from another's.
         pending = _generation(state.head)
-        state = dataclasses.replace(state, pending=pending)
+        state = dataclasses.replace(state, pending_generation=pending)
         return _retry(state, ReadHead())
     return _retry(state, state.in_flight)
 
--- a/crocuskeel/conf/merging.py
+++ b/crocuskeel/conf/merging.py
@@ -20,7 +20,7 @@
     """Two conflicting edits, one of them already accepted.
 
     ``theirs`` was accepted in ``generation``, by ``author`` at the Unix
-    time ``at``; ``ours`` belongs to the refused batch.
+    time ``created_at``; ``ours`` belongs to the refused batch.
     """
 
     ours: batches.Edit
@@ -28,7 +28,7 @@
     batch_id: str
     generation: int
     author: str
-    at: float
+    created_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
                 if not _equal_edits(edit, ours):
                     yield Conflict(
                         ours, edit, theirs.id, accepted.generation,
-                        theirs.author, theirs.at)
+                        theirs.author, theirs.created_at)
 
 
 def merge(
--- a/crocuskeel/conf/model.py
+++ b/crocuskeel/conf/model.py
@@ -20,14 +20,14 @@
     id: str
     path: Path
     line: int | None
-    fault: str
+    message: str
     hint: str = ''
 
     def __str__(self) -> str:
         where = '.'.join(self.path) or '(top)'
         line = f'line {self.line}: ' if self.line else ''
         hint = f' ({self.hint})' if self.hint else ''
-        return f'{line}{where}: {self.id} {self.fault}{hint}'
+        return f'{line}{where}: {self.id} {self.message}{hint}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/crocuskeel/conf/schema_faults.py
+++ b/crocuskeel/conf/schema_faults.py
@@ -97,7 +97,7 @@
             if fault.id == UNKNOWN_KEY and len(fault.path) == 1:
                 hint = suggest(fault.path[0], schema.SECTIONS)
                 yield model.SettingsFault(
-                    fault.id, fault.path, None, fault.fault, hint)
+                    fault.id, fault.path, None, fault.message, hint)
             else:
                 yield fault
 
@@ -108,5 +108,5 @@
     for error in validator.iter_errors(bodies):
         for fault in _to_faults(error):
             yield model.SettingsFault(
-                fault.id, ('workspaces', *fault.path), None, fault.fault,
+                fault.id, ('workspaces', *fault.path), None, fault.message,
                 fault.hint)
--- a/crocuskeel/conf/storage.py
+++ b/crocuskeel/conf/storage.py
@@ -38,21 +38,21 @@
 
     generation: int
     batch_id: str
-    delta: str
+    delta_digest: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
     """The head object: the newest generation and its recent batches.
 
-    ``recent`` is ordered by generation without gaps and ends with this
+    ``recent_batches`` is ordered by generation without gaps and ends with this
     one; it has at most ``RECENT_BATCHES`` entries.
     """
 
     generation: int
     batch_id: str
-    index: str
-    recent: tuple[RecentBatch, ...]
+    index_digest: str
+    recent_batches: tuple[RecentBatch, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -97,12 +97,12 @@
 def encode_head(head: Head) -> bytes:
     """Return the stored form of the head."""
     recent = [
-        [entry.generation, entry.batch_id, entry.delta]
-        for entry in head.recent]
+        [entry.generation, entry.batch_id, entry.delta_digest]
+        for entry in head.recent_batches]
     return parts.canonical_json({
         'generation': head.generation,
         'batch_id': head.batch_id,
-        'index': head.index,
+        'index': head.index_digest,
         'recent': recent,
     })
 
@@ -189,7 +189,7 @@
 def _append_recent(
     head: Head | None, entry: RecentBatch,
 ) -> tuple[RecentBatch, ...]:
-    earlier = head.recent if head else ()
+    earlier = head.recent_batches if head else ()
     return (*earlier, entry)[-RECENT_BATCHES:]
 
 
@@ -207,7 +207,7 @@
     after = applied.unwrap()
     changed = new_parts(tree, after)
     index = changed[-1].digest
-    parent = head.recent[-1].delta if head else ''
+    parent = head.recent_batches[-1].delta_digest if head else ''
     delta = Delta(after.generation, batch, index, parent)
     try:
         stored = delta_part(delta)
@@ -278,7 +278,7 @@
 
 def find_delta_digest(head: Head, generation: int) -> str | None:
     """Return the digest of a generation's delta; None if not listed."""
-    for entry in head.recent:
+    for entry in head.recent_batches:
         if entry.generation == generation:
-            return entry.delta
+            return entry.delta_digest
     return None
--- a/crocuskeel/control/context.py
+++ b/crocuskeel/control/context.py
@@ -31,8 +31,8 @@
     on_exit: typing.Callable[[], None]
     incarnation: int
     clock: hlc.Clock
-    queue: collections.deque
-    reducing: bool = False
+    event_queue: collections.deque
+    handling_event: bool = False
     stopped: bool = False
     cached_common: tuple[str, typing.Any] = ("", None)
 
@@ -46,7 +46,7 @@
         reactor=reactor, now=now, wall_clock=wall_clock, state=state,
         platform=platform, http=http, on_exit=on_exit,
         incarnation=int(wall_clock() * 1000), clock=hlc.new_clock(),
-        queue=collections.deque())
+        event_queue=collections.deque())
 
 
 def record(ctx, effect):
--- a/crocuskeel/control/platform_calls.py
+++ b/crocuskeel/control/platform_calls.py
@@ -63,7 +63,7 @@
 
 async def _read_common(ctx, head):
     """Return the common sections, or None if they can't be read."""
-    index = await _read_part(ctx, head.index)
+    index = await _read_part(ctx, head.index_digest)
     if index is None:
         return None
     digest = storage.decode_index(index).common
--- a/crocuskeel/core/backends/state.py
+++ b/crocuskeel/core/backends/state.py
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BackendsState:
-    """``position`` is the host list's position of ``known``, -1 for none.
+    """``position`` is the host list's position of ``by_name``, -1 for none.
 
     ``leaving`` maps a server's name to the position at which it was listed
     as leaving. ``cells`` maps a cell's name to its engines' names;
@@ -35,7 +35,7 @@
     """
 
     position: int = -1
-    known: dict[str, messages.Backend] = dataclasses.field(
+    by_name: dict[str, messages.Backend] = dataclasses.field(
         default_factory=dict)
     by_service: dict[str, tuple[messages.Backend, ...]] = (
         dataclasses.field(default_factory=dict))
@@ -52,7 +52,7 @@
 
 def get(daemon, name):
     """Return the :class:`messages.Backend` of that name or None."""
-    return daemon.backends.known.get(name)
+    return daemon.backends.by_name.get(name)
 
 
 def service_backends(daemon, service):
@@ -63,7 +63,7 @@
 def is_usable(daemon, name):
     """Tell whether a backend server may get new work."""
     state = daemon.backends
-    return name in state.known and name not in state.leaving
+    return name in state.by_name and name not in state.leaving
 
 
 def handle(daemon, event, now):
@@ -76,7 +76,7 @@
         case events.TimerFired(key=key) if key == _READ_TIMER:
             return [effects.WantHostList(),
                     effects.SetTimer(_READ_TIMER, _read_delay_s(daemon))]
-        case events.HostListSeen(at=position, backends=backends):
+        case events.HostListSeen(position=position, backends=backends):
             return _apply_list(state, position, backends, daemon)
         case events.HostListFailed():
             return _ask_peer(daemon)
@@ -100,7 +100,7 @@
 def _ask_peer(daemon):
     # A host that starts during a platform outage knows no backend server
     # and would refuse every request. A peer's last list avoids this.
-    if daemon.backends.known:
+    if daemon.backends.by_name:
         return []
     peers = [host for host in membership.live(daemon)
              if host != daemon.me.host]
@@ -116,7 +116,7 @@
         return []
     news = messages.HostListNews(
         state.position, tuple(state.leaving),
-        tuple(state.known.values()))
+        tuple(state.by_name.values()))
     return [effects.Send(sender, news)]
 
 
@@ -143,7 +143,7 @@
         # live, and the server would get new work again.
         return []
     size = grouping.cell_size(daemon)
-    unchanged = backends == tuple(state.known.values())
+    unchanged = backends == tuple(state.by_name.values())
     if (position == state.position and unchanged
             and size == state.cell_size):
         # Grouping 1,700 engines every second would cost more than all
@@ -175,9 +175,9 @@
 
 def _index(state, backends, size):
     state.cell_size = size
-    state.known = {b.name: b for b in backends}
+    state.by_name = {b.name: b for b in backends}
     by_service = {}
-    for backend in sorted(state.known.values(), key=lambda b: b.name):
+    for backend in sorted(state.by_name.values(), key=lambda b: b.name):
         by_service.setdefault(backend.service, []).append(backend)
     state.by_service = {name: tuple(group)
                         for name, group in by_service.items()}
--- a/crocuskeel/core/claims/commits.py
+++ b/crocuskeel/core/claims/commits.py
@@ -20,12 +20,12 @@
 
 def next_commit_at(slot, cfg):
     """Return when the rate limit of the slot allows the next commit."""
-    return slot.rate_full_at - (cfg.burst - 1) / cfg.writes_s
+    return slot.rate_full_at - (cfg.burst - 1) / cfg.commits_per_s
 
 
 def record_commit(slot, cfg, now):
     """Count one commit against the rate limit of the slot."""
-    slot.rate_full_at = max(now, slot.rate_full_at) + 1.0 / cfg.writes_s
+    slot.rate_full_at = max(now, slot.rate_full_at) + 1.0 / cfg.commits_per_s
 
 
 def observe_epoch(slot, now):
--- a/crocuskeel/core/claims/reducer.py
+++ b/crocuskeel/core/claims/reducer.py
@@ -90,8 +90,8 @@
     # A key dated far in the future would raise the floor when dropped,
     # and all keys with an earlier issue time would be refused. A wrong
     # clock on this host only refuses too many keys; it runs nothing.
-    ahead = (state.wall and
-             request.issued_at > state.wall(now) + cfg.max_ahead_s)
+    ahead = (state.wall_clock and
+             request.issued_at > state.wall_clock(now) + cfg.max_ahead_s)
     if ahead:
         return messages.ClaimAnswer(request.rid, request.key, _TOO_NEW)
     if now < slot.backoff_until or len(slot.requests) >= cfg.max_pending:
@@ -127,7 +127,7 @@
 
 def _queue_outcome(state, slot, attempt, outcome, now):
     if not slot.outcomes:
-        slot.outcomes_due = now + state.cfg.settle_wait_s
+        slot.outcomes_due = now + state.cfg.outcome_delay_s
     # A lost outcome leaves the key claimed, which is safe because its
     # requests are refused. So the oldest may be dropped to bound memory.
     if len(slot.outcomes) >= state.cfg.max_pending:
@@ -253,7 +253,7 @@
     """Handle a write conflict: read the other owner's ledger first."""
     slot.ledger = None
     # Without jitter, two synchronized owners would conflict repeatedly.
-    slot.rate_full_at += state.rng.uniform(0.0, 1.0 / state.cfg.writes_s)
+    slot.rate_full_at += state.rng.uniform(0.0, 1.0 / state.cfg.commits_per_s)
     for request in list(slot.requests.values()):
         if request.abandoned and not request.in_doubt:
             del slot.requests[request.rid]
--- a/crocuskeel/core/claims/state.py
+++ b/crocuskeel/core/claims/state.py
@@ -19,24 +19,24 @@
     """Settings; durations in seconds, sizes in bytes.
 
     ``slots`` must not change during the life of a deployment, because
-    a key would then be looked up in another ledger. ``writes_s`` and
+    a key would then be looked up in another ledger. ``commits_per_s`` and
     ``burst`` limit the commits per second of a slot. An entry is kept
     for at least ``kept_epochs`` times ``epoch_s``. ``max_ahead_s`` is
     how far ahead of this host's clock a key may be dated.
-    ``settle_wait_s`` is how long outcomes wait for a claim with which
+    ``outcome_delay_s`` is how long outcomes wait for a claim with which
     they can share a commit.
     """
 
     slots: int = 64
     prefix: str = "claims"
-    writes_s: float = 3.0
+    commits_per_s: float = 3.0
     burst: int = 3
     epoch_s: float = 60.0
     kept_epochs: int = 15
     max_ahead_s: float = 60.0
     max_bytes: int = 512 * 1024
     max_pending: int = 2000
-    settle_wait_s: float = 1.0
+    outcome_delay_s: float = 1.0
     backoff_s: float = 0.25
     backoff_max_s: float = 4.0
     evict_after_s: float = 120.0
@@ -116,7 +116,7 @@
 class ClaimsState:
     """All slots in use on this host; changed in place by the reducer.
 
-    ``wall`` converts the runtime's time to Unix seconds. It is only
+    ``wall_clock`` converts the runtime's time to Unix seconds. It is only
     used to refuse requests, never to run one.
     """
 
@@ -124,16 +124,16 @@
     incarnation: int
     cfg: ClaimsConfig
     rng: random.Random
-    wall: typing.Callable[[float], float] | None = None
+    wall_clock: typing.Callable[[float], float] | None = None
     slots: dict[int, Slot] = dataclasses.field(default_factory=dict)
     seq: int = 0
 
 
-def new_state(host, incarnation, rng, cfg=None, wall=None):
+def new_state(host, incarnation, rng, cfg=None, wall_clock=None):
     """Return the state of a host that has read no ledger yet."""
     return ClaimsState(
         host=host, incarnation=incarnation, rng=rng,
-        cfg=cfg or ClaimsConfig(), wall=wall)
+        cfg=cfg or ClaimsConfig(), wall_clock=wall_clock)
 
 
 def slot_owner(slot, hosts):
--- a/crocuskeel/core/control/planning.py
+++ b/crocuskeel/core/control/planning.py
@@ -151,7 +151,7 @@
     Since the decision the process may have been paused, the lease lost
     or another generation accepted.
     """
-    recently_active = 0 <= now - state.last_step <= state.cfg.jump_s
+    recently_active = 0 <= now - state.last_step_at <= state.cfg.jump_s
     return (recently_active and leases.is_valid(state, now)
             and order.fence == state.lease.fence
             and order.generation == state.generation)
--- a/crocuskeel/core/control/reducer.py
+++ b/crocuskeel/core/control/reducer.py
@@ -56,10 +56,10 @@
     """Wait for orders in flight, release the lease, then exit."""
     lease = state.lease
     in_flight = any(each.sent_order for each in state.engines.values())
-    if in_flight or lease.open_call:
+    if in_flight or lease.call_in_progress:
         return []
     if not state.releasing and leases.is_valid(state, now):
-        if lease.unsettled:
+        if lease.write_uncertain:
             return []
         state.releasing = True
         return [leases.release(state, now)]
--- a/crocuskeel/core/dispatch/engine_selection.py
+++ b/crocuskeel/core/dispatch/engine_selection.py
@@ -28,7 +28,7 @@
     be unknown. The engine's load report is then added or, without one,
     the engine's whole limit.
     """
-    known = len(cell.by_engine.get(view.name, ()))
+    known = len(cell.running_by_engine.get(view.name, ()))
     if now >= cell.settle_until or not cell.unreported_hosts:
         return known
     return known + (view.reported_load if view.reported_load >= 0
@@ -73,12 +73,12 @@
 
     ``names`` are engines with at least one of :func:`free_slots`.
     """
-    allowed = _allowed(daemon, cell, waiting.ask, names)
+    allowed = _allowed(daemon, cell, waiting.request, names)
     if not allowed:
         return ""
-    tokens = _expected_tokens(daemon, cell, waiting.ask)
+    tokens = _expected_tokens(daemon, cell, waiting.request)
     return min(allowed, key=lambda name: (
-        _finish_s(daemon, cell, waiting.ask, name, tokens), name))
+        _finish_s(daemon, cell, waiting.request, name, tokens), name))
 
 
 def _allowed(daemon, cell, request, names):
@@ -108,13 +108,14 @@
 
 def _finish_s(daemon, cell, request, name, tokens):
     view = limits.engine_view(daemon, name)
-    running = len(cell.by_engine.get(name, ())) + 1
+    running = len(cell.running_by_engine.get(name, ())) + 1
     # The latency was measured at ``mean_concurrency`` attempts. Half of
     # it is assumed to grow with concurrency, as in an engine at the knee
     # of its batch size curve.
     latency = view.unit_latency or limits.pool_median(
         daemon, cell, lambda other: other.unit_latency)
-    slowdown = (view.limit + running) / (view.limit + view.mean_concurrency)
+    slowdown = (view.concurrency_limit + running) / (
+        view.concurrency_limit + view.mean_concurrency)
     total = max(1.0, tokens) * latency * slowdown + 1e-6 * running
     if has_prefix_cached(view, request):
         total -= _cache_hit_gain_s(daemon)
@@ -143,7 +144,7 @@
         daemon, cell, lambda view: view.unit_latency)
     if is_plain(daemon, cell):
         return latency
-    slots = [cell.running[key] for key in cell.by_engine.get(name, ())]
+    slots = [cell.running[key] for key in cell.running_by_engine.get(name, ())]
     tokens = [estimates.remaining(
         daemon.dispatch.lengths, cell.service, slot.class_name,
         slot.workspace, slot.tokens) for slot in slots]
@@ -169,8 +170,8 @@
     names = [name for name in usable_engines(daemon, cell)
              if cell.reserved.get(name) is None
              and not quarantine.has_undecided_loss(daemon, name)
-             and not cell.by_engine.get(name)
-             and now >= limits.engine_view(daemon, name).off_until
+             and not cell.running_by_engine.get(name)
+             and now >= limits.engine_view(daemon, name).paused_until
              and in_flight(daemon, cell, limits.engine_view(daemon, name),
                            now) == 0]
     allowed = _allowed(daemon, cell, request, names)
--- a/crocuskeel/core/dispatch/fairness.py
+++ b/crocuskeel/core/dispatch/fairness.py
@@ -44,8 +44,8 @@
 
 def _best_class(cell, tier, late, blocked):
     heads = []
-    for class_queue in cell.classes.values():
-        if class_queue.tier == tier and class_queue.waiting:
+    for class_queue in cell.class_queues.values():
+        if class_queue.tier == tier and class_queue.waiting_count:
             head = _head(class_queue, late, blocked)
             if head is not None:
                 heads.append((class_queue.virtual_time, head))
@@ -76,8 +76,8 @@
 
 def charge(cell, waiting):
     """Add a grant's cost to the virtual time of its class and workspace."""
-    class_queue = cell.classes[waiting.ask.class_name]
-    flow = class_queue.flows[waiting.ask.workspace]
+    class_queue = cell.class_queues[waiting.request.class_name]
+    flow = class_queue.flows[waiting.request.workspace]
     cell.virtual_clocks[class_queue.tier] = max(
         cell.virtual_clocks.get(class_queue.tier, 0.0),
         class_queue.virtual_time)
@@ -91,4 +91,4 @@
 
 def _least_share(cell, tier):
     return min(max(q.floor, floors.MIN_FLOOR)
-               for q in cell.classes.values() if q.tier == tier)
+               for q in cell.class_queues.values() if q.tier == tier)
--- a/crocuskeel/core/dispatch/floors.py
+++ b/crocuskeel/core/dispatch/floors.py
@@ -38,7 +38,7 @@
     Called once for each grant.
     """
     for class_queue in classes:
-        if class_queue.waiting:
+        if class_queue.waiting_count:
             class_queue.credit = min(
                 class_queue.credit + _share(class_queue),
                 MAX_CREDIT + _share(class_queue))
@@ -52,7 +52,8 @@
 def next_class(classes):
     """Return the class whose floor is due, None if there is none."""
     due = [class_queue for class_queue in classes
-           if class_queue.waiting and class_queue.credit >= 1.0 - _ROUNDING]
+           if class_queue.waiting_count
+           and class_queue.credit >= 1.0 - _ROUNDING]
     return max(due, key=lambda q: (q.credit, -q.tier, q.name),
                default=None)
 
--- a/crocuskeel/core/dispatch/granting.py
+++ b/crocuskeel/core/dispatch/granting.py
@@ -32,7 +32,7 @@
         if shedding.will_miss_deadline(daemon, cell, waiting, now):
             out += shedding.refuse(
                 daemon, cell, waiting.key, problems.Reason.DEADLINE, now)
-    if cell.lost_at is not None:
+    if cell.ownership_lost_at is not None:
         return out
     out += _grant_suspects(daemon, cell, now)
     return out + _grant_all(daemon, cell, now)
@@ -70,8 +70,8 @@
         return key, "floor"
     total = sum(free.values())
     tiers = sorted({class_queue.tier
-                    for class_queue in cell.classes.values()
-                    if class_queue.waiting})
+                    for class_queue in cell.class_queues.values()
+                    if class_queue.waiting_count})
     for tier in tiers:
         if tier > headroom.TOP_TIER and (
                 total <= headroom.reserved_slots(daemon, cell, now)):
@@ -83,7 +83,7 @@
 
 
 def _next_floor_key(cell, blocked):
-    class_queues = list(cell.classes.values())
+    class_queues = list(cell.class_queues.values())
     while class_queues:
         class_queue = floors.next_class(class_queues)
         if class_queue is None:
@@ -98,11 +98,11 @@
 def _try_grant(daemon, cell, key, reason, names, blocked, now):
     waiting = cell.waiting[key]
     engine = ""
-    if not _exceeds_copy_limit(daemon, cell, waiting.ask):
+    if not _exceeds_copy_limit(daemon, cell, waiting.request):
         engine = engine_selection.pick_engine(
             daemon, cell, waiting, names, now)
     if not engine:
-        blocked.add((waiting.ask.class_name, waiting.ask.workspace))
+        blocked.add((waiting.request.class_name, waiting.request.workspace))
         return []
     return _grant(daemon, cell, waiting, engine, reason, now)
 
@@ -119,7 +119,7 @@
 
 
 def _grant(daemon, cell, waiting, engine, reason, now, exclusive=False):
-    request = waiting.ask
+    request = waiting.request
     if not exclusive:
         _count_grant(cell, waiting, now)
     queue.remove(cell, waiting.key)
@@ -140,9 +140,9 @@
 
 
 def _count_grant(cell, waiting, now):
-    class_queue = cell.classes[waiting.ask.class_name]
+    class_queue = cell.class_queues[waiting.request.class_name]
     fairness.charge(cell, waiting)
-    floors.add_credit(cell.classes.values())
+    floors.add_credit(cell.class_queues.values())
     floors.spend_credit(class_queue)
     meter = cell.grants_by_tier.setdefault(
         class_queue.tier, meters.new_meter())
@@ -150,7 +150,7 @@
 
 
 def _new_slot(daemon, cell, waiting, engine, exclusive, now):
-    request = waiting.ask
+    request = waiting.request
     view = limits.engine_view(daemon, engine)
     return state.Slot(
         waiting.entry_host, engine, request.class_name, request.workspace,
@@ -159,7 +159,7 @@
         cache_hit=engine_selection.has_prefix_cached(view, request),
         prefix=request.prefix,
         ttft_budget_s=waiting.enqueued_at + request.target_ttft_s - now,
-        batch_size=len(cell.by_engine.get(engine, ())) + 1,
+        batch_size=len(cell.running_by_engine.get(engine, ())) + 1,
         boot_id=view.boot_id)
 
 
@@ -167,15 +167,15 @@
 
 def _grant_suspects(daemon, cell, now):
     ready = [waiting for waiting in cell.suspects.values()
-             if not _must_wait(daemon, cell, waiting.ask)]
+             if not _must_wait(daemon, cell, waiting.request)]
     _trim_reserved(daemon, cell, ready)
-    ready.sort(key=lambda w: (w.ask.tier, w.due, w.seq))
+    ready.sort(key=lambda w: (w.request.tier, w.due, w.seq))
     out = []
     for waiting in ready:
-        if _must_wait(daemon, cell, waiting.ask):
+        if _must_wait(daemon, cell, waiting.request):
             continue
         engine = engine_selection.pick_empty_engine(
-            daemon, cell, waiting.ask, now)
+            daemon, cell, waiting.request, now)
         if not engine:
             _reserve_engine(daemon, cell, now)
             break
@@ -210,7 +210,7 @@
         return
     names = [name for name in engine_selection.usable_engines(daemon, cell)
              if name not in cell.reserved
-             and now >= limits.engine_view(daemon, name).off_until]
+             and now >= limits.engine_view(daemon, name).paused_until]
     if names:
         first = min(names, key=lambda name: (
             engine_selection.time_to_empty_s(daemon, cell, name), name))
@@ -223,7 +223,7 @@
     """Count a granted attempt."""
     cell.running[key] = slot
     cell.top_tier_running += slot.tier == headroom.TOP_TIER
-    cell.by_engine.setdefault(slot.engine, set()).add(key)
+    cell.running_by_engine.setdefault(slot.engine, set()).add(key)
     if slot.fingerprint:
         cell.running_by_fingerprint[slot.fingerprint] += 1
 
@@ -234,10 +234,10 @@
     if slot is None:
         return None
     cell.top_tier_running -= slot.tier == headroom.TOP_TIER
-    on_engine = cell.by_engine[slot.engine]
+    on_engine = cell.running_by_engine[slot.engine]
     on_engine.discard(key)
     if not on_engine:
-        del cell.by_engine[slot.engine]
+        del cell.running_by_engine[slot.engine]
     if slot.fingerprint:
         cell.running_by_fingerprint[slot.fingerprint] -= 1
         if not cell.running_by_fingerprint[slot.fingerprint]:
--- a/crocuskeel/core/dispatch/handling.py
+++ b/crocuskeel/core/dispatch/handling.py
@@ -107,7 +107,7 @@
     for cell in daemon.dispatch.cells.values():
         for key, waiting in [*cell.waiting.items(),
                              *cell.suspects.items()]:
-            fingerprint = waiting.ask.fingerprint
+            fingerprint = waiting.request.fingerprint
             if fingerprint:
                 out += _apply_verdict(daemon, cell, key, fingerprint, now)
     return out + _process_queues(daemon, now)
--- a/crocuskeel/core/dispatch/limits.py
+++ b/crocuskeel/core/dispatch/limits.py
@@ -78,21 +78,21 @@
         max_limit = min(max_limit, view.reported_slots)
     if max_limit == view.max_limit:
         return
-    if view.limit >= view.max_limit:
+    if view.concurrency_limit >= view.max_limit:
         # The limit was never reduced, so nothing learned speaks against
         # a larger one.
-        view.limit = float(max_limit)
-    view.limit = min(view.limit, float(max_limit))
+        view.concurrency_limit = float(max_limit)
+    view.concurrency_limit = min(view.concurrency_limit, float(max_limit))
     view.max_limit = max_limit
 
 
 def capacity(view, now):
     """Return how many attempts the engine may run at once now."""
-    if now < view.off_until:
+    if now < view.paused_until:
         return 0
     if view.probing:
         return 1
-    return max(1, int(view.limit))
+    return max(1, int(view.concurrency_limit))
 
 
 def pool_median(daemon, cell, read):
@@ -137,7 +137,7 @@
     if view.probing:
         # An attempt granted before the trouble doesn't show that it is
         # over.
-        is_probe = slot.granted_at >= view.off_until
+        is_probe = slot.granted_at >= view.paused_until
         return _restore(view) if is_probe else []
     view.failures = 0
     if latency > 0.0:
@@ -170,7 +170,7 @@
     Waiting for a slow engine's answers to end would take too long.
     ``latency`` is the time between tokens since the last report.
     """
-    concurrency = len(cell.by_engine.get(view.name, ()))
+    concurrency = len(cell.running_by_engine.get(view.name, ()))
     _observe(view, latency, concurrency, PROGRESS_SMOOTHING)
     if is_slow(daemon, cell, view):
         return _back_off_slow(daemon, view, now)
@@ -216,11 +216,12 @@
         view.reduced_at = now
         factor = min(max(target / high_latency, MIN_DECREASE_FACTOR),
                      MAX_DECREASE_FACTOR)
-        view.limit = max(1.0, view.limit * factor)
+        view.concurrency_limit = max(1.0, view.concurrency_limit * factor)
     elif (high_latency < GROWTH_THRESHOLD * target
-            and slot.batch_size >= view.limit - 1.0):
-        view.limit = min(
-            float(view.max_limit), view.limit + 1.0 / view.limit)
+            and slot.batch_size >= view.concurrency_limit - 1.0):
+        view.concurrency_limit = min(
+            float(view.max_limit),
+            view.concurrency_limit + 1.0 / view.concurrency_limit)
 
 
 def _cap_to_observed_load(view, target_ratio):
@@ -232,7 +233,8 @@
     """
     sustainable = (
         OBSERVED_LOAD_FACTOR * view.mean_concurrency * target_ratio)
-    view.limit = min(view.limit, max(sustainable, MIN_CALL_LIMIT))
+    view.concurrency_limit = min(
+        view.concurrency_limit, max(sustainable, MIN_CALL_LIMIT))
 
 
 def _target(daemon, cell, slot, released):
@@ -248,12 +250,12 @@
 
 
 def _back_off_slow(daemon, view, now):
-    if view.slow_backoffs and now < view.off_until:
+    if view.slow_backoffs and now < view.paused_until:
         return []
     view.slow_backoffs = min(view.slow_backoffs + 1, 8)
     span = min(SLOW_BACKOFF_MAX_S,
                SLOW_BACKOFF_BASE_S * 2.0 ** (view.slow_backoffs - 1))
-    view.off_until = now + span * daemon.rng.uniform(0.8, 1.2)
+    view.paused_until = now + span * daemon.rng.uniform(0.8, 1.2)
     view.probing = True
     # Only later measurements show how the engine performs afterwards.
     view.samples = 0
@@ -267,14 +269,14 @@
     view.probing = False
     view.slow_backoffs = 0
     view.failures = 0
-    view.limit = max(view.limit, view.max_limit / 2.0)
+    view.concurrency_limit = max(view.concurrency_limit, view.max_limit / 2.0)
     return [effects.Record("restored", "", (("engine", view.name),))]
 
 
 def mark_busy(view, in_flight, now):
     """Reduce the limit of an engine that refused an attempt as full."""
-    view.limit = max(1.0, float(in_flight))
-    view.off_until = max(view.off_until, now + BUSY_PAUSE_S)
+    view.concurrency_limit = max(1.0, float(in_flight))
+    view.paused_until = max(view.paused_until, now + BUSY_PAUSE_S)
 
 
 def attempt_failed(daemon, view, now, granted_at=None):
@@ -282,7 +284,7 @@
 
     ``granted_at`` is when the attempt was granted, None if unknown.
     """
-    if now < view.off_until or _is_old(view, granted_at):
+    if now < view.paused_until or _is_old(view, granted_at):
         return []
     view.failures += 1
     return _back_off(daemon, view, view.failures - 1, now)
@@ -295,14 +297,14 @@
     the server could leave a class without any server. So the first loss
     leads to an immediate probe, and only consecutive losses to a pause.
     """
-    if now < view.off_until or _is_old(view, granted_at):
+    if now < view.paused_until or _is_old(view, granted_at):
         return []
     view.failures += 1
     if view.failures > 1:
         return _back_off(
             daemon, view, view.failures - TOLERATED_LOSSES - 1, now)
     view.probing = True
-    view.off_until = now
+    view.paused_until = now
     return []
 
 
@@ -311,13 +313,13 @@
     # If each were counted, a momentary fault would lead to the longest
     # pause.
     return (view.probing and granted_at is not None
-            and granted_at < view.off_until)
+            and granted_at < view.paused_until)
 
 
 def _back_off(daemon, view, doublings, now):
     span = min(FAILURE_BACKOFF_MAX_S,
                FAILURE_BACKOFF_BASE_S * 2.0 ** doublings)
-    view.off_until = now + span * daemon.rng.uniform(0.75, 1.25)
+    view.paused_until = now + span * daemon.rng.uniform(0.75, 1.25)
     view.probing = True
     return [effects.Record("backed_off", "", (
         ("engine", view.name), ("span_s", span)))]
--- a/crocuskeel/core/dispatch/ownership.py
+++ b/crocuskeel/core/dispatch/ownership.py
@@ -42,7 +42,7 @@
     of the members don't redirect an entry host back and forth.
     """
     cell = daemon.dispatch.cells.get(cell_name)
-    if cell is not None and cell.lost_at is None:
+    if cell is not None and cell.ownership_lost_at is None:
         return cell, []
     if is_owner(daemon, cell_name):
         return take_over_cell(daemon, cell_name, now)
@@ -53,14 +53,14 @@
     """Become the cell's dispatcher and request all entry hosts' state."""
     cells = daemon.dispatch.cells
     cell = cells.get(cell_name)
-    if cell is not None and cell.lost_at is None:
+    if cell is not None and cell.ownership_lost_at is None:
         return cell, []
     hosts = membership.live(daemon)
     if cell is None:
         service = cell_name.rpartition("/")[0]
         cell = state.new_cell(cell_name, service, now + SETTLE_S, hosts)
         cells[cell_name] = cell
-    cell.lost_at = None
+    cell.ownership_lost_at = None
     cell.settle_until = now + SETTLE_S
     cell.unreported_hosts = set(hosts)
     record = effects.Record("cell_taken", "", (("cell", cell_name),))
@@ -87,8 +87,8 @@
         if is_owner(daemon, cell_name):
             out += take_over_cell(daemon, cell_name, now)[1]
     for cell in daemon.dispatch.cells.values():
-        if not is_owner(daemon, cell.name) and cell.lost_at is None:
-            cell.lost_at = now
+        if not is_owner(daemon, cell.name) and cell.ownership_lost_at is None:
+            cell.ownership_lost_at = now
     return out
 
 
@@ -99,14 +99,14 @@
     # deadlines.
     returned = [host for host in live if host not in before]
     return [effect for cell in daemon.dispatch.cells.values()
-            if cell.lost_at is None
+            if cell.ownership_lost_at is None
             for effect in request_state(cell, returned)]
 
 
 def _release_lost_cells(daemon, now):
     out = []
     for cell in list(daemon.dispatch.cells.values()):
-        lost_at = cell.lost_at
+        lost_at = cell.ownership_lost_at
         if lost_at is not None and now - lost_at >= RELEASE_DELAY_S:
             out += _release_cell(cell)
             del daemon.dispatch.cells[cell.name]
@@ -116,7 +116,7 @@
 def _release_cell(cell):
     out = [effects.Record("cell_given", "", (("cell", cell.name),))]
     for waiting in (*cell.waiting.values(), *cell.suspects.values()):
-        message = messages.NotDispatcher(cell.name, waiting.ask.rid)
+        message = messages.NotDispatcher(cell.name, waiting.request.rid)
         out.append(effects.Send(waiting.entry_host, message))
     return out
 
--- a/crocuskeel/core/dispatch/queue.py
+++ b/crocuskeel/core/dispatch/queue.py
@@ -29,9 +29,9 @@
         cell.suspects[key] = waiting
         return
     cell.waiting[key] = waiting
-    class_queue = _class_queue(cell, waiting.ask)
-    flow = _flow(class_queue, waiting.ask)
-    class_queue.waiting += 1
+    class_queue = _class_queue(cell, waiting.request)
+    flow = _flow(class_queue, waiting.request)
+    class_queue.waiting_count += 1
     class_queue.queued_cost += waiting.cost
     flow.queued_cost += waiting.cost
     _entries(flow, waiting).add(_sort_entry(waiting))
@@ -49,9 +49,9 @@
     if waiting is None:
         return None
     cell.deadlines.remove((waiting.deadline, waiting.seq, key))
-    class_queue = cell.classes[waiting.ask.class_name]
-    flow = class_queue.flows[waiting.ask.workspace]
-    class_queue.waiting -= 1
+    class_queue = cell.class_queues[waiting.request.class_name]
+    flow = class_queue.flows[waiting.request.workspace]
+    class_queue.waiting_count -= 1
     class_queue.queued_cost -= waiting.cost
     flow.queued_cost -= waiting.cost
     _entries(flow, waiting).remove(_sort_entry(waiting))
@@ -65,8 +65,8 @@
     while cell.due_times and cell.due_times[0][0] < now:
         key = cell.due_times.pop(0)[2]
         waiting = cell.waiting[key]
-        class_queue = cell.classes[waiting.ask.class_name]
-        flow = class_queue.flows[waiting.ask.workspace]
+        class_queue = cell.class_queues[waiting.request.class_name]
+        flow = class_queue.flows[waiting.request.workspace]
         flow.on_time.remove(_sort_entry(waiting))
         waiting.late = True
         flow.late.add(_sort_entry(waiting))
@@ -87,7 +87,7 @@
 
 def purge(cell):
     """Delete idle flows that are not ahead of their share."""
-    for class_queue in cell.classes.values():
+    for class_queue in cell.class_queues.values():
         idle = [name for name, flow in class_queue.flows.items()
                 if not flow.on_time and not flow.late
                 and flow.virtual_time <= class_queue.virtual_clock]
@@ -104,12 +104,12 @@
 
 
 def _class_queue(cell, request):
-    class_queue = cell.classes.get(request.class_name)
+    class_queue = cell.class_queues.get(request.class_name)
     if class_queue is None:
         class_queue = state.ClassQueue(
             request.class_name, request.tier, request.floor)
-        cell.classes[request.class_name] = class_queue
-    if not class_queue.waiting:
+        cell.class_queues[request.class_name] = class_queue
+    if not class_queue.waiting_count:
         # An idle class accumulates no claim to past grants: it restarts
         # level with the others, otherwise it would crowd them out on its
         # return.
--- a/crocuskeel/core/dispatch/releasing.py
+++ b/crocuskeel/core/dispatch/releasing.py
@@ -14,9 +14,10 @@
 
 TOKENS_PER_COST = 128.0
 BASE_COST = 0.25
-LOST = frozenset((events.AttemptEnd.BROKEN, events.AttemptEnd.GONE))
+LOST = frozenset((events.AttemptEnd.CONNECTION_LOST,
+                  events.AttemptEnd.STREAM_UNKNOWN))
 UNAVAILABLE = frozenset((events.AttemptEnd.REFUSED,
-                         events.AttemptEnd.SILENT,
+                         events.AttemptEnd.TIMED_OUT,
                          events.AttemptEnd.UNREADY))
 MAX_KNOWN_GOOD = 4096
 SMOOTHING = 0.1
@@ -66,7 +67,7 @@
     if released.end in UNAVAILABLE:
         return limits.attempt_failed(daemon, view, now, _granted_at(slot))
     if released.end == events.AttemptEnd.BUSY:
-        running = len(cell.by_engine.get(released.engine, ()))
+        running = len(cell.running_by_engine.get(released.engine, ()))
         limits.mark_busy(view, running, now)
     if slot is None or released.end != events.AttemptEnd.DONE:
         return []
@@ -79,7 +80,7 @@
 
 
 def _fingerprints(cell, released):
-    keys = cell.by_engine.get(released.engine, ())
+    keys = cell.running_by_engine.get(released.engine, ())
     found = {cell.running[key].fingerprint for key in keys}
     return found | {released.fingerprint}
 
@@ -122,7 +123,7 @@
 
 
 def _correct_charge(cell, slot, released):
-    class_queue = cell.classes.get(slot.class_name)
+    class_queue = cell.class_queues.get(slot.class_name)
     flow = class_queue.flows.get(slot.workspace) if class_queue else None
     if flow is None or not released.tokens:
         return
--- a/crocuskeel/core/dispatch/shedding.py
+++ b/crocuskeel/core/dispatch/shedding.py
@@ -33,8 +33,8 @@
     measured completion rate, with jitter, so that callers refused together
     don't all retry together.
     """
-    ahead = 1 + sum(class_queue.waiting
-                    for class_queue in cell.classes.values()
+    ahead = 1 + sum(class_queue.waiting_count
+                    for class_queue in cell.class_queues.values()
                     if class_queue.tier <= tier)
     rate = meters.rate(cell.completions, now)
     span = ahead / rate if rate > 0.0 else MAX_RETRY_S
@@ -48,7 +48,7 @@
     if waiting is None:
         return []
     is_suspect = key in cell.suspects
-    tier = waiting.ask.tier
+    tier = waiting.request.tier
     out = [] if is_suspect else shed_lower_tiers(daemon, cell, tier, now)
     if not is_suspect:
         cell.refused_at[tier] = now
@@ -58,7 +58,7 @@
 def _remove_and_refuse(daemon, cell, key, reason, now):
     waiting = queue.remove(cell, key)
     return refuse_arrival(
-        daemon, cell, waiting.entry_host, waiting.ask, reason, now,
+        daemon, cell, waiting.entry_host, waiting.request, reason, now,
         now - waiting.enqueued_at)
 
 
@@ -86,11 +86,11 @@
     out = []
     slots = engine_selection.max_slots(daemon, cell)
     for key in [key for key, waiting in cell.suspects.items()
-                if waiting.ask.tier > tier]:
+                if waiting.request.tier > tier]:
         out += _remove_and_refuse(
             daemon, cell, key, problems.Reason.OVERLOAD, now)
     for class_queue in _lower_tiers(cell, tier):
-        while class_queue.waiting > floors.protected_queue_size(
+        while class_queue.waiting_count > floors.protected_queue_size(
                 class_queue, slots):
             key = _newest_of_largest_flow(class_queue)
             out += _remove_and_refuse(
@@ -99,8 +99,8 @@
 
 
 def _lower_tiers(cell, tier):
-    class_queues = [class_queue for class_queue in cell.classes.values()
-                    if class_queue.tier > tier and class_queue.waiting]
+    class_queues = [class_queue for class_queue in cell.class_queues.values()
+                    if class_queue.tier > tier and class_queue.waiting_count]
     return sorted(class_queues, key=lambda q: (-q.tier, q.name))
 
 
@@ -117,16 +117,16 @@
     out = []
     while queue.size(cell) > max_size:
         out += _shed_one(daemon, cell, newcomer, now)
-    class_queue = cell.classes.get(newcomer.ask.class_name)
-    flow = (class_queue.flows.get(newcomer.ask.workspace) if class_queue
+    class_queue = cell.class_queues.get(newcomer.request.class_name)
+    flow = (class_queue.flows.get(newcomer.request.workspace) if class_queue
             else None)
     if flow is None:
         return out
-    if len(flow.on_time) + len(flow.late) > newcomer.ask.queue_limit:
+    if len(flow.on_time) + len(flow.late) > newcomer.request.queue_limit:
         # A workspace over its own limit may displace no more than the
         # one entry it adds: one attempt is shed, of a lower tier if
         # there is one.
-        key = _select_victim(daemon, cell, newcomer.ask.tier)
+        key = _select_victim(daemon, cell, newcomer.request.tier)
         key = key or queue.newest_key(flow)
         out += refuse(
             daemon, cell, key, problems.Reason.QUEUE_FULL, now)
@@ -147,7 +147,7 @@
     slots = engine_selection.max_slots(daemon, cell)
     class_queues = [
         class_queue for class_queue in _lower_tiers(cell, tier)
-        if class_queue.waiting > floors.protected_queue_size(
+        if class_queue.waiting_count > floors.protected_queue_size(
             class_queue, slots)]
     if not class_queues:
         return None
@@ -167,7 +167,7 @@
         if deadline > now:
             break
         expired.append(key)
-    expired.sort(key=lambda key: -queue.entry(cell, key).ask.tier)
+    expired.sort(key=lambda key: -queue.entry(cell, key).request.tier)
     out = []
     for key in expired:
         out += refuse(daemon, cell, key, problems.Reason.DEADLINE, now)
@@ -180,7 +180,7 @@
     Compares the number of late attempts of its class with the rate at
     which these could be granted if nothing more arrived in its tier.
     """
-    class_queue = cell.classes[waiting.ask.class_name]
+    class_queue = cell.class_queues[waiting.request.class_name]
     rate = _late_grant_rate(cell, class_queue, now)
     if rate <= 0.0:
         return False
@@ -195,8 +195,8 @@
                             if tier < class_queue.tier)
     share = max(class_queue.floor, floors.MIN_FLOOR)
     competing = sum(max(other.floor, floors.MIN_FLOOR)
-                    for other in cell.classes.values()
-                    if other.tier == class_queue.tier and other.waiting)
+                    for other in cell.class_queues.values()
+                    if other.tier == class_queue.tier and other.waiting_count)
     available = ((completion_rate - higher_tiers_rate) * share
                  / max(competing, share))
     return max(available, share * completion_rate)
@@ -212,7 +212,8 @@
                  for tier, refused_at in cell.refused_at.items())
     if not recent:
         return False
-    class_queue = cell.classes.get(request.class_name)
+    class_queue = cell.class_queues.get(request.class_name)
     slots = engine_selection.max_slots(daemon, cell)
     return class_queue is not None and (
-        class_queue.waiting >= floors.protected_queue_size(class_queue, slots))
+        class_queue.waiting_count >= floors.protected_queue_size(
+            class_queue, slots))
--- a/crocuskeel/core/dispatch/state.py
+++ b/crocuskeel/core/dispatch/state.py
@@ -31,7 +31,7 @@
     are on this host's clock. ``cost`` is its expected cost.
     """
 
-    ask: messages.Enqueue
+    request: messages.Enqueue
     entry_host: str
     enqueued_at: float
     due: float
@@ -43,7 +43,7 @@
     @property
     def key(self) -> Key:
         """Identity of the attempt."""
-        return self.ask.rid, self.ask.attempt
+        return self.request.rid, self.request.attempt
 
 
 @dataclasses.dataclass(slots=True)
@@ -94,8 +94,7 @@
 class ClassQueue:
     """Waiting attempts of one class in a cell.
 
-    ``credit`` is the floor's deficit counter in grants. ``waiting`` is the
-    number of attempts.
+    ``credit`` is the floor's deficit counter in grants.
     """
 
     name: str
@@ -103,7 +102,7 @@
     floor: float
     virtual_time: float = 0.0
     credit: float = 0.0
-    waiting: int = 0
+    waiting_count: int = 0
     queued_cost: float = 0.0
     virtual_clock: float = 0.0
     flows: dict[str, Flow] = _dict_field()
@@ -117,12 +116,12 @@
     where there are no tokens, and ``unit_latency_dev`` its mean deviation.
     ``mean_concurrency`` is the mean number of attempts at the time,
     ``ttft`` the time to the first token. These are 0 while unknown.
-    ``limit`` is the learned concurrency limit, ``max_limit`` its upper
-    bound, ``reported_slots`` the slots that the engine reports.
+    ``concurrency_limit`` is learned, ``max_limit`` its upper bound,
+    ``reported_slots`` the slots that the engine reports.
     """
 
     name: str
-    limit: float
+    concurrency_limit: float
     max_limit: int
     unit_latency: float = 0.0
     unit_latency_dev: float = 0.0
@@ -132,7 +131,7 @@
     samples: int = 0
     reduced_at: float = 0.0
     failures: int = 0
-    off_until: float = 0.0
+    paused_until: float = 0.0
     slow_backoffs: int = 0
     probing: bool = False
     boot_id: str = ""
@@ -149,24 +148,24 @@
 
     ``unreported_hosts`` are hosts whose running attempts are not yet
     known; until ``settle_until`` only slots that are certainly free are
-    granted. ``lost_at`` is when another host became the cell's dispatcher,
-    None while it is this host. ``top_tier_running`` counts the top tier's
-    slots; ``headroom_factor`` times its square root is the number of slots
-    kept free for that tier.
+    granted. ``ownership_lost_at`` is when another host became the cell's
+    dispatcher, None while it is this host. ``top_tier_running`` counts the top
+    tier's slots; ``headroom_factor`` times its square root is the number of
+    slots kept free for that tier.
     """
 
     name: str
     service: str
     settle_until: float
     unreported_hosts: set[str]
-    lost_at: float | None = None
+    ownership_lost_at: float | None = None
     waiting: dict[Key, WaitingAttempt] = _dict_field()
     suspects: dict[Key, WaitingAttempt] = _dict_field()
     running: dict[Key, Slot] = _dict_field()
-    by_engine: dict[str, set[Key]] = _dict_field()
+    running_by_engine: dict[str, set[Key]] = _dict_field()
     running_by_fingerprint: collections.Counter = dataclasses.field(
         default_factory=collections.Counter)
-    classes: dict[str, ClassQueue] = _dict_field()
+    class_queues: dict[str, ClassQueue] = _dict_field()
     due_times: SortedList = dataclasses.field(default_factory=SortedList)
     deadlines: SortedList = dataclasses.field(default_factory=SortedList)
     virtual_clocks: dict[int, float] = _dict_field()
--- a/crocuskeel/core/door/admitting.py
+++ b/crocuskeel/core/door/admitting.py
@@ -49,7 +49,7 @@
 
 
 def _check_host(daemon, event, now):
-    if daemon.door.drain_at is not None:
+    if daemon.door.drain_started_at is not None:
         return completion.refuse_arrival(
             event.rid, Reason.LEAVING, retry_after_s=RETRY_AFTER_S,
             location=locating.other_host_address(daemon))
--- a/crocuskeel/core/door/completion.py
+++ b/crocuskeel/core/door/completion.py
@@ -194,17 +194,17 @@
 
 def _retain(daemon, req, has_answer, now):
     door = daemon.door
-    door.kept[req.rid] = state.EndedRequest(
+    door.ended_requests[req.rid] = state.EndedRequest(
         req.rid, req.caller.workspace, req.caller.caller,
         req.arrival.idempotency_key, req.arrival.digest, has_answer,
         req.outcome, now + daemon.limits.replay_kept_s)
-    while len(door.kept) > MAX_ENDED_REQUESTS:
+    while len(door.ended_requests) > MAX_ENDED_REQUESTS:
         evict_oldest(door)
 
 
 def evict_oldest(door):
     """Evict the retained answer of the request that ended first."""
-    rid, ended = door.kept.popitem(last=False)
+    rid, ended = door.ended_requests.popitem(last=False)
     scope = (ended.workspace, ended.caller, ended.key)
     if door.rids_by_key.get(scope) == rid:
         del door.rids_by_key[scope]
--- a/crocuskeel/core/door/draining.py
+++ b/crocuskeel/core/door/draining.py
@@ -9,9 +9,9 @@
 
 def start(daemon, now):
     """Start draining; waiting and running requests continue."""
-    if daemon.door.drain_at is not None:
+    if daemon.door.drain_started_at is not None:
         return []
-    daemon.door.drain_at = now
+    daemon.door.drain_started_at = now
     request_count = len(daemon.door.requests)
     return [effects.Record("drain_started", "",
                            (("requests", request_count),))]
@@ -24,11 +24,11 @@
     must be redirected to another host.
     """
     door = daemon.door
-    if door.drain_at is None or door.exited:
+    if door.drain_started_at is None or door.exited:
         return []
     if door.requests or door.relays or door.lookups:
         return []
-    if now - door.drain_at < MIN_DRAIN_S:
+    if now - door.drain_started_at < MIN_DRAIN_S:
         return []
     door.exited = True
     return [effects.Record("drained"), effects.Exit()]
--- a/crocuskeel/core/door/recovering.py
+++ b/crocuskeel/core/door/recovering.py
@@ -26,7 +26,7 @@
 RETRY_AFTER_S = 1.0
 _CLIENT_ERRORS = range(400, 500)
 _NOT_RUN_ENDS = (End.BUSY, End.REFUSED, End.UNREADY)
-_LOST_ENDS = (End.BROKEN, End.SILENT)
+_LOST_ENDS = (End.CONNECTION_LOST, End.TIMED_OUT)
 
 
 def closed(daemon, req, event, now):
@@ -89,7 +89,7 @@
         return []
     backend = backends.get(daemon, req.engine)
     if backend is None:
-        gone = events.AttemptClosed(req.rid, req.attempt, End.GONE,
+        gone = events.AttemptClosed(req.rid, req.attempt, End.STREAM_UNKNOWN,
                                     req.forwarded, req.tokens)
         return _handle_lost(daemon, req, gone, now)
     req.stage = state.Stage.RUNNING
@@ -150,7 +150,7 @@
 def _is_client_error(event):
     # GONE is an engine's 404 to a resume: the engine no longer has the
     # stream, which says nothing about the request.
-    return (event.end is not End.GONE
+    return (event.end is not End.STREAM_UNKNOWN
             and event.http_status in _CLIENT_ERRORS)
 
 
--- a/crocuskeel/core/door/replaying.py
+++ b/crocuskeel/core/door/replaying.py
@@ -50,8 +50,8 @@
     req = daemon.door.requests.get(original_rid)
     if req is not None:
         return req.arrival.digest, True, req.outcome
-    kept = daemon.door.kept[original_rid]
-    return kept.digest, kept.done, kept.outcome
+    kept = daemon.door.ended_requests[original_rid]
+    return kept.digest, kept.has_answer, kept.outcome
 
 
 def _is_full(daemon):
@@ -135,8 +135,9 @@
 
 
 def _replay_local_if_retained(daemon, relay):
-    kept = daemon.door.kept.get(relay.original_rid)
-    if relay.original_rid in daemon.door.requests or (kept and kept.done):
+    kept = daemon.door.ended_requests.get(relay.original_rid)
+    if relay.original_rid in daemon.door.requests or (
+            kept and kept.has_answer):
         return _replay_local(daemon, relay)
     return _answer_duplicate(relay.rid, relay.outcome)
 
@@ -168,7 +169,7 @@
 def _resume_local(daemon, relay, caller, same_incarnation):
     found = (daemon.door.requests.get(relay.original_rid)
              if same_incarnation else None)
-    kept = (daemon.door.kept.get(relay.original_rid)
+    kept = (daemon.door.ended_requests.get(relay.original_rid)
             if same_incarnation else None)
     if found is not None:
         owner = (found.caller.workspace, found.caller.caller)
@@ -178,7 +179,7 @@
         return _resume_at_engine(daemon, relay)
     if owner != (caller.workspace, caller.caller):
         return _answer_stream_unknown(relay.rid)
-    if found is not None or kept.done:
+    if found is not None or kept.has_answer:
         return _replay_local(daemon, relay)
     return _resume_at_engine(daemon, relay)
 
@@ -231,7 +232,8 @@
         return _answer_duplicate(relay.rid, _latest_outcome(daemon, relay),
                                  RETRY_AFTER_S)
     at_engine = relay.source is state.RelaySource.ENGINE
-    lost = event.end is End.GONE or relay.resumes >= MAX_RELAY_RESUMES
+    lost = (event.end is End.STREAM_UNKNOWN
+            or relay.resumes >= MAX_RELAY_RESUMES)
     if at_engine and lost:
         drop_relay(daemon, relay)
         return _answer_stream_unknown(relay.rid)
@@ -240,7 +242,7 @@
 
 def _latest_outcome(daemon, relay):
     """Return the original request's outcome as known now."""
-    kept = daemon.door.kept.get(relay.original_rid)
+    kept = daemon.door.ended_requests.get(relay.original_rid)
     return kept.outcome if kept else relay.outcome
 
 
@@ -261,7 +263,7 @@
 
 def expire_retained(daemon, now):
     """Remove retained answers whose retention time has passed."""
-    kept = daemon.door.kept
+    kept = daemon.door.ended_requests
     while kept and next(iter(kept.values())).expires_at <= now:
         completion.evict_oldest(daemon.door)
     return []
--- a/crocuskeel/core/door/state.py
+++ b/crocuskeel/core/door/state.py
@@ -160,7 +160,7 @@
     caller: str
     key: str
     digest: str
-    done: bool
+    has_answer: bool
     outcome: problems.Outcome
     expires_at: float
 
@@ -177,7 +177,7 @@
     """All requests by rid, with their indexes.
 
     ``rids_by_key`` maps the scope of an Idempotency-Key to a rid in
-    ``requests`` or ``kept``. ``abandoned_claims`` maps a rid to the
+    ``requests`` or ``ended_requests``. ``abandoned_claims`` maps a rid to the
     claim key that it abandoned before running. ``lookups`` holds the
     refusals waiting for a ledger lookup, by rid.
     """
@@ -187,8 +187,9 @@
     relays: dict[str, Relay] = dataclasses.field(default_factory=dict)
     cells: dict[str, CellState] = dataclasses.field(default_factory=dict)
     rids_by_key: dict[tuple, str] = dataclasses.field(default_factory=dict)
-    kept: collections.OrderedDict[str, EndedRequest] = dataclasses.field(
-        default_factory=collections.OrderedDict)
+    ended_requests: collections.OrderedDict[
+        str, EndedRequest] = dataclasses.field(
+            default_factory=collections.OrderedDict)
     abandoned_claims: collections.OrderedDict[str, str] = dataclasses.field(
         default_factory=collections.OrderedDict)
     retry_budgets: collections.OrderedDict[
@@ -198,7 +199,7 @@
     unreachable_hosts: set[str] = dataclasses.field(default_factory=set)
     live_hosts: tuple[str, ...] = ()
     membership_changed_at: float = 0.0
-    drain_at: float | None = None
+    drain_started_at: float | None = None
     exited: bool = False
 
 
--- a/crocuskeel/core/effects.py
+++ b/crocuskeel/core/effects.py
@@ -139,24 +139,24 @@
 
 @_effect
 class Replay:
-    """Answer a caller with this host's stored answer to request ``held``."""
+    """Answer a caller with this host's stored answer to ``original_rid``."""
 
     rid: str
-    held: str
+    original_rid: str
     after: int = 0
 
 
 @_effect
 class ReplayFrom:
-    """Answer a caller with the answer to ``held`` stored on ``host``.
+    """Answer a caller with the answer to ``original_rid`` stored on ``host``.
 
     The runtime requests it from the peer and relays it. It then reports
-    ``AttemptClosed`` with attempt 0 and DONE, or GONE if it failed.
+    ``AttemptClosed`` with attempt 0 and DONE, or STREAM_UNKNOWN if it failed.
     """
 
     rid: str
     host: str
-    held: str
+    original_rid: str
     after: int = 0
     proof: str = ""
 
--- a/crocuskeel/core/entry/duty_lease.py
+++ b/crocuskeel/core/entry/duty_lease.py
@@ -78,9 +78,9 @@
     duties = host.duties
     out = leases.detect_pause(duties.lease_state, now)
     lease = duties.lease_state.lease
-    if duties.lease_state.stopping and not lease.unsettled:
+    if duties.lease_state.stopping and not lease.write_uncertain:
         return _log_records(out + _release(duties, now))
-    if lease.holding or lease.unsettled or _is_its_turn(host, now):
+    if lease.holding or lease.write_uncertain or _is_its_turn(host, now):
         out += leases.step(duties.lease_state, now)
     return _log_records(out)
 
@@ -197,7 +197,7 @@
     """Release the lease once no call of a duty is in progress."""
     candidate = duties.lease_state
     lease = candidate.lease
-    if duties.releasing or lease.open_call or not leases.is_valid(
+    if duties.releasing or lease.call_in_progress or not leases.is_valid(
             candidate, now):
         return []
     if any(call.in_progress for call in duties.calls.values()):
--- a/crocuskeel/core/events.py
+++ b/crocuskeel/core/events.py
@@ -107,19 +107,19 @@
 
     DONE: complete answer. BUSY: the backend server is full and did not
     run it (429). UNREADY: it can't serve this now and did not run it
-    (503). REFUSED: no byte was sent. BROKEN: connection lost after bytes
-    were sent. SILENT: no traffic within the expected time. GONE: the
-    engine no longer knows the stream. FAILED: another error answer.
-    CANCELLED: cancelled by this host.
+    (503). REFUSED: no byte was sent. CONNECTION_LOST: connection lost after
+    bytes were sent. TIMED_OUT: no traffic within the expected time.
+    STREAM_UNKNOWN: the engine no longer knows the stream. FAILED: another
+    error answer. CANCELLED: cancelled by this host.
     """
 
     DONE = "done"
     BUSY = "busy"
     UNREADY = "unready"
     REFUSED = "refused"
-    BROKEN = "broken"
-    SILENT = "silent"
-    GONE = "gone"
+    CONNECTION_LOST = "broken"
+    TIMED_OUT = "silent"
+    STREAM_UNKNOWN = "gone"
     FAILED = "failed"
     CANCELLED = "cancelled"
 
@@ -244,7 +244,7 @@
 class HostListSeen:
     """The host list was read: entry hosts and backend servers."""
 
-    at: int
+    position: int
     entries: tuple[messages.MemberUpdate, ...]
     backends: tuple[messages.Backend, ...]
 
--- a/crocuskeel/core/factory.py
+++ b/crocuskeel/core/factory.py
@@ -14,11 +14,11 @@
 __all__ = ["new_daemon"]
 
 
-def new_daemon(identity, limits=None, seed=0, tree=None, wall=None):
+def new_daemon(identity, limits=None, seed=0, tree=None, wall_clock=None):
     """Return a :class:`state.Daemon` for ``identity``.
 
     ``tree`` is a parsed settings tree to start from (tests, trials);
-    without it the daemon is not ready until it has read one. ``wall``
+    without it the daemon is not ready until it has read one. ``wall_clock``
     converts the runtime's time to Unix seconds. It is used only to refuse
     claims dated in the future and never causes a request to be run.
     """
@@ -34,5 +34,5 @@
         dispatch=dispatch.new_state(),
         door=door.new_state(),
         claims=claims.new_state(
-            identity.host, identity.incarnation, rng, wall=wall),
+            identity.host, identity.incarnation, rng, wall_clock=wall_clock),
     )
--- a/crocuskeel/core/follower/adoption.py
+++ b/crocuskeel/core/follower/adoption.py
@@ -56,7 +56,7 @@
     if state.held is None or not (held_by_peer or alone):
         return []
     state.tree, state.held = state.held, None
-    if state.newest <= state.tree.generation:
+    if state.newest_known_generation <= state.tree.generation:
         state.behind_since = None
         state.asked_peers.clear()
         parking.release(state)
--- a/crocuskeel/core/follower/handlers.py
+++ b/crocuskeel/core/follower/handlers.py
@@ -86,7 +86,8 @@
 
 
 def _record_newer(state, generation, now):
-    state.newest = max(state.newest, generation)
+    state.newest_known_generation = max(
+        state.newest_known_generation, generation)
     if state.behind_since is None:
         state.behind_since = now
 
@@ -183,15 +184,15 @@
 
 
 def _answer_peer(state, sender, request):
-    if not state.head:
+    if not state.encoded_head:
         return []
-    head = storage.decode_head(state.head)
+    head = storage.decode_head(state.encoded_head)
     digests = [storage.find_delta_digest(head, number)
                for number in range(request.have + 1, head.generation + 1)]
     deltas = [state.deltas.get(digest) for digest in digests]
     blobs = () if None in deltas else tuple(p.blob for p in deltas)
     answer = messages.SettingsAnswer(
-        head.generation, request.have, state.head, blobs)
+        head.generation, request.have, state.encoded_head, blobs)
     return [effects.Send(sender, answer)]
 
 
@@ -240,7 +241,7 @@
         out += adoption.adopt_if_confirmed(daemon, False)
     load = state.load
     if load is None:
-        if state.newest <= states.held_generation(daemon):
+        if state.newest_known_generation <= states.held_generation(daemon):
             return out
         return out + [effects.StoreGet(_HEAD, storage.HEAD_KEY),
                       *_ask_random_peer(daemon)]
--- a/crocuskeel/core/follower/loading.py
+++ b/crocuskeel/core/follower/loading.py
@@ -29,7 +29,8 @@
     state = daemon.follower
     if head.generation <= states.held_generation(daemon):
         return []
-    state.newest = max(state.newest, head.generation)
+    state.newest_known_generation = max(
+        state.newest_known_generation, head.generation)
     load = state.load
     if load is None or load.head.generation < head.generation:
         load = states.Load(head, source)
@@ -86,8 +87,8 @@
 def _missing(daemon, load):
     digests = _delta_digests(daemon, load)
     if digests is None:
-        digests = [load.head.index]
-        index = load.parts.get(load.head.index)
+        digests = [load.head.index_digest]
+        index = load.parts.get(load.head.index_digest)
         if index is not None:
             digests = sorted(storage.missing_parts(
                 storage.decode_index(index), _base_tree(daemon.follower)))
@@ -111,7 +112,7 @@
     # The new tree, or None if the deltas cannot be applied.
     digests = _delta_digests(daemon, load)
     if digests is None:
-        index = storage.decode_index(load.parts[load.head.index])
+        index = storage.decode_index(load.parts[load.head.index_digest])
         return storage.assemble(load.head.generation, index, load.parts,
                                 _base_tree(daemon.follower))
     tree = _base_tree(daemon.follower)
@@ -132,7 +133,7 @@
     state = daemon.follower
     _keep_deltas(state, load)
     state.held = tree
-    state.head = storage.encode_head(load.head)
+    state.encoded_head = storage.encode_head(load.head)
     state.load = None
     state.asked_holder = ""
     fields = (("held", tree.generation), ("source", load.source),
@@ -143,9 +144,9 @@
 
 
 def _keep_deltas(state, load):
-    for entry in load.head.recent:
-        part = load.parts.get(entry.delta)
+    for entry in load.head.recent_batches:
+        part = load.parts.get(entry.delta_digest)
         if part is not None:
-            state.deltas[entry.delta] = part
+            state.deltas[entry.delta_digest] = part
     while len(state.deltas) > MAX_DELTAS_KEPT:
         state.deltas.pop(next(iter(state.deltas)))
--- a/crocuskeel/core/follower/state.py
+++ b/crocuskeel/core/follower/state.py
@@ -35,9 +35,9 @@
 
     ``tree`` is in force, None until the first settings are adopted.
     ``held`` is a newer tree that is complete but not in force yet.
-    ``head`` is the encoded head of the newer of both, ``version`` the
-    last seen version of the head object. ``newest`` is the greatest
-    generation known to exist. ``behind_since`` is when a generation
+    ``encoded_head`` is that of the newer of both, ``version`` the
+    last seen version of the head object. ``newest_known_generation`` is
+    the greatest known to exist. ``behind_since`` is when a generation
     newer than the held one became known, None while current.
     ``heard_at`` is when the platform or a peer last answered or sent
     a message. ``deltas`` keeps delta parts by digest for peers.
@@ -48,9 +48,9 @@
 
     tree: typing.Any = None
     held: typing.Any = None
-    head: bytes = b""
+    encoded_head: bytes = b""
     version: int = 0
-    newest: int = 0
+    newest_known_generation: int = 0
     heard_at: float | None = None
     behind_since: float | None = None
     load: Load | None = None
@@ -67,7 +67,7 @@
     """Return a new follower state, with ``tree`` in force if given."""
     state = FollowerState(tree=tree)
     if tree is not None:
-        state.newest = tree.generation
+        state.newest_known_generation = tree.generation
     return state
 
 
--- a/crocuskeel/core/leadership/lease.py
+++ b/crocuskeel/core/leadership/lease.py
@@ -100,7 +100,7 @@
     stood still for part of it. No order is sent until a renewal that was
     sent after the pause is confirmed.
     """
-    last, state.last_step = state.last_step, now
+    last, state.last_step_at = state.last_step_at, now
     if last is None or 0 <= now - last <= state.cfg.jump_s:
         return []
     state.lease.due_at = now
@@ -114,11 +114,11 @@
     """Read or renew the lease if that is due."""
     lease = state.lease
     effs = _detect_lapse(state, now)
-    if lease.open_call or now < lease.due_at:
+    if lease.call_in_progress or now < lease.due_at:
         return effs
     lease.due_at = now + state.cfg.renew_s
-    lease.open_call = True
-    if not lease.holding or lease.unsettled:
+    lease.call_in_progress = True
+    if not lease.holding or lease.write_uncertain:
         return effs + [effects.ReadLease()]
     return effs + [_renewal(state, now)]
 
@@ -153,7 +153,7 @@
 def release(state, now):
     """Return the write that releases the lease at a graceful shutdown."""
     lease = state.lease
-    lease.open_call = True
+    lease.call_in_progress = True
     lease.number += 1
     return _write(state, "", "", now)
 
@@ -163,7 +163,7 @@
 def on_read(state, event, now):
     """Handle a read: update the known version and holder of the lease."""
     lease = state.lease
-    lease.open_call = False
+    lease.call_in_progress = False
     if event.status not in (Status.FOUND, Status.NOT_FOUND):
         return []
     stored = _Stored("", "", 0, 0.0, 0.0)
@@ -207,14 +207,14 @@
         lease.number = 0
         lease.sent = {}
     lease.version = version
-    lease.open_call = True
+    lease.call_in_progress = True
     return [_write(state, state.cfg.host, lease.nonce, now)]
 
 
 def on_written(state, event, now):
     """Handle the response to an acquisition, renewal or release."""
     lease = state.lease
-    lease.open_call = False
+    lease.call_in_progress = False
     if event.nonce != lease.nonce:
         return []
     if event.status is Status.WRITTEN:
@@ -224,7 +224,7 @@
     # The write was refused, or its response was lost: read the object to
     # find out who holds the lease. If our write took effect, the object
     # contains our nonce.
-    lease.unsettled = True
+    lease.write_uncertain = True
     lease.due_at = now
     return []
 
@@ -232,7 +232,7 @@
 def _confirm(state, version, number, now):
     lease = state.lease
     lease.version = version
-    lease.unsettled = False
+    lease.write_uncertain = False
     lease.confirmed_at = lease.sent[number].at
     lease.committed_record = lease.sent[number].record
     lease.number = max(lease.number, number)
@@ -269,7 +269,8 @@
 def _lose(state, kind, now, *fields):
     lease = state.lease
     fence = lease.fence
-    state.lease = states.Lease(open_call=lease.open_call, due_at=now)
+    state.lease = states.Lease(
+        call_in_progress=lease.call_in_progress, due_at=now)
     state.cooldown_until = now + state.cfg.cooldown_s
     return [_record(kind, ("fence", fence), *fields)]
 
--- a/crocuskeel/core/leadership/state.py
+++ b/crocuskeel/core/leadership/state.py
@@ -77,8 +77,8 @@
     order_s: float = 0.0
     record: typing.Any = None
     committed_record: typing.Any = None
-    open_call: bool = False
-    unsettled: bool = False
+    call_in_progress: bool = False
+    write_uncertain: bool = False
     due_at: float = NEVER
 
 
@@ -94,6 +94,6 @@
     cfg: Config
     rng: random.Random
     lease: Lease = dataclasses.field(default_factory=Lease)
-    last_step: float | None = None
+    last_step_at: float | None = None
     cooldown_until: float = NEVER
     stopping: bool = False
--- a/crocuskeel/core/membership/gossip.py
+++ b/crocuskeel/core/membership/gossip.py
@@ -38,9 +38,10 @@
     """Return the full update of this host with its generation."""
     state = daemon.members
     generation = follower.generation(daemon)
-    if state.me.generation != generation:
-        state.me = dataclasses.replace(state.me, generation=generation)
-    return state.me
+    if state.own_update.generation != generation:
+        state.own_update = dataclasses.replace(
+            state.own_update, generation=generation)
+    return state.own_update
 
 
 def own_compact_update(daemon):
@@ -62,7 +63,7 @@
 
 def enqueue(daemon, host):
     """Queue the newest update of a host for dissemination."""
-    daemon.members.queue[host] = 0
+    daemon.members.pending_updates[host] = 0
 
 
 def _disseminated_form(member):
@@ -86,7 +87,7 @@
 
 def _newest_update(daemon, host):
     state = daemon.members
-    if host == state.me.host:
+    if host == state.own_update.host:
         return own_update(daemon)
     member = state.members.get(host)
     return None if member is None else _disseminated_form(member)
@@ -100,18 +101,18 @@
     out = list(first)
     included = {update.host for update in first}
     limit = params.retransmit_limit(len(st.peers(state)) + 1)
-    for host in sorted(state.queue, key=state.queue.get):
+    for host in sorted(state.pending_updates, key=state.pending_updates.get):
         update = _newest_update(daemon, host)
         if host in included and update is not None:
             continue
-        if update is None or state.queue[host] >= limit:
-            del state.queue[host]
+        if update is None or state.pending_updates[host] >= limit:
+            del state.pending_updates[host]
             continue
         bytes_left -= _encoded_bytes(update)
         if bytes_left < 0:
             break
         out.append(update)
-        state.queue[host] += 1
+        state.pending_updates[host] += 1
     return tuple(out)
 
 
@@ -156,7 +157,8 @@
     This happens when a partition heals.
     """
     queued_bytes = sum(_encoded_bytes(update) for update in (
-        _newest_update(daemon, host) for host in daemon.members.queue)
+        _newest_update(daemon, host)
+        for host in daemon.members.pending_updates)
         if update is not None)
     if queued_bytes <= params.MAX_UPDATE_BYTES:
         return []
--- a/crocuskeel/core/membership/handlers.py
+++ b/crocuskeel/core/membership/handlers.py
@@ -54,13 +54,13 @@
     if member is None:
         return
     if event.incarnation == member.update.incarnation:
-        member.heard_at = now
-        state.heard_at = now
+        member.last_contact_at = now
+        state.last_contact_at = now
 
 
 def _received(daemon, event, now):
     state = daemon.members
-    if state.superseded or event.sender == state.me.host:
+    if state.superseded or event.sender == state.own_update.host:
         return []
     record_contact(daemon, event, now)
     member = state.members.get(event.sender)
@@ -119,6 +119,6 @@
 
 def _start_leaving(daemon):
     state = daemon.members
-    state.me = dataclasses.replace(state.me, status=st.LEAVING)
+    state.own_update = dataclasses.replace(state.own_update, status=st.LEAVING)
     st.invalidate_caches(state)
-    return gossip.send_urgent(daemon, state.me.host)
+    return gossip.send_urgent(daemon, state.own_update.host)
--- a/crocuskeel/core/membership/probing.py
+++ b/crocuskeel/core/membership/probing.py
@@ -30,7 +30,7 @@
     state = daemon.members
     span = daemon.rng.uniform(0.0, params.PERIOD_S)
     state.tick_due = now + span
-    gossip.enqueue(daemon, state.me.host)
+    gossip.enqueue(daemon, state.own_update.host)
     return [*_contact_random(daemon, params.CONTACTS_WITHOUT_PEERS),
             effects.SetTimer(TICK, span)]
 
@@ -93,7 +93,7 @@
     # be detected late.
     if state.ring_cache is None:
         groups = {}
-        for host in sorted((*st.peers(state), state.me.host)):
+        for host in sorted((*st.peers(state), state.own_update.host)):
             groups.setdefault(_domain(state, host), []).append(host)
         positions = []
         for number, domain in enumerate(sorted(groups)):
@@ -106,14 +106,14 @@
 
 
 def _domain(state, host):
-    if host == state.me.host:
-        return state.me.domain
+    if host == state.own_update.host:
+        return state.own_update.domain
     return state.members[host].update.domain
 
 
 def _ring_successor(state):
     ring = _ring(state)
-    position = ring.index(state.me.host)
+    position = ring.index(state.own_update.host)
     for host in ring[position + 1:] + ring[:position]:
         if state.members[host].update.status != st.SUSPECT:
             return host
@@ -202,7 +202,7 @@
     member = state.members.get(probe.host) if probe else None
     if member is None or member.update.status in (st.SUSPECT, st.DEAD):
         return []
-    if (state.heard_at < probe.sent_at
+    if (state.last_contact_at < probe.sent_at
             and state.health_score < params.MAX_HEALTH_SCORE):
         # Nothing was received from any host: this host is probably
         # the isolated one, and would declare all others dead.
@@ -221,7 +221,7 @@
         params.DIRECT_PROBE_SHARE
         * params.probe_timeout(_host_count(state), 0))
     member.failed_probes += 1
-    return (member.heard_at > helpers_asked_at
+    return (member.last_contact_at > helpers_asked_at
             and member.failed_probes <= params.MAX_IGNORED_FAILURES)
 
 
@@ -247,7 +247,7 @@
     for host, member in state.members.items():
         addresses[host] = (member.update.address, member.update.peer_port)
     unreached = {**addresses}
-    for host in (*st.peers(state), state.me.host):
+    for host in (*st.peers(state), state.own_update.host):
         unreached.pop(host, None)
     return unreached
 
--- a/crocuskeel/core/membership/state.py
+++ b/crocuskeel/core/membership/state.py
@@ -23,7 +23,7 @@
     suspect or dead. ``leaving`` stays set for the whole incarnation.
     ``deadline`` is when a suspect is declared dead,
     ``accept_death_from`` when other hosts' reports of its death are
-    accepted, ``died_at`` when it was declared dead, ``heard_at`` when
+    accepted, ``died_at`` when it was declared dead, ``last_contact_at`` when
     its last message arrived. ``failed_probes`` counts consecutive failed
     probes.
     """
@@ -34,7 +34,7 @@
     deadline: float = 0.0
     accept_death_from: float = 0.0
     died_at: float = 0.0
-    heard_at: float = 0.0
+    last_contact_at: float = 0.0
     failed_probes: int = 0
 
 
@@ -59,22 +59,22 @@
 class MembershipState:
     """The membership state of this host.
 
-    ``me`` is the update that this host sends about itself. ``members``
+    ``own_update`` is the update that this host sends about itself. ``members``
     holds the other hosts, including dead ones. ``seeds`` and ``listed``
     (from the host list) are addresses at which members may be found.
-    ``queue`` maps a host whose update is being disseminated to the
+    ``pending_updates`` maps a host whose update is being disseminated to the
     number of times it was sent. ``syncs`` maps a joining host to the
     members still to be sent to it. ``contested`` are hosts that other
     members consider alive and this one dead. ``health_score`` lengthens
     the timeouts; it is 0 while this host trusts its own observations.
     """
 
-    me: messages.MemberUpdate
+    own_update: messages.MemberUpdate
     seeds: dict[str, tuple[str, int]]
     listed: dict[str, tuple[str, int]] = dataclasses.field(
         default_factory=dict)
     members: dict[str, Member] = dataclasses.field(default_factory=dict)
-    queue: dict[str, int] = dataclasses.field(default_factory=dict)
+    pending_updates: dict[str, int] = dataclasses.field(default_factory=dict)
     probes: dict[int, PendingProbe] = dataclasses.field(
         default_factory=dict)
     relays: dict[int, Relay] = dataclasses.field(default_factory=dict)
@@ -84,7 +84,7 @@
     seq: int = 0
     health_score: int = 0
     superseded: bool = False
-    heard_at: float = 0.0
+    last_contact_at: float = 0.0
     tick_due: float = 0.0
     reconnect_due: float = 0.0
     contested: dict[str, None] = dataclasses.field(
@@ -96,7 +96,7 @@
 
 def new_state(identity):
     """Return the state of a host that knows no other host yet."""
-    me = messages.MemberUpdate(
+    own_update = messages.MemberUpdate(
         host=identity.host, incarnation=identity.incarnation,
         status=ALIVE, address=identity.address,
         peer_port=identity.peer_port, door_port=identity.door_port,
@@ -104,7 +104,7 @@
     seeds = {host: (address, port)
              for host, address, port in identity.seeds
              if host != identity.host}
-    return MembershipState(me=me, seeds=seeds)
+    return MembershipState(own_update=own_update, seeds=seeds)
 
 
 def invalidate_caches(state):
@@ -133,8 +133,8 @@
     if state.live_cache is None:
         names = [host for host in peers(state)
                  if not state.members[host].leaving]
-        if state.me.status == ALIVE and not state.superseded:
-            names.append(state.me.host)
+        if state.own_update.status == ALIVE and not state.superseded:
+            names.append(state.own_update.host)
         state.live_cache = tuple(sorted(names))
     return state.live_cache
 
@@ -142,8 +142,8 @@
 def member_info(daemon, host):
     """Return the newest ``MemberUpdate`` of a host or None."""
     state = daemon.members
-    if host == state.me.host:
-        return state.me
+    if host == state.own_update.host:
+        return state.own_update
     member = state.members.get(host)
     return member.update if member is not None else None
 
@@ -151,8 +151,8 @@
 def is_live(daemon, host):
     """Return whether a host is live and not leaving."""
     state = daemon.members
-    if host == state.me.host:
-        return state.me.status == ALIVE and not state.superseded
+    if host == state.own_update.host:
+        return state.own_update.status == ALIVE and not state.superseded
     member = state.members.get(host)
     return (member is not None and not member.leaving
             and member.update.status != DEAD)
@@ -169,10 +169,11 @@
     """Return the ``MemberUpdate`` of every known host, dead or alive."""
     state = daemon.members
     others = sorted(state.members)
-    return (state.me, *(state.members[host].update for host in others))
+    return (state.own_update, *(state.members[host].update for host in others))
 
 
 def set_load(daemon, load):
     """Set the load (0 to 1) that this host reports to others."""
     state = daemon.members
-    state.me = dataclasses.replace(state.me, load=round(load, 2))
+    state.own_update = dataclasses.replace(
+        state.own_update, load=round(load, 2))
--- a/crocuskeel/core/membership/updates.py
+++ b/crocuskeel/core/membership/updates.py
@@ -37,7 +37,7 @@
     if update.status not in _SEVERITY:
         # Sent by a later version of this program.
         return []
-    if update.host == state.me.host:
+    if update.host == state.own_update.host:
         return _apply_to_self(daemon, update, sender)
     member = state.members.get(update.host)
     if member is None:
@@ -70,24 +70,24 @@
 
 def _apply_to_self(daemon, update, sender):
     state = daemon.members
-    me = state.me
-    if update.incarnation > me.incarnation:
+    own = state.own_update
+    if update.incarnation > own.incarnation:
         return _mark_superseded(state)
-    stale = (update.incarnation < me.incarnation
-             or update.refutations < me.refutations
+    stale = (update.incarnation < own.incarnation
+             or update.refutations < own.refutations
              or update.status not in (st.SUSPECT, st.DEAD))
     if stale:
         return []
     # Reported suspect or dead while running, after lost datagrams, a
     # pause or a partition. Only a greater refutation count overrides the
     # report at the other hosts.
-    state.me = dataclasses.replace(
-        me, refutations=update.refutations + 1)
+    state.own_update = dataclasses.replace(
+        own, refutations=update.refutations + 1)
     state.health_score = min(state.health_score + 1, params.MAX_HEALTH_SCORE)
     record = effects.Record("suspicion_refuted", "", (
-        ("by", sender), ("refutations", state.me.refutations)))
+        ("by", sender), ("refutations", state.own_update.refutations)))
     extra_hosts = (sender,) if sender in state.members else ()
-    return [record, *gossip.send_urgent(daemon, me.host, extra_hosts)]
+    return [record, *gossip.send_urgent(daemon, own.host, extra_hosts)]
 
 
 def _mark_superseded(state):
@@ -98,7 +98,7 @@
     state.superseded = True
     st.invalidate_caches(state)
     return [effects.Record("host_superseded", "",
-                           (("host", state.me.host),))]
+                           (("host", state.own_update.host),))]
 
 
 def _join(daemon, update, now):
@@ -106,7 +106,7 @@
         return []
     state = daemon.members
     state.members[update.host] = st.Member(
-        update, leaving=update.status == st.LEAVING, heard_at=now)
+        update, leaving=update.status == st.LEAVING, last_contact_at=now)
     _add_to_round(daemon, update.host)
     st.invalidate_caches(state)
     gossip.enqueue(daemon, update.host)
--- a/crocuskeel/core/reducer.py
+++ b/crocuskeel/core/reducer.py
@@ -97,7 +97,7 @@
 def _must_drain(daemon):
     # A newer process runs under this host's name, so answers and grants
     # for one could reach the other. The older one drains.
-    return daemon.members.superseded and daemon.door.drain_at is None
+    return daemon.members.superseded and daemon.door.drain_started_at is None
 
 
 def _step(daemon, event, now):
--- a/crocuskeel/ctl/changes.py
+++ b/crocuskeel/ctl/changes.py
@@ -48,7 +48,7 @@
         if found.is_err():
             return found
         base = found.unwrap()
-    body = {"base_generation": base, "at": session.wall(),
+    body = {"base_generation": base, "at": session.wall_clock(),
             "edits": list(edits)}
     result = await clients.request(
         session.client, "POST", "/ops/settings/batches", body=body)
--- a/crocuskeel/ctl/session.py
+++ b/crocuskeel/ctl/session.py
@@ -12,13 +12,13 @@
 class Session:
     """Clock, client and files, passed in so that tests can replace them.
 
-    ``wall()`` returns the Unix time in seconds; ``read_text(name)`` returns a
-    file's text and ``write_text(name, text)`` writes one; both raise
+    ``wall_clock()`` returns the Unix time in seconds; ``read_text(name)``
+    returns a file's text and ``write_text(name, text)`` writes one; both raise
     OSError.
     """
 
     reactor: typing.Any
     client: clients.Client
-    wall: typing.Callable[[], float]
+    wall_clock: typing.Callable[[], float]
     read_text: typing.Callable[[str], str]
     write_text: typing.Callable[[str, str], None]
--- a/crocuskeel/ctl/settings.py
+++ b/crocuskeel/ctl/settings.py
@@ -46,7 +46,7 @@
     lines = [_format_fault(name, fault) for fault in faults]
     data = {"file": name, "faults": [
         {"id": each.id, "path": list(each.path), "line": each.line,
-         "fault": each.fault, "hint": each.hint} for each in faults]}
+         "fault": each.message, "hint": each.hint} for each in faults]}
     word = "error" if len(faults) == 1 else "errors"
     return Failure(
         Code.FAULTS, "\n".join(lines), f"{len(faults)} {word}", data)
@@ -55,7 +55,7 @@
 def _format_fault(name, fault):
     hint = f"\n    {fault.hint}" if fault.hint else ""
     return (f"{name}:{fault.line or 1}: {paths.format_path(fault.path)}: "
-            f"{fault.id} {fault.fault}{hint}")
+            f"{fault.id} {fault.message}{hint}")
 
 
 async def get(session, args):
--- a/crocuskeel/ctl/tracing.py
+++ b/crocuskeel/ctl/tracing.py
@@ -204,7 +204,7 @@
     times = {}
     for name in ("since", "until"):
         text = getattr(args, name)
-        parsed = parse_time(text, session.wall()) if text else Ok(None)
+        parsed = parse_time(text, session.wall_clock()) if text else Ok(None)
         if parsed.is_err():
             return parsed
         times[name] = parsed.unwrap()
--- a/crocuskeel/objectapi/results.py
+++ b/crocuskeel/objectapi/results.py
@@ -118,9 +118,9 @@
 
 @_result
 class HostList:
-    """The host list as of its revision ``at``."""
+    """The host list as of ``revision``."""
 
-    at: int
+    revision: int
     hosts: tuple[HostEntry, ...]
 
 
--- a/crocuskeel/ops/changes.py
+++ b/crocuskeel/ops/changes.py
@@ -106,7 +106,7 @@
     return Rejected(
         batch.id, result.reason.value, result.outcome.value, result.detail,
         tuple(_conflict(each) for each in result.conflicts),
-        tuple(ValidationError(each.id, each.path, each.fault, each.hint)
+        tuple(ValidationError(each.id, each.path, each.message, each.hint)
               for each in result.faults))
 
 
@@ -114,4 +114,4 @@
     return ConflictDetail(
         batches.encode_edit(conflict.ours),
         batches.encode_edit(conflict.theirs),
-        conflict.generation, conflict.author, conflict.at)
+        conflict.generation, conflict.author, conflict.created_at)
--- a/crocuskeel/ops/history.py
+++ b/crocuskeel/ops/history.py
@@ -61,7 +61,7 @@
     entries = []
     unread = []
     for recent in _recent(daemon)[:limit]:
-        delta = await _delta(daemon, client, recent.delta)
+        delta = await _delta(daemon, client, recent.delta_digest)
         if delta is None:
             unread.append(recent.generation)
         else:
@@ -77,7 +77,7 @@
     if not found:
         return Err(f"generation {generation} is not among the last "
                    f"{storage.RECENT_BATCHES}; revert it by sending edits")
-    delta = await _delta(daemon, client, found[0].delta)
+    delta = await _delta(daemon, client, found[0].delta_digest)
     if delta is None:
         return Err(f"the batch of generation {generation} can't be read "
                    "now; try again")
@@ -91,16 +91,16 @@
 
 
 def _recent(daemon):
-    if not daemon.follower.head:
+    if not daemon.follower.encoded_head:
         return ()
-    head = storage.decode_head(daemon.follower.head)
-    return tuple(reversed(head.recent))
+    head = storage.decode_head(daemon.follower.encoded_head)
+    return tuple(reversed(head.recent_batches))
 
 
 def _entry(delta):
     batch = delta.batch
     return Entry(
-        delta.generation, batch.id, batch.author, batch.at,
+        delta.generation, batch.id, batch.author, batch.created_at,
         batch.base_generation,
         tuple(batches.encode_edit(edit) for edit in batch.edits))
 
--- a/crocuskeel/ops/overview.py
+++ b/crocuskeel/ops/overview.py
@@ -107,7 +107,7 @@
     return Status(
         _local_status(daemon, now), _hosts(daemon), _cells(daemon),
         tuple(_engine(daemon, backend, cell_by_engine.get(name, ""), now)
-              for name, backend in sorted(daemon.backends.known.items())),
+              for name, backend in sorted(daemon.backends.by_name.items())),
         attainment.by_class(daemon, events))
 
 
@@ -117,9 +117,9 @@
         host=daemon.me.host,
         incarnation=daemon.me.incarnation,
         generation=generation,
-        newest=max(generation, daemon.follower.newest),
+        newest=max(generation, daemon.follower.newest_known_generation),
         ready=follower.ready(daemon, now),
-        draining=daemon.door.drain_at is not None,
+        draining=daemon.door.drain_started_at is not None,
         requests=len(daemon.door.requests),
     )
 
@@ -157,14 +157,15 @@
 
 def _dispatched_cell(daemon, name):
     cell = daemon.dispatch.cells.get(name)
-    return cell if cell is not None and cell.lost_at is None else None
+    return (cell if cell is not None and cell.ownership_lost_at is None
+            else None)
 
 
 def _tiers(cell):
     if cell is None:
         return ()
     waiting = collections.Counter(
-        each.ask.tier for group in (cell.waiting, cell.suspects)
+        each.request.tier for group in (cell.waiting, cell.suspects)
         for each in group.values())
     running = collections.Counter(
         slot.tier for slot in cell.running.values())
@@ -185,16 +186,16 @@
         domain=backend.domain, kind=backend.kind,
         state=_engine_state(daemon, backend.name, view, now),
         in_flight=-1 if cell is None else _running_count(cell, backend.name),
-        limit=0.0 if cell is None or view is None else view.limit)
+        limit=0.0 if cell is None or view is None else view.concurrency_limit)
 
 
 def _running_count(cell, name):
-    return len(cell.by_engine.get(name, ()))
+    return len(cell.running_by_engine.get(name, ()))
 
 
 def _engine_state(daemon, name, view, now):
     if not backends.is_usable(daemon, name):
         return "leaving"
-    if view is not None and view.off_until > now:
+    if view is not None and view.paused_until > now:
         return "off"
     return "live"
--- a/crocuskeel/ops/store.py
+++ b/crocuskeel/ops/store.py
@@ -46,7 +46,7 @@
     # A head write whose response is missing may still take effect: if the
     # batch were reported as not applied, its author would send it again
     # under a new ID.
-    settled = state.pending is None
+    settled = state.pending_generation is None
     outcome = (commit.Outcome.NOT_APPLIED if settled
                else commit.Outcome.UNKNOWN)
     return commit.Refused(
--- a/crocuskeel/programs/ctl.py
+++ b/crocuskeel/programs/ctl.py
@@ -36,7 +36,7 @@
         result = client
     else:
         session = ctl.Session(
-            reactor=reactor, client=client.unwrap(), wall=time.time,
+            reactor=reactor, client=client.unwrap(), wall_clock=time.time,
             read_text=_read_text, write_text=_write_text)
         result = await ctl.run(args, session)
     code.append(ctl.print_result(
--- a/crocuskeel/runtime/attempts.py
+++ b/crocuskeel/runtime/attempts.py
@@ -198,7 +198,7 @@
 
 def _end_for_status(attempt, status):
     if attempt.resumed:
-        return None if status == 200 else End.GONE
+        return None if status == 200 else End.STREAM_UNKNOWN
     if status in _END_BY_STATUS:
         return _END_BY_STATUS[status]
     if status >= _FIRST_SERVER_ERROR:
@@ -222,12 +222,12 @@
     if attempt.ended:
         return
     sent = not failure.check(*_NOT_SENT_ERRORS)
-    close(ctx, attempt, End.BROKEN if sent else End.REFUSED)
+    close(ctx, attempt, End.CONNECTION_LOST if sent else End.REFUSED)
 
 
 def _handler_failed(ctx, attempt, failure):
     if not attempt.ended:
-        close(ctx, attempt, End.BROKEN)
+        close(ctx, attempt, End.CONNECTION_LOST)
     failure.raiseException()
 
 
--- a/crocuskeel/runtime/context.py
+++ b/crocuskeel/runtime/context.py
@@ -24,9 +24,9 @@
     reduce: typing.Callable
     # loop
     handlers: dict
-    queue: collections.deque
+    event_queue: collections.deque
     timers: dict
-    reducing: bool = False
+    handling_event: bool = False
     # callers
     exchanges: dict = dataclasses.field(default_factory=dict)
     last_rid: int = 0
@@ -55,4 +55,4 @@
 def new_context(reactor, cfg, daemon, reduce):
     """Return a runtime without handlers or connections."""
     return Context(reactor=reactor, cfg=cfg, daemon=daemon, reduce=reduce,
-                   handlers={}, queue=collections.deque(), timers={})
+                   handlers={}, event_queue=collections.deque(), timers={})
--- a/crocuskeel/runtime/event_queue.py
+++ b/crocuskeel/runtime/event_queue.py
@@ -9,14 +9,14 @@
     Effects may cause events synchronously (a test double's answer, a
     refused connection); these are queued until all effects of the current
     event have run, so that the core handles one event at a time. ``ctx``
-    has a ``queue`` and a flag ``reducing``.
+    has an ``event_queue`` and a flag ``handling_event``.
     """
-    ctx.queue.append(event)
-    if ctx.reducing:
+    ctx.event_queue.append(event)
+    if ctx.handling_event:
         return
-    ctx.reducing = True
+    ctx.handling_event = True
     try:
-        while ctx.queue:
-            handle(ctx, ctx.queue.popleft())
+        while ctx.event_queue:
+            handle(ctx, ctx.event_queue.popleft())
     finally:
-        ctx.reducing = False
+        ctx.handling_event = False
--- a/crocuskeel/runtime/loop.py
+++ b/crocuskeel/runtime/loop.py
@@ -48,7 +48,7 @@
     # CallerGone is not among them, so its failure can't repeat endlessly.
     if type(event) in _REQUEST_EVENTS:
         ctx.fail_request(ctx, event.rid)
-        ctx.queue.append(events.CallerGone(event.rid))
+        ctx.event_queue.append(events.CallerGone(event.rid))
 
 
 def _event_name(event):
--- a/crocuskeel/runtime/platform_calls.py
+++ b/crocuskeel/runtime/platform_calls.py
@@ -84,7 +84,7 @@
                     if host.role == "entry")
     backends = tuple(_backend(host) for host in result.hosts
                      if host.role in _BACKEND_KINDS)
-    return events.HostListSeen(result.at, entries, backends)
+    return events.HostListSeen(result.revision, entries, backends)
 
 
 def _member_update(host):
--- a/crocuskeel/runtime/program.py
+++ b/crocuskeel/runtime/program.py
@@ -47,7 +47,7 @@
     """
     identity = settings.identity(cfg, int(wall_clock() * 1000))
     daemon = factory.new_daemon(
-        identity, cfg.limits, wall=_new_unix_clock(reactor, wall_clock))
+        identity, cfg.limits, wall_clock=_new_unix_clock(reactor, wall_clock))
     ctx = context.new_context(reactor, cfg, daemon, reduce)
     ctx.records = records.new_records(reactor, wall_clock, cfg.statsd)
     ctx.fail_request = callers.fail_request
--- a/crocuskeel/runtime/relay.py
+++ b/crocuskeel/runtime/relay.py
@@ -90,7 +90,7 @@
         complete = (reason.check(web_client.ResponseDone)
                     and not self.partial_event)
         if not complete:
-            self.on_end(self.ctx, attempt, events.AttemptEnd.BROKEN)
+            self.on_end(self.ctx, attempt, events.AttemptEnd.CONNECTION_LOST)
             return
         if not attempt.first_data_at:
             _report_first_data(self.ctx, attempt)
--- a/crocuskeel/runtime/replays.py
+++ b/crocuskeel/runtime/replays.py
@@ -40,7 +40,7 @@
             _write_chunk(ctx, effect.rid, status, data,
                          cached.http_status, cached.content_type)
 
-    response_cache.read(ctx, effect.held, effect.after, "", reader)
+    response_cache.read(ctx, effect.original_rid, effect.after, "", reader)
 
 
 def _write_chunk(ctx, rid, status, data, http_status, content_type):
@@ -62,7 +62,7 @@
         callers.finish_response(ctx, exchange)
         _report_closed(ctx, rid, events.AttemptEnd.DONE)
         return
-    _report_closed(ctx, rid, events.AttemptEnd.GONE)
+    _report_closed(ctx, rid, events.AttemptEnd.STREAM_UNKNOWN)
 
 
 def _report_closed(ctx, rid, end):
@@ -75,7 +75,7 @@
     ctx.peers.replay_requests[effect.rid] = ReplayRequest(
         effect.rid, effect.host, ctx.reactor.seconds())
     peers.send(ctx, effect.host, messages.ReplayAsk(
-        effect.held, effect.rid, effect.after, effect.proof))
+        effect.original_rid, effect.rid, effect.after, effect.proof))
 
 
 def handle_replay_ask(ctx, batch, request):
@@ -138,4 +138,4 @@
 
 def _fail_replay(ctx, request):
     ctx.peers.replay_requests.pop(request.rid, None)
-    _report_closed(ctx, request.rid, events.AttemptEnd.GONE)
+    _report_closed(ctx, request.rid, events.AttemptEnd.STREAM_UNKNOWN)
--- a/crocuskeel/runtime/watchdog.py
+++ b/crocuskeel/runtime/watchdog.py
@@ -69,5 +69,5 @@
     # The connection may be dead while new ones work: neither it nor the
     # other idle connections to that server are reused.
     http_client.drop_idle_connections(ctx, attempt.url)
-    attempts.close(ctx, attempt, events.AttemptEnd.SILENT)
+    attempts.close(ctx, attempt, events.AttemptEnd.TIMED_OUT)
     attempts.abort(attempt)
--- a/tests/claims/test_faults.py
+++ b/tests/claims/test_faults.py
@@ -204,7 +204,7 @@
         read starts and the lookup would wait for ever.
         """
         self.sim = simulations.Simulation(
-            epoch_s=0.5, kept_epochs=1, writes_s=10.0)
+            epoch_s=0.5, kept_epochs=1, commits_per_s=10.0)
         attempts = [self.sim.request_claim("k0", issued_at=1.0)
                     for _ in range(6)]
         for _ in range(4):
@@ -333,7 +333,7 @@
 
         One wrong clock would otherwise make all callers' keys too old.
         """
-        self.sim.owners[0].state.wall = lambda now: 1000.0 + now
+        self.sim.owners[0].state.wall_clock = lambda now: 1000.0 + now
         ahead = self.answered("k", issued_at=5000.0)
         self.assertEqual("too_new", ahead.status)
 
--- a/tests/claims/test_properties.py
+++ b/tests/claims/test_properties.py
@@ -68,7 +68,7 @@
         attempt may run.
         """
         sim = simulations.Simulation(
-            epoch_s=0.5, kept_epochs=1, writes_s=10.0)
+            epoch_s=0.5, kept_epochs=1, commits_per_s=10.0)
         for step in steps:
             run_step(sim, step, issue_times)
             self.check(sim)
--- a/tests/conf/test_commit.py
+++ b/tests/conf/test_commit.py
@@ -124,7 +124,7 @@
 def document_of(store: Store) -> dict:
     """Return the document that a newly started host loads."""
     head = store.heads[-1]
-    index = storage.decode_index(store.parts[head.index])
+    index = storage.decode_index(store.parts[head.index_digest])
     tree = conf.assemble(head.generation, index, store.parts)
     return conf.to_document(tree)
 
@@ -255,7 +255,7 @@
         conflict, = committers[3].result.conflicts
         self.assertEqual((53, 51, 'op-1', 1.0), (
             conflict.ours.value, conflict.theirs.value, conflict.author,
-            conflict.at))
+            conflict.created_at))
 
     def test_retry_older_than_the_window_is_refused_as_unknown(self):
         """Guards against applying a batch again much later.
--- a/tests/conf/test_storage.py
+++ b/tests/conf/test_storage.py
@@ -49,7 +49,7 @@
         by_full_load = conf.assemble(2, index, storage.tree_parts(result.tree))
         for found in (by_delta, by_parts, by_full_load):
             self.assertEqual(
-                result.head.index, storage.index_part(found).digest)
+                result.head.index_digest, storage.index_part(found).digest)
             self.assertEqual(2, found.generation)
             self.assertEqual(result.tree.tokens, found.tokens)
         self.assertLessEqual(
--- a/tests/control/test_runtime.py
+++ b/tests/control/test_runtime.py
@@ -60,7 +60,7 @@
     """Return the state of a holder whose lease was renewed at ``now``."""
     state = control.new_state(control.Config("x"), random.Random(1), now)
     state.generation = ORDER.generation
-    state.last_step = now
+    state.last_step_at = now
     state.lease.holding = True
     state.lease.fence = ORDER.fence
     state.lease.confirmed_at = now
--- a/tests/ctl/fleet.py
+++ b/tests/ctl/fleet.py
@@ -114,7 +114,7 @@
             for host, other in self.daemons.items():
                 if host != daemon.me.host:
                     members.members[host] = member_state.Member(
-                        other.members.me)
+                        other.members.own_update)
             member_state.invalidate_caches(members)
 
     def _store_initial_settings(self):
@@ -134,17 +134,17 @@
         head = self.store.head()
         for host in set(self.daemons) - self.stuck:
             state = self.daemons[host].follower
-            for recent in head.recent:
+            for recent in head.recent_batches:
                 tree = state.tree or trees.empty_tree()
                 blob = self.store.objects[
-                    storage.part_key(recent.delta)][1]
-                part = conf.Part(recent.delta, blob)
+                    storage.part_key(recent.delta_digest)][1]
+                part = conf.Part(recent.delta_digest, blob)
                 if recent.generation == tree.generation + 1:
                     state.tree = storage.apply_delta(
                         tree, storage.decode_delta(part)).unwrap()
-                    state.deltas[recent.delta] = part
-            state.head = storage.encode_head(head)
-            state.newest = state.tree.generation
+                    state.deltas[recent.delta_digest] = part
+            state.encoded_head = storage.encode_head(head)
+            state.newest_known_generation = state.tree.generation
 
     def _serve(self, host):
         app = klein.Klein()
--- a/tests/dispatch/test_learning.py
+++ b/tests/dispatch/test_learning.py
@@ -52,12 +52,12 @@
         every engine to one slot.
         """
         harness = support.new_harness(count=1)
-        before = limits.engine_view(harness.daemon, ENGINE).limit
+        before = limits.engine_view(harness.daemon, ENGINE).concurrency_limit
         support.enqueue(harness, "r")
         _released(harness, ("r", 1), "unready", 0.0, 0.0, 0)
         after = limits.engine_view(harness.daemon, ENGINE)
-        self.assertEqual(before, after.limit)
-        self.assertGreater(after.off_until, harness.now)
+        self.assertEqual(before, after.concurrency_limit)
+        self.assertGreater(after.paused_until, harness.now)
 
     def test_settings_bound_the_slots(self):
         """A change of max_slots_per_engine takes effect.
--- a/tests/dispatch/test_properties.py
+++ b/tests/dispatch/test_properties.py
@@ -68,10 +68,10 @@
             return
         cell = support.cell_of(harness)
         slots = engine_selection.max_slots(harness.daemon, cell)
-        for class_queue in cell.classes.values():
+        for class_queue in cell.class_queues.values():
             if class_queue.tier > min(tiers):
                 self.assertLessEqual(
-                    class_queue.waiting,
+                    class_queue.waiting_count,
                     floors.protected_queue_size(class_queue, slots))
 
 
@@ -104,7 +104,7 @@
             support.end_attempt(harness, key, "cancelled")
         cell = support.cell_of(harness)
         self.assertEqual({}, cell.running)
-        self.assertEqual({}, cell.by_engine)
+        self.assertEqual({}, cell.running_by_engine)
         self.assertEqual(0, cell.top_tier_running)
 
     def _step(self, harness, sent, kind, index, number, name, span):
@@ -141,7 +141,7 @@
 
     def _check_limits(self, harness):
         cell = support.cell_of(harness)
-        for name, keys in cell.by_engine.items():
+        for name, keys in cell.running_by_engine.items():
             view = limits.engine_view(harness.daemon, name)
             self.assertLessEqual(len(keys), view.max_limit)
         self.assertEqual(set(harness.running), set(cell.running))
--- a/tests/door/test_properties.py
+++ b/tests/door/test_properties.py
@@ -107,9 +107,10 @@
                     assert not self.may_have_run(rid), "not_run: may have run"
                     assert not self.ran_before[rid], "not_run: key ran before"
                 self.count_answer(rid)
-            case effects.Replay(rid=rid, held=held):
+            case effects.Replay(rid=rid, original_rid=original_rid):
                 own_workspace = self.arrivals[rid].get("workspace")
-                assert own_workspace == self.arrivals[held].get("workspace")
+                assert own_workspace == self.arrivals[original_rid].get(
+                    "workspace")
                 self.open_attempts[rid, 0] = 1
 
     def may_open(self, rid):
--- a/tests/follower/test_follower.py
+++ b/tests/follower/test_follower.py
@@ -174,7 +174,7 @@
         bad = storage.encode_head(fleet.head)
         answer = messages.SettingsAnswer(1, 0, bad, ())
         fleet.feed("h8", events.Received("h1", 1, answer, 1))
-        part = messages.PartAnswer(fleet.head.index, b"damaged")
+        part = messages.PartAnswer(fleet.head.index_digest, b"damaged")
         fleet.feed("h8", events.Received("h1", 1, part, 1))
         self.assertEqual(0, fleet.generations()["h8"])
         fleet.run(fleet.now + 3)
--- a/tests/membership/test_failures.py
+++ b/tests/membership/test_failures.py
@@ -282,7 +282,7 @@
         for index in range(9):
             fleet.add(f"new-{index}", f"domain-{index % 3}")
         fleet.run(1.0)
-        listed = tuple(d.members.me for d in fleet.daemons.values())
+        listed = tuple(d.members.own_update for d in fleet.daemons.values())
         for daemon in fleet.daemons.values():
             membership.handle(
                 daemon, events.HostListSeen(1, listed, ()), fleet.now)
--- a/tests/membership/test_updates.py
+++ b/tests/membership/test_updates.py
@@ -81,9 +81,9 @@
         dead = messages.MemberUpdate(
             "me", daemon.me.incarnation, "dead", refutations=4)
         _receive(daemon, dead)
-        self.assertEqual(5, daemon.members.me.refutations)
+        self.assertEqual(5, daemon.members.own_update.refutations)
         _receive(daemon, dead)
-        self.assertEqual(5, daemon.members.me.refutations)
+        self.assertEqual(5, daemon.members.own_update.refutations)
 
     def test_refutation_is_sent_at_once(self):
         """A host that resumes after 2 s has 0.35 s left to refute.
@@ -123,5 +123,5 @@
             if seq < 20:
                 self.assertLess(len(figures.sealed(daemon, ack)), 1200)
                 self.assertGreater(len(ack.message.updates), 2)
-        self.assertEqual({}, daemon.members.queue)
+        self.assertEqual({}, daemon.members.pending_updates)
         self.assertLess(sent / 470, 20)
--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -55,13 +55,14 @@
      End.UNREADY, 0, 0),
     ("fails", _sends(
         b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), End.FAILED, 0, 0),
-    ("disconnects after the request", _sends(b"", True), End.BROKEN, 0, 0),
+    ("disconnects after the request", _sends(b"", True),
+     End.CONNECTION_LOST, 0, 0),
     ("disconnects within the response head", _sends(b"HTTP/1.1 200", True),
-     End.BROKEN, 0, 0),
+     End.CONNECTION_LOST, 0, 0),
     ("disconnects within an event", _sends(_PARTIAL_STREAM, True),
-     End.BROKEN, 1, 0),
-    ("never answers", _never_answers, End.SILENT, 0, 0),
-    ("stops sending", _stops_answering, End.SILENT, 1, 0),
+     End.CONNECTION_LOST, 1, 0),
+    ("never answers", _never_answers, End.TIMED_OUT, 0, 0),
+    ("stops sending", _stops_answering, End.TIMED_OUT, 1, 0),
 )
 
 
@@ -137,7 +138,7 @@
         before = caller.value()
         _sends(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n")(harness)
         self.assertEqual(harness.recorded(events.AttemptClosed)[-1].end,
-                         End.GONE)
+                         End.STREAM_UNKNOWN)
         self.assertEqual(caller.value(), before)
 
     def test_silent_connection_is_retired(self):
@@ -162,7 +163,7 @@
         support.send_chat_request(harness)
         self.assertEqual(len(harness.reactor.tcpClients), 2)
         support.advance_time(harness, 2.5)
-        self.assertEqual(harness.events[-1].end, End.SILENT)
+        self.assertEqual(harness.events[-1].end, End.TIMED_OUT)
         _, caller = support.send_chat_request(harness)
         self.assertEqual(len(harness.reactor.tcpClients), 3)
         send_stream(harness)
