--- a/bench/core_figures.py
+++ b/bench/core_figures.py
@@ -80,7 +80,7 @@
                     self.deliver(name, events.TimerFired(key))
 
     def pop_timers(self, daemon):
-        return self.pending_timers.pop(daemon.me.host, ())
+        return self.pending_timers.pop(daemon.identity.host, ())
 
     pending_timers: dict = {}
 
--- a/bench/loopback/grants.py
+++ b/bench/loopback/grants.py
@@ -109,13 +109,13 @@
 
 def _open_sealed(ctx, sealed):
     batch = wire.open_sealed(
-        ctx.cfg.key, sealed, "bench", ctx.daemon.me.host)
+        ctx.cfg.key, sealed, "bench", ctx.daemon.identity.host)
     return [wire.from_frame(frame) for frame in batch.frames]
 
 
 def _seal(ctx, message):
     batch = peers.new_batch(
-        ctx, ctx.daemon.me.host, 1, [wire.to_frame(message)])
+        ctx, ctx.daemon.identity.host, 1, [wire.to_frame(message)])
     return wire.seal(ctx.cfg.key, batch)
 
 
--- a/bench/membership_figures.py
+++ b/bench/membership_figures.py
@@ -102,7 +102,7 @@
 
     def _reduce(self, daemon, event):
         if type(event) is tuple:
-            slot = (daemon.me.address, event[0])
+            slot = (daemon.identity.address, event[0])
             if self._timers.get(slot) != event[1]:
                 return
             event = events.TimerFired(event[0])
@@ -116,7 +116,7 @@
             self._execute(daemon, effect)
 
     def _execute(self, daemon, effect):
-        me = daemon.me.address
+        me = daemon.identity.address
         match effect:
             case effects.SetTimer(key=key, after_s=duration_s):
                 token = next(self._order)
@@ -125,21 +125,21 @@
             case effects.Send():
                 self._send(daemon, effect)
             case effects.Record(kind=kind, fields=fields):
-                self.records.append((self.now, daemon.me.host, kind))
+                self.records.append((self.now, daemon.identity.host, kind))
                 if kind == "member_dead":
                     self.deaths.append(
-                        (self.now, daemon.me.host, fields[0][1]))
+                        (self.now, daemon.identity.host, fields[0][1]))
 
     def _send(self, daemon, effect):
         known = membership.member_info(daemon, effect.host)
         address = effect.address or known.address
-        event = events.Received(daemon.me.host, daemon.me.incarnation,
-                                effect.message)
+        event = events.Received(
+            daemon.identity.host, daemon.identity.incarnation, effect.message)
         if self.encode:
             event = sealed(daemon, effect)
             self.sent[0] += 1
             self.sent[1] += len(event)
-        if not self.lost(daemon.me.address, address):
+        if not self.lost(daemon.identity.address, address):
             delay = self.rng.uniform(0.0005, 0.005)
             self._schedule(self.now + delay, address, event)
 
@@ -147,8 +147,8 @@
 def sealed(daemon, effect):
     """Return the bytes of the datagram that carries a ``Send``."""
     batch = pb.Batch(
-        deployment=daemon.me.deployment, sender=daemon.me.host,
-        incarnation=daemon.me.incarnation, receiver=effect.host,
+        deployment=daemon.identity.deployment, sender=daemon.identity.host,
+        incarnation=daemon.identity.incarnation, receiver=effect.host,
         sequence=100000, generation=2000, clock_ms=START, clock_count=1,
         frames=[wire.to_frame(effect.message)])
     return wire.seal(KEY, batch).SerializeToString()
@@ -156,7 +156,7 @@
 
 def _open_sealed(data, daemon):
     batch = wire.open_sealed(KEY, pb.Sealed.FromString(data),
-                             daemon.me.deployment, daemon.me.host)
+                             daemon.identity.deployment, daemon.identity.host)
     return events.Received(batch.sender, batch.incarnation,
                            wire.from_frame(batch.frames[0]))
 
@@ -170,12 +170,12 @@
     for index, host in enumerate(names):
         fleet.add(host, f"domain-{index * DOMAINS // hosts}")
     members = tuple(
-        daemon.members.own_update for daemon in fleet.daemons.values())
+        daemon.membership.own_update for daemon in fleet.daemons.values())
     for daemon in fleet.daemons.values():
         ack = messages.ProbeAck(0, members)
         membership.handle(daemon, events.HostListSeen(1, members, ()), 0.0)
         membership.handle(daemon, events.Received("", 0, ack), 0.0)
-        daemon.members.pending_updates.clear()
+        daemon.membership.pending_updates.clear()
     fleet.lost = lambda sender, receiver: fleet.rng.random() < loss
     fleet.run(6.0)
     return fleet
@@ -190,7 +190,7 @@
     # The size of a heartbeat without updates.
     fleet = new_fleet(2)
     daemon, other = fleet.daemons.values()
-    send = effects.Send(other.me.host, messages.Probe(100000))
+    send = effects.Send(other.identity.host, messages.Probe(100000))
     _emit("membership.bare_datagram", len(sealed(daemon, send)),
           "bytes", 1)
 
@@ -229,13 +229,13 @@
         fleet = new_fleet(hosts, seed, loss)
         fleet.run(fleet.rng.uniform(0, 2))
         address = fleet.rng.choice(sorted(fleet.daemons))
-        victim = fleet.stop(address).me.host
+        victim = fleet.stop(address).identity.host
         died_at = fleet.now
         fleet.run(6.0 if hosts < 30 else 15.0)
         detected_after_s = {
             reporter: when - died_at
             for when, reporter, host in fleet.deaths if host == victim}
-        durations_s += [detected_after_s.get(daemon.me.host, math.inf)
+        durations_s += [detected_after_s.get(daemon.identity.host, math.inf)
                         for daemon in fleet.daemons.values()]
         false_deaths += sum(host != victim for _, _, host in fleet.deaths)
     label = f"membership.detection.{hosts}hosts.loss{loss:.0%}"
@@ -266,7 +266,7 @@
 
 def _members_agree(fleet):
     expected = tuple(
-        sorted(daemon.me.host for daemon in fleet.daemons.values()))
+        sorted(daemon.identity.host for daemon in fleet.daemons.values()))
     return all(membership.live(daemon) == expected
                for daemon in fleet.daemons.values())
 
@@ -293,7 +293,8 @@
 
 def _measure_join(hosts):
     fleet = new_fleet(hosts, loss=0.02)
-    seeds = [(daemon.me.host, daemon.me.address, daemon.me.peer_port)
+    seeds = [(daemon.identity.host, daemon.identity.address,
+              daemon.identity.peer_port)
              for daemon in list(fleet.daemons.values())[:3]]
     fleet.add("newcomer", "domain-0", seeds)
     _emit(f"membership.joined.{hosts}hosts.loss2%",
@@ -306,7 +307,7 @@
         fleet = new_fleet(hosts, seed)
         fleet.run(fleet.rng.uniform(0, 2))
         for address, daemon in list(fleet.daemons.items()):
-            if daemon.me.domain == "domain-0":
+            if daemon.identity.domain == "domain-0":
                 fleet.stop(address)
         durations_s.append(_time_to_agreement(fleet, 60.0))
     label = f"membership.domain_lost.{hosts}hosts"
--- a/bench/outage/callers.py
+++ b/bench/outage/callers.py
@@ -73,7 +73,7 @@
         clocks.call_later(fleet.clock, RECONNECT_S, send, world, call)
         return
     node.request_count += 1
-    incarnation = node.daemon.me.incarnation
+    incarnation = node.daemon.identity.incarnation
     call.rid = f"{node.name}.{incarnation}.{node.request_count}"
     call.tries += 1
     call.driver_data.rids.append(call.rid)
--- a/bench/outage/pauses.py
+++ b/bench/outage/pauses.py
@@ -86,4 +86,4 @@
     """Open or reopen the link between two hosts."""
     for node, peer in ((one, other), (other, one)):
         fleets.deliver(fleet, node, events.PeerUp(
-            peer.name, peer.daemon.me.incarnation))
+            peer.name, peer.daemon.identity.incarnation))
--- a/bench/outage/replays.py
+++ b/bench/outage/replays.py
@@ -23,8 +23,8 @@
     peer = fleet.nodes[host]
     ask = messages.ReplayAsk(source_rid, rid, 0)
     event = events.Received(
-        node.name, node.daemon.me.incarnation, ask,
-        0, node.daemon.me.address)
+        node.name, node.daemon.identity.incarnation, ask,
+        0, node.daemon.identity.address)
     clocks.call_later(
         fleet.clock, fleets.CROSS_DOMAIN_LATENCY_S, fleets.deliver, fleet,
         peer, event)
--- a/bench/outage/world.py
+++ b/bench/outage/world.py
@@ -84,7 +84,7 @@
         world.tree, conf.to_document(deployment.tree)))
     fleet.intercept = lambda node, effect: _intercept(world, node, effect)
     for node in fleet.nodes.values():
-        _start_daemon(world, node, node.daemon.me)
+        _start_daemon(world, node, node.daemon.identity)
     return world
 
 
@@ -124,9 +124,10 @@
 
 
 def _entry_record(node):
-    me = node.daemon.me
-    return {"name": me.host, "address": me.address, "port": me.peer_port,
-            "domain": me.domain, "region": me.region, "role": "entry"}
+    identity = node.daemon.identity
+    return {"name": identity.host, "address": identity.address,
+            "port": identity.peer_port, "domain": identity.domain,
+            "region": identity.region, "role": "entry"}
 
 
 def _intercept(world, node, effect):
@@ -214,10 +215,10 @@
 def restart_host(world, host):
     """Restart a host without any state but its seeds."""
     fleet = world.fleet
-    old = fleet.nodes[host].daemon.me
-    me = dataclasses.replace(old, incarnation=old.incarnation + 1)
+    old = fleet.nodes[host].daemon.identity
+    identity = dataclasses.replace(old, incarnation=old.incarnation + 1)
     node = fleets.Node(host, old.domain, None)
-    _start_daemon(world, node, me)
+    _start_daemon(world, node, identity)
     fleet.nodes[host] = node
     fleets.deliver(fleet, node, events.Started())
     for other in fleet.nodes.values():
--- a/bench/policy/fleet.py
+++ b/bench/policy/fleet.py
@@ -178,8 +178,8 @@
     delay = (SAME_DOMAIN_LATENCY_S if target.domain == node.domain
              else CROSS_DOMAIN_LATENCY_S)
     event = events.Received(
-        node.name, node.daemon.me.incarnation, message,
-        follower.generation(node.daemon), node.daemon.me.address)
+        node.name, node.daemon.identity.incarnation, message,
+        follower.generation(node.daemon), node.daemon.identity.address)
     clocks.call_later(fleet.clock, delay, deliver, fleet, target, event)
 
 
--- a/crocuskeel/core/backends/state.py
+++ b/crocuskeel/core/backends/state.py
@@ -91,7 +91,7 @@
     # A host that dispatches must know of a leaving server within 3 s.
     # Others need the list only to continue without a dispatcher.
     live = membership.live(daemon)
-    owned = any(placement.owner(cell, live) == daemon.me.host
+    owned = any(placement.owner(cell, live) == daemon.identity.host
                 for cell in daemon.backends.cells)
     span = OWNER_READ_INTERVAL_S if owned else OTHER_READ_INTERVAL_S
     return span * daemon.rng.uniform(0.9, 1.1)
@@ -103,7 +103,7 @@
     if daemon.backends.by_name:
         return []
     peers = [host for host in membership.live(daemon)
-             if host != daemon.me.host]
+             if host != daemon.identity.host]
     if not peers:
         return []
     peer = daemon.rng.choice(peers)
--- a/crocuskeel/core/dispatch/ownership.py
+++ b/crocuskeel/core/dispatch/ownership.py
@@ -31,7 +31,7 @@
     """
     live = membership.live(daemon)
     return (cell_name in daemon.backends.cells
-            and placement.owner(cell_name, live) == daemon.me.host)
+            and placement.owner(cell_name, live) == daemon.identity.host)
 
 
 def acquire_cell(daemon, cell_name, now):
@@ -141,7 +141,7 @@
 
 
 def _is_dead(daemon, host):
-    if host == daemon.me.host:
+    if host == daemon.identity.host:
         return False
     info = membership.member_info(daemon, host)
     return info is None or info.status == "dead"
--- a/crocuskeel/core/door/locating.py
+++ b/crocuskeel/core/door/locating.py
@@ -55,11 +55,12 @@
 
 def _info(daemon, host):
     found = membership.member_info(daemon, host)
-    if found is None and host == daemon.me.host:
-        me = daemon.me
+    if found is None and host == daemon.identity.host:
+        identity = daemon.identity
         return messages.MemberUpdate(
-            me.host, me.incarnation, "alive", me.address, me.peer_port,
-            me.door_port, me.domain, me.region)
+            identity.host, identity.incarnation, "alive", identity.address,
+            identity.peer_port, identity.door_port, identity.domain,
+            identity.region)
     return found
 
 
@@ -119,6 +120,7 @@
 def other_host_address(daemon):
     """Return the "address:port" of another host, or "" if none."""
     others = [member for member in _members(daemon)
-              if member.host != daemon.me.host]
-    found = choose_hosts(others, daemon.me.domain, frozenset(), daemon.rng)
+              if member.host != daemon.identity.host]
+    found = choose_hosts(
+        others, daemon.identity.domain, frozenset(), daemon.rng)
     return f"{found[0].address}:{found[0].port}" if found else ""
--- a/crocuskeel/core/door/replaying.py
+++ b/crocuskeel/core/door/replaying.py
@@ -121,7 +121,7 @@
     host = message.holder_host
     original_rid = message.holder_rid
     relay = state.Relay(rid, original_rid, outcome=outcome)
-    if host == daemon.me.host:
+    if host == daemon.identity.host:
         return _replay_local_if_retained(daemon, relay)
     if membership.is_live(daemon, host):
         return _replay_from_peer(daemon, relay, host, "")
@@ -153,8 +153,8 @@
         return _refuse_overload(event.rid)
     host, incarnation = _origin(event.stream)
     relay = state.Relay(event.rid, event.stream, event)
-    if host == daemon.me.host:
-        same_incarnation = incarnation == str(daemon.me.incarnation)
+    if host == daemon.identity.host:
+        same_incarnation = incarnation == str(daemon.identity.incarnation)
         return _resume_local(daemon, relay, caller, same_incarnation)
     if membership.is_live(daemon, host):
         return _replay_from_peer(daemon, relay, host, event.proof)
--- a/crocuskeel/core/factory.py
+++ b/crocuskeel/core/factory.py
@@ -24,11 +24,11 @@
     """
     rng = random.Random(f"{identity.host}/{identity.incarnation}/{seed}")
     return state.Daemon(
-        me=identity,
+        identity=identity,
         limits=limits or state.Limits(),
         rng=rng,
         follower=follower.new_state(tree),
-        members=membership.new_state(identity),
+        membership=membership.new_state(identity),
         backends=backends.new_state(),
         quarantine=quarantine.new_state(),
         dispatch=dispatch.new_state(),
--- a/crocuskeel/core/follower/adoption.py
+++ b/crocuskeel/core/follower/adoption.py
@@ -41,7 +41,7 @@
 def announce(daemon, source=""):
     """Announce the held generation to neighbours and to ``source``."""
     request = messages.SettingsAsk(states.held_generation(daemon))
-    targets = neighbours(daemon.me.host, membership.live(daemon))
+    targets = neighbours(daemon.identity.host, membership.live(daemon))
     names = [source, *targets] if source else targets
     return [effects.Send(name, request) for name in dict.fromkeys(names)]
 
@@ -52,7 +52,7 @@
     ``held_by_peer``: a peer is known to hold it or a newer one.
     """
     state = daemon.follower
-    alone = membership.live(daemon) in ((daemon.me.host,), ())
+    alone = membership.live(daemon) in ((daemon.identity.host,), ())
     if state.held is None or not (held_by_peer or alone):
         return []
     state.tree, state.held = state.held, None
--- a/crocuskeel/core/follower/handlers.py
+++ b/crocuskeel/core/follower/handlers.py
@@ -40,7 +40,7 @@
     Called for each message before the message itself is handled.
     """
     state = daemon.follower
-    if event.sender == daemon.me.host:
+    if event.sender == daemon.identity.host:
         return []
     state.heard_at = now
     have = states.held_generation(daemon)
@@ -96,7 +96,7 @@
 
 def _is_watcher(daemon):
     live = membership.live(daemon)
-    return daemon.me.host in placement.ranked(
+    return daemon.identity.host in placement.ranked(
         "settings/watch", live)[:WATCHERS]
 
 
@@ -263,6 +263,6 @@
     # either may be down alone.
     if source:
         return ""
-    me = daemon.me.host
+    me = daemon.identity.host
     peers = [host for host in membership.live(daemon) if host != me]
     return daemon.rng.choice(peers) if peers else ""
--- a/crocuskeel/core/membership/gossip.py
+++ b/crocuskeel/core/membership/gossip.py
@@ -36,7 +36,7 @@
 
 def own_update(daemon):
     """Return the full update of this host with its generation."""
-    state = daemon.members
+    state = daemon.membership
     generation = follower.generation(daemon)
     if state.own_update.generation != generation:
         state.own_update = dataclasses.replace(
@@ -55,7 +55,7 @@
     It is sent to the host itself, which could not refute a suspicion
     that it never received.
     """
-    member = daemon.members.members.get(host)
+    member = daemon.membership.members.get(host)
     if member is None or member.update.status not in (st.SUSPECT, st.DEAD):
         return ()
     return (_disseminated_form(member),)
@@ -63,7 +63,7 @@
 
 def enqueue(daemon, host):
     """Queue the newest update of a host for dissemination."""
-    daemon.members.pending_updates[host] = 0
+    daemon.membership.pending_updates[host] = 0
 
 
 def _disseminated_form(member):
@@ -86,7 +86,7 @@
 
 
 def _newest_update(daemon, host):
-    state = daemon.members
+    state = daemon.membership
     if host == state.own_update.host:
         return own_update(daemon)
     member = state.members.get(host)
@@ -95,7 +95,7 @@
 
 def pack(daemon, first=()):
     """Return ``first`` and as many queued updates as fit a datagram."""
-    state = daemon.members
+    state = daemon.membership
     bytes_left = params.MAX_UPDATE_BYTES - sum(
         _encoded_bytes(update) for update in first)
     out = list(first)
@@ -121,7 +121,7 @@
 
 
 def _random_peers(daemon, count):
-    others = st.peers(daemon.members)
+    others = st.peers(daemon.membership)
     return daemon.rng.sample(others, min(count, len(others)))
 
 
@@ -158,7 +158,7 @@
     """
     queued_bytes = sum(_encoded_bytes(update) for update in (
         _newest_update(daemon, host)
-        for host in daemon.members.pending_updates)
+        for host in daemon.membership.pending_updates)
         if update is not None)
     if queued_bytes <= params.MAX_UPDATE_BYTES:
         return []
@@ -168,7 +168,7 @@
 
 def start_sync(daemon, host):
     """Start to send a joining host all members, over some periods."""
-    state = daemon.members
+    state = daemon.membership
     if len(state.syncs) >= params.MAX_SYNCS:
         return []
     names = [name for name in st.peers(state) if name != host]
@@ -179,7 +179,7 @@
 
 def continue_syncs(daemon):
     """Continue the syncs of joining hosts."""
-    syncs = daemon.members.syncs
+    syncs = daemon.membership.syncs
     out = []
     turns = itertools.cycle(list(syncs))
     for host in itertools.islice(turns, params.SYNC_DATAGRAMS):
@@ -189,7 +189,7 @@
 
 
 def _sync_one(daemon, host):
-    state = daemon.members
+    state = daemon.membership
     names = state.syncs[host]
     bytes_left = params.MAX_UPDATE_BYTES
     updates = []
--- a/crocuskeel/core/membership/handlers.py
+++ b/crocuskeel/core/membership/handlers.py
@@ -21,12 +21,12 @@
         case events.Started():
             return probing.start(daemon, now)
         case events.TimerFired(key=key) if key[0] == _PREFIX:
-            probing.detect_pause(daemon.members, now)
+            probing.detect_pause(daemon.membership, now)
             return _timer(daemon, key, now)
         case events.Received():
             return _received(daemon, event, now)
         case events.HostListSeen(entries=entries):
-            _update_listed(daemon.members, entries)
+            _update_listed(daemon.membership, entries)
         case events.DrainAsked():
             return _start_leaving(daemon)
     return []
@@ -49,7 +49,7 @@
 
 def record_contact(daemon, event, now):
     """Record contact with a member; any of its messages counts."""
-    state = daemon.members
+    state = daemon.membership
     member = state.members.get(event.sender)
     if member is None:
         return
@@ -59,7 +59,7 @@
 
 
 def _received(daemon, event, now):
-    state = daemon.members
+    state = daemon.membership
     if state.superseded or event.sender == state.own_update.host:
         return []
     record_contact(daemon, event, now)
@@ -118,7 +118,7 @@
 
 
 def _start_leaving(daemon):
-    state = daemon.members
+    state = daemon.membership
     state.own_update = dataclasses.replace(state.own_update, status=st.LEAVING)
     st.invalidate_caches(state)
     return gossip.send_urgent(daemon, state.own_update.host)
--- a/crocuskeel/core/membership/probing.py
+++ b/crocuskeel/core/membership/probing.py
@@ -27,7 +27,7 @@
 
 def start(daemon, now):
     """Start probing and contact the first members."""
-    state = daemon.members
+    state = daemon.membership
     span = daemon.rng.uniform(0.0, params.PERIOD_S)
     state.tick_due = now + span
     gossip.enqueue(daemon, state.own_update.host)
@@ -37,7 +37,7 @@
 
 def tick(daemon, now):
     """Run one protocol period; return effects."""
-    state = daemon.members
+    state = daemon.membership
     if state.superseded:
         return []
     out = _probe_next(daemon, now)
@@ -77,7 +77,7 @@
 
 
 def _probe_next(daemon, now):
-    state = daemon.members
+    state = daemon.membership
     host = ""
     if state.ring_next:
         host = _ring_successor(state)
@@ -121,7 +121,7 @@
 
 
 def _next_in_round(daemon):
-    state = daemon.members
+    state = daemon.membership
     if not state.round:
         state.round = list(st.peers(state))
         daemon.rng.shuffle(state.round)
@@ -134,7 +134,7 @@
 
 
 def _probe(daemon, host, now):
-    state = daemon.members
+    state = daemon.membership
     state.seq += 1
     state.probes[state.seq] = st.PendingProbe(host, now)
     span = params.probe_timeout(_host_count(state), state.health_score)
@@ -151,7 +151,7 @@
 
 def direct_probe_timed_out(daemon, seq):
     """Ask helpers to probe: the path may have failed, not the host."""
-    state = daemon.members
+    state = daemon.membership
     probe = state.probes.get(seq)
     if probe is None:
         return []
@@ -170,7 +170,7 @@
 
 def probe_on_behalf(daemon, requester, request, now):
     """Probe a host on behalf of another one."""
-    state = daemon.members
+    state = daemon.membership
     if request.target not in state.members:
         return []
     state.seq += 1
@@ -180,7 +180,7 @@
 
 def ack_received(daemon, seq):
     """Handle an ack, or forward it to the host that requested it."""
-    state = daemon.members
+    state = daemon.membership
     relay = state.relays.pop(seq, None)
     if relay is not None:
         ack = messages.ProbeAck(relay.seq, gossip.pack(daemon))
@@ -197,7 +197,7 @@
 
 def probe_failed(daemon, seq, now):
     """Handle a probe that neither the host nor a helper answered."""
-    state = daemon.members
+    state = daemon.membership
     probe = state.probes.pop(seq, None)
     member = state.members.get(probe.host) if probe else None
     if member is None or member.update.status in (st.SUSPECT, st.DEAD):
@@ -226,7 +226,7 @@
 
 
 def _discover_members(daemon, now):
-    state = daemon.members
+    state = daemon.membership
     if not st.peers(state):
         return _contact_random(daemon, params.CONTACTS_WITHOUT_PEERS)
     if state.contested:
@@ -253,7 +253,7 @@
 
 
 def _contact_random(daemon, count):
-    contacts = _contacts(daemon.members)
+    contacts = _contacts(daemon.membership)
     names = sorted(contacts)
     out = []
     for host in daemon.rng.sample(names, min(count, len(names))):
--- a/crocuskeel/core/membership/state.py
+++ b/crocuskeel/core/membership/state.py
@@ -129,7 +129,7 @@
     A suspect is live until it is declared dead, so that ownership does
     not change with each lost datagram. A leaving host is not live.
     """
-    state = daemon.members
+    state = daemon.membership
     if state.live_cache is None:
         names = [host for host in peers(state)
                  if not state.members[host].leaving]
@@ -141,7 +141,7 @@
 
 def member_info(daemon, host):
     """Return the newest ``MemberUpdate`` of a host or None."""
-    state = daemon.members
+    state = daemon.membership
     if host == state.own_update.host:
         return state.own_update
     member = state.members.get(host)
@@ -150,7 +150,7 @@
 
 def is_live(daemon, host):
     """Return whether a host is live and not leaving."""
-    state = daemon.members
+    state = daemon.membership
     if host == state.own_update.host:
         return state.own_update.status == ALIVE and not state.superseded
     member = state.members.get(host)
@@ -160,20 +160,20 @@
 
 def has_left(daemon, host):
     """Return whether a dead host had announced that it leaves."""
-    member = daemon.members.members.get(host)
+    member = daemon.membership.members.get(host)
     return (member is not None and member.leaving
             and member.update.status == DEAD)
 
 
 def all_members(daemon):
     """Return the ``MemberUpdate`` of every known host, dead or alive."""
-    state = daemon.members
+    state = daemon.membership
     others = sorted(state.members)
     return (state.own_update, *(state.members[host].update for host in others))
 
 
 def set_load(daemon, load):
     """Set the load (0 to 1) that this host reports to others."""
-    state = daemon.members
+    state = daemon.membership
     state.own_update = dataclasses.replace(
         state.own_update, load=round(load, 2))
--- a/crocuskeel/core/membership/updates.py
+++ b/crocuskeel/core/membership/updates.py
@@ -33,7 +33,7 @@
 
 def apply(daemon, update, sender, now):
     """Apply one update; return effects."""
-    state = daemon.members
+    state = daemon.membership
     if update.status not in _SEVERITY:
         # Sent by a later version of this program.
         return []
@@ -69,7 +69,7 @@
 
 
 def _apply_to_self(daemon, update, sender):
-    state = daemon.members
+    state = daemon.membership
     own = state.own_update
     if update.incarnation > own.incarnation:
         return _mark_superseded(state)
@@ -104,7 +104,7 @@
 def _join(daemon, update, now):
     if update.status not in (st.ALIVE, st.LEAVING) or not update.address:
         return []
-    state = daemon.members
+    state = daemon.membership
     state.members[update.host] = st.Member(
         update, leaving=update.status == st.LEAVING, last_contact_at=now)
     _add_to_round(daemon, update.host)
@@ -115,12 +115,12 @@
 
 def _add_to_round(daemon, host):
     # At a random position, so that a new host is probed within a round.
-    order = daemon.members.round
+    order = daemon.membership.round
     order.insert(daemon.rng.randint(0, len(order)), host)
 
 
 def _change(daemon, member, update, now):
-    state = daemon.members
+    state = daemon.membership
     known = member.update
     if update.incarnation > known.incarnation:
         member.leaving = False
@@ -172,7 +172,7 @@
 
 
 def _start_suspicion_timer(daemon, member, now):
-    state = daemon.members
+    state = daemon.membership
     hosts = len(st.peers(state)) + 1
     span = params.suspicion_timeout(hosts, state.health_score)
     member.deadline = now + span
@@ -190,7 +190,7 @@
 
 def declare_dead(daemon, host, now):
     """Declare a suspect dead once its suspicion timeout is over."""
-    member = daemon.members.members.get(host)
+    member = daemon.membership.members.get(host)
     if member is None or member.update.status != st.SUSPECT:
         return []
     time_left = member.deadline - now
--- a/crocuskeel/core/reducer.py
+++ b/crocuskeel/core/reducer.py
@@ -97,7 +97,8 @@
 def _must_drain(daemon):
     # A newer process runs under this host's name, so answers and grants
     # for one could reach the other. The older one drains.
-    return daemon.members.superseded and daemon.door.drain_started_at is None
+    return (daemon.membership.superseded
+            and daemon.door.drain_started_at is None)
 
 
 def _step(daemon, event, now):
@@ -121,10 +122,10 @@
 
 def _is_to_self(daemon, effect):
     return (type(effect) is effects.Send
-            and effect.host == daemon.me.host)
+            and effect.host == daemon.identity.host)
 
 
 def _received_from_self(daemon, effect):
     return events.Received(
-        daemon.me.host, daemon.me.incarnation, effect.message,
+        daemon.identity.host, daemon.identity.incarnation, effect.message,
         follower.generation(daemon))
--- a/crocuskeel/core/state.py
+++ b/crocuskeel/core/state.py
@@ -47,11 +47,11 @@
 class Daemon:
     """All state of one daemon, by component."""
 
-    me: Identity
+    identity: Identity
     limits: Limits
     rng: random.Random
     follower: typing.Any
-    members: typing.Any
+    membership: typing.Any
     backends: typing.Any
     quarantine: typing.Any
     dispatch: typing.Any
--- a/crocuskeel/ops/overview.py
+++ b/crocuskeel/ops/overview.py
@@ -114,8 +114,8 @@
 def _local_status(daemon, now):
     generation = follower.generation(daemon)
     return LocalStatus(
-        host=daemon.me.host,
-        incarnation=daemon.me.incarnation,
+        host=daemon.identity.host,
+        incarnation=daemon.identity.incarnation,
         generation=generation,
         newest=max(generation, daemon.follower.newest_known_generation),
         ready=follower.ready(daemon, now),
--- a/crocuskeel/ops/routes.py
+++ b/crocuskeel/ops/routes.py
@@ -128,7 +128,7 @@
 
 
 def _events(runtime):
-    parsed = timeline.parse_ring(runtime.ring(), runtime.daemon.me.host)
+    parsed = timeline.parse_ring(runtime.ring(), runtime.daemon.identity.host)
     return timeline.merge(parsed.events)
 
 
@@ -154,7 +154,7 @@
     host = explanations.host_of(request.name)
     return _Problem(
         404, "not_found", f"no recent event of request {request.name} on host "
-        f"{runtime.daemon.me.host}; the request was received by "
+        f"{runtime.daemon.identity.host}; the request was received by "
         f"{host or 'an unknown host (is the id complete?)'}")
 
 
@@ -162,7 +162,7 @@
     selection = rings.parse_selection(request.args())
     limit = _parse_count(request, "limit", rings.MAX_EVENTS)
     return rings.query(
-        runtime.daemon.me.host, _events(runtime), selection, limit)
+        runtime.daemon.identity.host, _events(runtime), selection, limit)
 
 
 async def _values(runtime, request):
@@ -241,4 +241,4 @@
         "drain_asked", "", (("author", request.author),)))
     # An idle host exits at once, so the response is written first.
     runtime.reactor.callLater(0, runtime.feed, events.DrainAsked())
-    return _DrainStarted(daemon.me.host, len(daemon.door.requests))
+    return _DrainStarted(daemon.identity.host, len(daemon.door.requests))
--- a/crocuskeel/runtime/callers.py
+++ b/crocuskeel/runtime/callers.py
@@ -67,7 +67,7 @@
 def new_rid(ctx):
     """Return the next request id of this host."""
     ctx.last_rid += 1
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     return f"{identity.host}.{identity.incarnation}.{ctx.last_rid}"
 
 
--- a/crocuskeel/runtime/datagrams.py
+++ b/crocuskeel/runtime/datagrams.py
@@ -90,7 +90,7 @@
 
 
 def _datagram_received(ctx, data, addr):
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     try:
         sealed = pb.Sealed.FromString(data)
         batch = wire.open_sealed(
--- a/crocuskeel/runtime/links.py
+++ b/crocuskeel/runtime/links.py
@@ -244,7 +244,7 @@
 
 
 def _verify_batch(ctx, link, sealed):
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     try:
         batch = wire.open_sealed(
             ctx.cfg.key, sealed, identity.deployment, identity.host)
@@ -311,7 +311,7 @@
     if ctx.stopping or host in ctx.peers.dial_tasks or not (
             membership.is_live(ctx.daemon, host)):
         return
-    dials_first = ctx.daemon.me.host < host
+    dials_first = ctx.daemon.identity.host < host
     _start_dial(ctx, host, 0.0 if dials_first else REDIAL_SECONDARY_DELAY_S)
 
 
--- a/crocuskeel/runtime/operations.py
+++ b/crocuskeel/runtime/operations.py
@@ -14,8 +14,8 @@
 
 def _runtime_status(ctx, _ops_request):
     return {
-        "host": ctx.daemon.me.host,
-        "incarnation": ctx.daemon.me.incarnation,
+        "host": ctx.daemon.identity.host,
+        "incarnation": ctx.daemon.identity.incarnation,
         "generation": follower.generation(ctx.daemon),
         "live": list(membership.live(ctx.daemon)),
         "held": len(ctx.exchanges),
--- a/crocuskeel/runtime/peers.py
+++ b/crocuskeel/runtime/peers.py
@@ -79,7 +79,7 @@
 
 def _broadcast(ctx, effect):
     for host in membership.live(ctx.daemon):
-        if host != ctx.daemon.me.host:
+        if host != ctx.daemon.identity.host:
             send(ctx, host, effect.message)
 
 
@@ -114,7 +114,7 @@
 def new_batch(ctx, receiver, sequence, frames=(), **fields):
     """Return a ``Batch`` from this host with a clock stamp."""
     timestamp = records.clock_stamp(ctx)
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     return pb.Batch(
         deployment=identity.deployment, sender=identity.host,
         incarnation=identity.incarnation, receiver=receiver,
--- a/crocuskeel/runtime/polling.py
+++ b/crocuskeel/runtime/polling.py
@@ -59,7 +59,7 @@
     daemon = ctx.daemon
     live = membership.live(daemon)
     for cell, names in daemon.backends.cells.items():
-        if placement.owner(cell, live) != daemon.me.host:
+        if placement.owner(cell, live) != daemon.identity.host:
             continue
         for name in names:
             engine = backends.get(daemon, name)
--- a/crocuskeel/runtime/records.py
+++ b/crocuskeel/runtime/records.py
@@ -134,7 +134,7 @@
     records = ctx.records
     wall_clock = records.wall_clock()
     timestamp = records.clock.tick(wall_clock * 1000)
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     event = {
         "ts": round(wall_clock, 6),
         "hlc": [timestamp.ms, timestamp.count],
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -22,8 +22,8 @@
 
 def _daemon():
     return types.SimpleNamespace(
-        me=ME, rng=random.Random(1), follower=follower.new_state(),
-        members=membership.new_state(ME), backends=backends.new_state())
+        identity=ME, rng=random.Random(1), follower=follower.new_state(),
+        membership=membership.new_state(ME), backends=backends.new_state())
 
 
 def _backend(name, leaving=False):
--- a/tests/ctl/fleet.py
+++ b/tests/ctl/fleet.py
@@ -84,8 +84,8 @@
     me = state.Identity("test", host, "a", "r", f"10.0.0.{number}", 1,
                         8100, 1)
     return state.Daemon(
-        me=me, limits=state.Limits(), rng=random.Random(1),
-        follower=follower.new_state(), members=membership.new_state(me),
+        identity=me, limits=state.Limits(), rng=random.Random(1),
+        follower=follower.new_state(), membership=membership.new_state(me),
         backends=backends.new_state(), quarantine=quarantine.new_state(),
         dispatch=dispatch.new_state(), door=door.new_state(), claims=None)
 
@@ -110,11 +110,11 @@
 
     def _connect_members(self):
         for daemon in self.daemons.values():
-            members = daemon.members
+            members = daemon.membership
             for host, other in self.daemons.items():
-                if host != daemon.me.host:
+                if host != daemon.identity.host:
                     members.members[host] = member_state.Member(
-                        other.members.own_update)
+                        other.membership.own_update)
             member_state.invalidate_caches(members)
 
     def _store_initial_settings(self):
--- a/tests/door/driver.py
+++ b/tests/door/driver.py
@@ -64,9 +64,9 @@
         self.log = []
         self.rids = 0
         self.daemon = state.Daemon(
-            me=me, limits=state.Limits(max_requests=max_requests),
+            identity=me, limits=state.Limits(max_requests=max_requests),
             rng=random.Random(7), follower=follower.new_state(_tree()),
-            members=membership.new_state(me),
+            membership=membership.new_state(me),
             backends=backends.new_state(),
             quarantine=quarantine.new_state(), dispatch=None,
             door=door.new_state(),
--- a/tests/follower/fleet.py
+++ b/tests/follower/fleet.py
@@ -192,4 +192,4 @@
 
 def live(daemon):
     """Replace ``membership.live``: every host of the fleet is live."""
-    return daemon.members.fleet.names
+    return daemon.membership.fleet.names
--- a/tests/membership/test_failures.py
+++ b/tests/membership/test_failures.py
@@ -18,7 +18,7 @@
 
 
 def _hosts(fleet):
-    return tuple(sorted(d.me.host for d in fleet.daemons.values()))
+    return tuple(sorted(d.identity.host for d in fleet.daemons.values()))
 
 
 class FailureTests(unittest.TestCase):
@@ -37,7 +37,7 @@
         """
         for seed in range(40):
             fleet = figures.new_fleet(9, seed, LOSS)
-            victim = fleet.stop(_address(fleet, seed % 9)).me.host
+            victim = fleet.stop(_address(fleet, seed % 9)).identity.host
             fleet.run(3.0)
             self.assert_agreed(fleet)
             self.assertEqual({victim}, {d[2] for d in fleet.deaths})
@@ -59,7 +59,7 @@
             fleet.run(8.0)
             self.assertEqual([], fleet.deaths)
             kinds = {kind for _, host, kind in fleet.records
-                     if host != paused.me.host}
+                     if host != paused.identity.host}
             self.assertIn("member_suspect", kinds)
             self.assertIn("suspicion_refuted",
                           {kind for *_, kind in fleet.records})
@@ -89,7 +89,7 @@
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
             isolated = _address(fleet, seed)
-            host = fleet.daemons[isolated].me.host
+            host = fleet.daemons[isolated].identity.host
             fleet.lost = lambda a, b, isolated=isolated: isolated in (a, b)
             fleet.run(3.0)
             fleet.lost = lambda a, b: False
@@ -107,20 +107,21 @@
         for steps, expect_dead in ((7, False), (120, True)):
             fleet = figures.new_fleet(9)
             busy = fleet.daemons[_address(fleet, 4)]
-            fleet.lost = lambda a, b, to=busy.me.address: to in (a, b)
+            fleet.lost = lambda a, b, to=busy.identity.address: to in (a, b)
             fleet.records.clear()
-            message = events.Received(busy.me.host, busy.me.incarnation,
-                                      messages.ReregisterAsk("cell"))
+            message = events.Received(
+                busy.identity.host, busy.identity.incarnation,
+                messages.ReregisterAsk("cell"))
             for _ in range(steps):
                 fleet.run(0.1)
                 for daemon in fleet.daemons.values():
                     membership.record_contact(daemon, message, fleet.now)
             suspected = {kind for _, host, kind in fleet.records
-                         if host != busy.me.host}
+                         if host != busy.identity.host}
             self.assertEqual(expect_dead, "member_suspect" in suspected)
             one = fleet.daemons[_address(fleet, 0)]
             self.assertNotEqual(
-                expect_dead, membership.is_live(one, busy.me.host))
+                expect_dead, membership.is_live(one, busy.identity.host))
 
     def test_one_way_failure_between_two_hosts(self):
         """A one-way failure between two hosts must not cause a suspicion.
@@ -148,7 +149,7 @@
         for seed in SEEDS:
             fleet = figures.new_fleet(6, seed)
             receiver = _address(fleet, 2)
-            host = fleet.daemons[receiver].me.host
+            host = fleet.daemons[receiver].identity.host
             fleet.lost = lambda a, b: b == receiver
             fleet.run(20.0)
             told = {(who, whom) for _, who, whom in fleet.deaths
@@ -166,7 +167,7 @@
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
             for daemon in fleet.daemons.values():
-                daemon.members.listed.clear()
+                daemon.membership.listed.clear()
             half = set(sorted(fleet.daemons)[:4])
             fleet.lost = lambda a, b: (a in half) != (b in half)
             fleet.run(30.0)
@@ -186,7 +187,7 @@
         for seed in SEEDS:
             fleet = figures.new_fleet(9, seed)
             half = set(sorted(fleet.daemons)[:4])
-            near_hosts = {fleet.daemons[a].me.host for a in half}
+            near_hosts = {fleet.daemons[a].identity.host for a in half}
             fleet.lost = lambda a, b, half=half: (a in half) != (b in half)
             fleet.run(3.2)
             fleet.lost = lambda a, b: False
@@ -206,7 +207,7 @@
         for seed in range(24):
             fleet = figures.new_fleet(9, seed, LOSS)
             for address, daemon in list(fleet.daemons.items()):
-                if daemon.me.domain == "domain-0":
+                if daemon.identity.domain == "domain-0":
                     fleet.stop(address)
             fleet.run(3.2)
             self.assert_agreed(fleet)
@@ -220,16 +221,16 @@
         """
         fleet = figures.new_fleet(6)
         old = fleet.daemons[_address(fleet, 1)]
-        seed = fleet.daemons[_address(fleet, 0)].me
-        new = fleet.add(old.me.host, old.me.domain,
+        seed = fleet.daemons[_address(fleet, 0)].identity
+        new = fleet.add(old.identity.host, old.identity.domain,
                         [(seed.host, seed.address, 7001)],
                         figures.START + 1, "10.20.30.99")
         fleet.run(5.0)
-        self.assertTrue(old.members.superseded)
-        self.assertNotIn(old.me.host, membership.live(old))
-        fleet.stop(old.me.address)
+        self.assertTrue(old.membership.superseded)
+        self.assertNotIn(old.identity.host, membership.live(old))
+        fleet.stop(old.identity.address)
         for daemon in fleet.daemons.values():
-            known = membership.member_info(daemon, old.me.host)
+            known = membership.member_info(daemon, old.identity.host)
             self.assertEqual(new, known.address)
         self.assert_agreed(fleet)
 
@@ -242,17 +243,17 @@
         fleet = figures.new_fleet(6)
         old = fleet.stop(_address(fleet, 1))
         other = fleet.daemons[_address(fleet, 0)]
-        seed_entry = (other.me.host, other.me.address, 7001)
-        fleet.add(old.me.host, old.me.domain, [seed_entry],
+        seed_entry = (other.identity.host, other.identity.address, 7001)
+        fleet.add(old.identity.host, old.identity.domain, [seed_entry],
                   figures.START + 1)
         fleet.run(3.0)
         self.assert_agreed(fleet)
         self.assertEqual([], fleet.deaths)
         leaving = membership.handle(old, events.DrainAsked(), 0.0)
-        late = events.Received(old.me.host, old.me.incarnation,
+        late = events.Received(old.identity.host, old.identity.incarnation,
                                leaving[0].message)
         membership.handle(other, late, fleet.now)
-        self.assertTrue(membership.is_live(other, old.me.host))
+        self.assertTrue(membership.is_live(other, old.identity.host))
 
     def test_leaving_host_is_known_at_once(self):
         """All hosts must learn at once that a host is leaving.
@@ -269,7 +270,7 @@
             fleet.tell(daemon, events.DrainAsked())
             fleet.run(0.15)
             for other in fleet.daemons.values():
-                self.assertNotIn(daemon.me.host, membership.live(other))
+                self.assertNotIn(daemon.identity.host, membership.live(other))
 
     def test_hosts_join_through_the_host_list(self):
         """Hosts must find each other if no seed address is valid.
@@ -282,7 +283,7 @@
         for index in range(9):
             fleet.add(f"new-{index}", f"domain-{index % 3}")
         fleet.run(1.0)
-        listed = tuple(d.members.own_update for d in fleet.daemons.values())
+        listed = tuple(d.membership.own_update for d in fleet.daemons.values())
         for daemon in fleet.daemons.values():
             membership.handle(
                 daemon, events.HostListSeen(1, listed, ()), fleet.now)
@@ -296,7 +297,7 @@
         seeds that it contacts first send it all members directly.
         """
         fleet = figures.new_fleet(60, 1, LOSS)
-        seeds = [(d.me.host, d.me.address, 7001)
+        seeds = [(d.identity.host, d.identity.address, 7001)
                  for d in list(fleet.daemons.values())[:3]]
         new = fleet.add("newcomer", "domain-0", seeds)
         fleet.run(2.0)
--- a/tests/membership/test_updates.py
+++ b/tests/membership/test_updates.py
@@ -79,11 +79,11 @@
     def test_host_refutes_its_death_with_a_greater_count(self):
         daemon = _daemon()
         dead = messages.MemberUpdate(
-            "me", daemon.me.incarnation, "dead", refutations=4)
+            "me", daemon.identity.incarnation, "dead", refutations=4)
         _receive(daemon, dead)
-        self.assertEqual(5, daemon.members.own_update.refutations)
+        self.assertEqual(5, daemon.membership.own_update.refutations)
         _receive(daemon, dead)
-        self.assertEqual(5, daemon.members.own_update.refutations)
+        self.assertEqual(5, daemon.membership.own_update.refutations)
 
     def test_refutation_is_sent_at_once(self):
         """A host that resumes after 2 s has 0.35 s left to refute.
@@ -94,7 +94,7 @@
         fleet = figures.new_fleet(9)
         daemon = next(iter(fleet.daemons.values()))
         out = _receive(daemon, messages.MemberUpdate(
-            daemon.me.host, daemon.me.incarnation, "suspect"))
+            daemon.identity.host, daemon.identity.incarnation, "suspect"))
         told = {e.host for e in out if type(e) is effects.Send
                 and e.message.updates[0].refutations == 1}
         self.assertEqual(8, len(told))
@@ -123,5 +123,5 @@
             if seq < 20:
                 self.assertLess(len(figures.sealed(daemon, ack)), 1200)
                 self.assertGreater(len(ack.message.updates), 2)
-        self.assertEqual({}, daemon.members.pending_updates)
+        self.assertEqual({}, daemon.membership.pending_updates)
         self.assertLess(sent / 470, 20)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -51,7 +51,7 @@
             "h1", 2, "alive", "127.0.0.9", 1, 2, "a", "r")
         for at in (1.0, 2.0):
             out = reducer.reduce(daemon, _probe("h2", newer), at)
-        self.assertTrue(daemon.members.superseded)
+        self.assertTrue(daemon.membership.superseded)
         self.assertIsNotNone(daemon.door.drain_started_at)
         self.assertNotIn("h1", membership.live(daemon))
         self.assertIsInstance(out, list)
@@ -68,4 +68,4 @@
         reducer.reduce(daemon, _probe("h2", known), 1.0)
         reducer.reduce(daemon, events.Received(
             "h2", 1, messages.Progressed("llm/0")), 9.0)
-        self.assertEqual(9.0, daemon.members.members["h2"].last_contact_at)
+        self.assertEqual(9.0, daemon.membership.members["h2"].last_contact_at)
