--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -77,7 +77,7 @@
             with self.subTest(description):
                 self.assertEqual(is_usable, backends.is_usable(daemon, "e1"))
 
-    def test_leaving_is_told_to_all_once(self):
+    def test_leaving_is_broadcast_once(self):
         daemon = _daemon()
         out = []
         for at in (1, 2):
@@ -87,7 +87,7 @@
         self.assertEqual([messages.HostListNews(1, ("e1",))],
                          [e.message for e in broadcasts])
 
-    def test_a_host_started_in_an_outage_takes_a_peers_list(self):
+    def test_a_host_started_in_an_outage_uses_a_peers_list(self):
         """A host that starts in a host list outage uses a peer's list.
 
         Without a list it would refuse every request for lack of backend
--- a/tests/claims/test_faults.py
+++ b/tests/claims/test_faults.py
@@ -76,7 +76,7 @@
         self.sim.answer("well")
         self.assertEqual(["granted"], statuses(attempt))
 
-    def test_given_up_in_doubt_frees_the_key(self):
+    def test_claim_abandoned_in_doubt_frees_the_key(self):
         """A claim abandoned while in doubt must free its key.
 
         The entry host abandons the claim while its write is in doubt. A
@@ -93,7 +93,7 @@
         self.assertEqual([], statuses(attempt))
         self.assertEqual("granted", self.answered("k").status)
 
-    def test_expired_ask_is_not_settled(self):
+    def test_expired_request_is_not_settled(self):
         """A claim that expires at one owner must not free its key.
 
         Owner 0 loses the answer to a claim. The entry host asks owner 1,
@@ -161,7 +161,7 @@
         self.sim.advance(1.0)
         self.assertEqual("granted", self.answered("k").status)
 
-    def test_look_is_not_answered_from_the_cache(self):
+    def test_lookup_is_not_answered_from_the_cache(self):
         """A lookup must not be answered from a cached ledger.
 
         Owner 0 has read the ledger; the key is claimed and run through
@@ -179,7 +179,7 @@
         self.assertEqual(["duplicate"], statuses(lookup))
         self.assertEqual("r1", lookup.answers[0].holder_rid)
 
-    def test_look_waits_for_a_read_of_its_own(self):
+    def test_lookup_waits_for_a_read_of_its_own(self):
         """A read in progress when a lookup arrives must not answer it."""
         self.sim.request_claim("other")
         lookup = self.sim.lookup("k")
@@ -217,7 +217,7 @@
         self.sim.run_without_faults()
         self.assertEqual(1, len(lookup.answers), lookup)
 
-    def test_look_in_an_outage(self):
+    def test_lookup_in_an_outage(self):
         """In a store outage a lookup must not report an absent key.
 
         Another owner may reach the store and claim it. A key that is
@@ -233,7 +233,7 @@
             [statuses(each) for each in lookups])
         self.assertEqual([], self.sim.calls)
 
-    def test_look_while_a_claim_is_in_doubt(self):
+    def test_lookup_while_a_claim_is_in_doubt(self):
         """A key with a claim in doubt must not be reported as absent.
 
         Otherwise a caller is told ``not_run`` and another entry host
@@ -279,7 +279,7 @@
         self.sim.run_without_faults(2.0)
         self.assertEqual("duplicate", self.answered("k", at=1).status)
 
-    def test_overtaken_ask_is_not_claimed(self):
+    def test_overtaken_request_is_not_claimed(self):
         """A claim that arrives after its outcome must be ignored.
 
         The entry host abandons the claim, and on a new connection the
@@ -294,7 +294,7 @@
         self.sim.run_without_faults()
         self.assertEqual("granted", self.answered("k").status)
 
-    def test_two_owners_both_get_on(self):
+    def test_two_owners_both_make_progress(self):
         """Two hosts that own one slot must both make progress.
 
         If they commit in lockstep, one loses every time, and half of
--- a/tests/conf/test_commit.py
+++ b/tests/conf/test_commit.py
@@ -158,7 +158,7 @@
                 strategies.integers(0, 3), strategies.integers(0, 4)),
             max_size=70),
         strategies.sampled_from([2, commit.MAX_RETRIES]))
-    def test_any_schedule_of_races_and_lost_answers(
+    def test_random_races_and_lost_answers(
             self, schedule, max_retries):
         tree = samples.tree()
         store = Store(tree)
@@ -176,7 +176,7 @@
             store.apply_delayed()
         self.check(store, committers)
 
-    def test_lost_answer_is_read_back(self):
+    def test_lost_answer_is_found_in_the_head(self):
         """Guards against applying a batch twice, over a later one.
 
         The platform executes the head write and its answer is lost. Then
@@ -239,7 +239,7 @@
         store.apply_delayed()
         self.check(store, [first])
 
-    def test_lost_race_merges_or_is_refused_with_both_values(self):
+    def test_lost_race_is_merged_or_refused_with_both_values(self):
         tree = samples.tree()
         store = Store(tree)
         committers = new_committers(tree, 4)
@@ -284,7 +284,7 @@
             (first.result.reason, first.result.outcome))
         self.assertEqual(5, store.heads[-1].generation)
 
-    def test_a_store_set_back_is_not_followed(self):
+    def test_store_restored_from_an_old_copy_is_refused(self):
         """Guards against a commit on a store restored from an old copy.
 
         It would reuse a generation number, and hosts would have different
--- a/tests/ctl/test_command.py
+++ b/tests/ctl/test_command.py
@@ -127,7 +127,7 @@
         self.assertEqual((0, ""), (code, err))
         self.assertEqual(2, fleet.store.head().generation)
 
-    def test_an_outage_is_refused_in_bounded_time(self):
+    def test_commit_fails_in_bounded_time_during_an_outage(self):
         fleet = fleets.Fleet()
         fleet.store.down = True
         code, _out, err = fleet.run("settings", "edit", EDIT)
--- a/tests/dispatch/test_faults.py
+++ b/tests/dispatch/test_faults.py
@@ -92,7 +92,7 @@
         self.assertEqual((support.LOCAL_HOST,),
                          membership.live(harness.daemon))
 
-    def test_grants_wait_for_the_doors(self):
+    def test_grants_wait_for_the_entry_hosts(self):
         """A new dispatcher does not overfill engines.
 
         Engines that are already full would be filled again after their
@@ -111,7 +111,7 @@
         self.assertEqual(SLOTS_PER_ENGINE,
                          _count_by_engine(harness, running)["engine-0"])
 
-    def test_a_load_report_shows_what_is_free(self):
+    def test_a_load_report_shows_free_slots(self):
         """A new dispatcher grants the slots that a load report shows free.
 
         The engine reports 6 of its 8 slots busy, and the entry hosts have
@@ -141,7 +141,7 @@
             support.end_attempt(harness, key)
         self.assertEqual({}, harness.running)
 
-    def test_slots_of_a_dead_door_are_reclaimed(self):
+    def test_slots_of_a_dead_entry_host_are_reclaimed(self):
         """The slots of a dead entry host are granted again.
 
         The host will never release them. While they are counted, engines
--- a/tests/door/fault_table.py
+++ b/tests/door/fault_table.py
@@ -174,8 +174,8 @@
         {}, (resume_stream("h9.1.7"), resumed_stream_ends("broken", 1),
              resumed_stream_ends("done", 1)),
         "enqueue, resume e1, resume e1"),
-    Row("full_of_lower", "Bulk requests fill the host, and a request of a "
-        "higher tier is refused in their favor.",
+    Row("full_of_lower_tiers", "Bulk requests fill the host, and a request of "
+        "a higher tier is refused in their favor.",
         BULK, (new_request(**BULK), new_request(), new_request(**BULK)),
         "enqueue, enqueue, answer overload not_run, withdraw, enqueue, "
         "answer overload not_run", max_requests=2),
@@ -216,16 +216,16 @@
         {}, (granted(), closed("busy")) * 4,
         "enqueue, open e1, release e1 busy, " + "enqueue -e1, open e1, "
         "release e1 busy, " * 3 + "answer overload not_run"),
-    Row("breaks_early", "A crash before the first byte fails a request "
-        "that another engine could answer.",
+    Row("connection_lost_early", "A crash before the first byte fails a "
+        "request that another engine could answer.",
         {}, (granted(), closed("broken"), resume_ends("refused")),
         "enqueue, open e1, resume e1, release e1 broken, enqueue -e1"),
-    Row("breaks_late", "After a lost connection the request runs again, and "
-        "its caller gets the start of the answer twice.",
+    Row("connection_lost_late", "After a lost connection the request runs "
+        "again, and its caller gets the start of the answer twice.",
         {}, (granted(), opened(), closed("broken", forwarded=3),
              resume_ends("broken", forwarded=3), resume_ends("done")),
         "enqueue, open e1, resume e1, resume e1, release e1 done"),
-    Row("crashes_late", "A crash after the first tokens starts another "
+    Row("engine_crashes_late", "A crash after the first tokens starts another "
         "answer in the middle of the first.",
         {}, (granted(), opened(), closed("broken", forwarded=3),
              resume_ends("gone", forwarded=3)),
@@ -238,13 +238,13 @@
         "enqueue, claimask, open d1, cancel, release d1 broken, "
         "answer backend_lost unknown, settle unknown, "
         "answer duplicate unknown"),
-    Row("silent_404", "As below, but the engine's 404 to the resume is "
-        "treated as a client error, and the caller gets no answer.",
+    Row("stalled_connection_404", "As below, but the engine's 404 to the "
+        "resume is treated as a client error, and the caller gets no answer.",
         {}, (granted(), closed("silent"),
              resume_ends("gone", http_status=404)),
         "enqueue, open e1, resume e1, release e1 silent, enqueue -e1"),
-    Row("silent", "A connection is dead without being closed, and its "
-        "request waits for an answer that can't arrive.",
+    Row("stalled_connection", "A connection is dead without being closed, and "
+        "its request waits for an answer that can't arrive.",
         {}, (granted(), closed("silent"), resume_ends("gone")),
         "enqueue, open e1, resume e1, release e1 silent, enqueue -e1"),
     Row("budget_spent", "Retries multiply the load during an outage.",
@@ -256,7 +256,7 @@
         PLAIN, (granted(), closed("failed", http_status=400)),
         "enqueue, open e1, release e1 failed, "
         "answer backend_failed unknown"),
-    Row("leaves", "A leaving engine gets new work from an old grant.",
+    Row("engine_leaves", "A leaving engine gets new work from an old grant.",
         {}, (leaving("e1"), granted("e1"), granted("e2")),
         "enqueue, release e1 cancelled, enqueue -e1, open e2"),
     Row("outdated_grants", "A dispatcher with an outdated host list grants "
@@ -264,8 +264,8 @@
         {}, (leaving("e1"), *[granted("e1")] * 9),
         "enqueue, " + "release e1 cancelled, enqueue -e1, " * 8
         + "release e1 cancelled, answer no_backend not_run"),
-    Row("leaves_in_claim", "As above, while the claim is being recorded; "
-        "the booking is then claimed twice.",
+    Row("engine_leaves_during_claim", "As above, while the claim is being "
+        "recorded; the booking is then claimed twice.",
         BOOK, (granted("d1"), leaving("d1"), claimed(), granted("d2")),
         "enqueue, claimask, release d1 cancelled, enqueue -d1, open d2"),
     Row("poison", "A request that crashes engines is retried on the "
@@ -276,10 +276,10 @@
 )
 
 PEER = (
-    Row("dispatcher_dies", "The queue is lost when its dispatcher fails.",
+    Row("dispatcher_fails", "The queue is lost when its dispatcher fails.",
         {}, (dispatcher_fails(), granted()),
         "enqueue, reregister 1+0, open e1"),
-    Row("dispatcher_cut_off", "A host that can't reach its dispatcher "
+    Row("dispatcher_unreachable", "A host that can't reach its dispatcher "
         "refuses all requests, or floods the engines without a limit.",
         {}, (*[new_request()] * 7, dispatcher_disconnects(), wait(1.4)),
         "enqueue, " * 8 + "reregister 8+0, reregister 8+0, "
--- a/tests/door/test_faults.py
+++ b/tests/door/test_faults.py
@@ -25,16 +25,16 @@
                 self.assertEqual(
                     row.expect.split(", "), host.labels(), row.failure)
 
-    def test_caller(self):
+    def test_caller_faults(self):
         self._run(fault_table.CALLER)
 
-    def test_engine(self):
+    def test_engine_faults(self):
         self._run(fault_table.ENGINE)
 
-    def test_peer(self):
+    def test_peer_faults(self):
         self._run(fault_table.PEER)
 
-    def test_keys(self):
+    def test_key_faults(self):
         self._run(key_fault_table.KEYS)
 
 
@@ -58,7 +58,7 @@
 
 class DrainTest(unittest.TestCase):
 
-    def test_nothing_is_cut(self):
+    def test_drain_completes_requests_in_progress(self):
         """A shutdown for maintenance cuts off a booking in progress.
 
         The host is told to drain while one request waits and one runs.
--- a/tests/door/test_properties.py
+++ b/tests/door/test_properties.py
@@ -252,7 +252,7 @@
     @given(strategies.lists(strategies.tuples(
         strategies.sampled_from(OPERATIONS), strategies.integers(0, 59)),
         min_size=40, max_size=80))
-    def test_one_true_answer(self, steps):
+    def test_each_request_gets_one_correct_answer(self, steps):
         """A caller gets two answers, none, or a wrong one.
 
         Messages arrive late, twice and out of order, attempts end in
--- a/tests/follower/test_follower.py
+++ b/tests/follower/test_follower.py
@@ -118,7 +118,7 @@
         fleet.run(1.0)
         self.assertEqual({"h0": 1}, fleet.generations())
 
-    def test_an_isolated_host_says_it_is_not_ready(self):
+    def test_an_isolated_host_is_not_ready(self):
         """A host isolated from platform and peers must not be ready.
 
         Otherwise it would apply outdated settings to its callers. It
@@ -180,7 +180,7 @@
         fleet.run(fleet.now + 3)
         self.assertEqual(1, fleet.generations()["h8"])
 
-    def test_everyone_is_told_without_the_platform(self):
+    def test_announcements_reach_every_host(self):
         """Announcements alone must reach every host.
 
         With six random neighbours per host, one host in 400 was
--- a/tests/membership/test_failures.py
+++ b/tests/membership/test_failures.py
@@ -42,7 +42,7 @@
             self.assert_agreed(fleet)
             self.assertEqual({victim}, {d[2] for d in fleet.deaths})
 
-    def test_two_second_pause_kills_nobody(self):
+    def test_two_second_pause_causes_no_deaths(self):
         """A host that pauses for 2 s must not be declared dead.
 
         The others suspect it, and when it resumes its own probes seem
@@ -157,7 +157,7 @@
             self.assertEqual({(who, host) for who in _hosts(fleet)
                               if who != host}, told)
 
-    def test_split_heals(self):
+    def test_partition_heals(self):
         """The two sides of a partition must merge once it is repaired.
 
         Each side has declared the other dead and no longer probes it.
--- a/tests/membership/test_updates.py
+++ b/tests/membership/test_updates.py
@@ -52,7 +52,7 @@
 
     @_SETTINGS
     @hypothesis.given(_UPDATES, strategies.randoms(use_true_random=False))
-    def test_hosts_agree_whatever_the_order_of_news(self, updates, rng):
+    def test_hosts_agree_for_any_order_of_updates(self, updates, rng):
         first = messages.MemberUpdate("other", 1, "alive", "10.0.0.9")
         updates = [dataclasses.replace(u, address="10.0.0.9")
                    for u in updates]
--- a/tests/objectapi/test_transport.py
+++ b/tests/objectapi/test_transport.py
@@ -69,7 +69,7 @@
         self.assertEqual(1, len(self.reactor.tcpClients))
         self.assertTrue(self.outcomes[1].check(objectapi.ResponseLost))
 
-    def test_silent_connection_is_bounded(self):
+    def test_silent_connection_times_out(self):
         self.start()
         self.connect()
         self.reactor.advance(1.01)
--- a/tests/quarantine/test_poison.py
+++ b/tests/quarantine/test_poison.py
@@ -53,7 +53,7 @@
     def _verdict(self, fingerprint):
         return quarantine.verdict(self.harness.daemon, fingerprint)
 
-    def test_two_crashes_and_the_innocent_cleared(self):
+    def test_two_crashes_then_others_are_cleared(self):
         """A request that crashes engines is found after two crashes.
 
         Every request that shares an engine with it is lost each time, and
@@ -129,7 +129,7 @@
         support.report_loads(harness)
         self._enqueue(fingerprint)
 
-    def test_a_broken_connection_is_no_crash(self):
+    def test_a_broken_connection_is_not_a_crash(self):
         """A suspect whose connection breaks twice is not quarantined.
 
         Only the network between an entry host and the engine failed. The
@@ -147,7 +147,7 @@
             self.assertEqual("", self._verdict("harmless"))
         self.assertEqual(1, len(self.harness.running))
 
-    def test_verdicts_are_told_to_all_hosts(self):
+    def test_verdicts_are_broadcast(self):
         self._enqueue(POISON)
         key = next(iter(self.harness.running))
         out = support.end_attempt(self.harness, key, "broken")
--- a/tests/runtime/test_caller.py
+++ b/tests/runtime/test_caller.py
@@ -18,7 +18,7 @@
 VALID_BODY = b'{"messages": [{"content": "x"}]}'
 
 # name, head, body, status, code
-ROWS = (
+FAULTS = (
     ("invalid JSON", CHAT, b"{", 400, "bad_request"),
     ("not an object", CHAT, b"[]", 400, "bad_request"),
     ("no messages", CHAT, b"{}", 400, "bad_request"),
@@ -47,8 +47,8 @@
     which would queue the request, does not receive it.
     """
 
-    def test_rows(self):
-        for name, head, body, status, code in ROWS:
+    def test_faults(self):
+        for name, head, body, status, code in FAULTS:
             with self.subTest(name):
                 harness = support.new_harness()
                 _, connection = support.send_request(harness, head, body)
@@ -107,7 +107,7 @@
         self.assertIn(
             b"Location: http://127.0.0.2:80/v1/chat/completions", head)
 
-    def test_half_an_answer_never_ends_well(self):
+    def test_partial_response_is_aborted(self):
         """A non-streaming response breaks after its first bytes.
 
         If its connection were ended properly, the caller would take the
@@ -125,7 +125,7 @@
         self.assertTrue(connection.dropped)
         self.assertFalse(connection.value().endswith(b"0\r\n\r\n"))
 
-    def test_half_a_stream_ends_with_an_error_event(self):
+    def test_partial_stream_ends_with_an_error_event(self):
         harness = support.new_harness()
         harness.script[events.RequestArrived] = support.open_attempt
         harness.script[events.AttemptClosed] = self._end_with_problem()
@@ -258,7 +258,7 @@
             (event.stream, event.attempt, event.engine, event.after),
             ("entry-2.5.7", 3, "llm.1", 4))
 
-    def test_another_caller_gets_nothing(self):
+    def test_another_caller_cannot_resume(self):
         """An event id that leaked into a log or cache is used to resume.
 
         With another token it must not give access to the response: the
--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -44,7 +44,7 @@
     support.stream_event(1) + support.stream_event(2)[:9])
 
 # name, fault of the server, end, forwarded events, retry_after_s
-ROWS = (
+FAULTS = (
     ("refuses the connection", _refuses_connection, End.REFUSED, 0, 0),
     ("can't be reached", _is_unreachable, End.REFUSED, 0, 0),
     ("is overloaded", _sends(
@@ -74,8 +74,8 @@
     caller is refused although its request ran, or gets partial events.
     """
 
-    def test_rows(self):
-        for name, inject_fault, end, forwarded, retry in ROWS:
+    def test_faults(self):
+        for name, inject_fault, end, forwarded, retry in FAULTS:
             with self.subTest(name):
                 harness = support.new_harness()
                 harness.script[events.RequestArrived] = support.open_attempt
@@ -141,7 +141,7 @@
                          End.STREAM_UNKNOWN)
         self.assertEqual(caller.value(), before)
 
-    def test_silent_connection_is_retired(self):
+    def test_idle_connections_are_dropped_after_a_timeout(self):
         """Idle connections to a server are dead while new ones work.
 
         One request times out on the first of two dead connections; the
@@ -169,7 +169,7 @@
         send_stream(harness)
         self.assertIn(support.stream_event(1), caller.value())
 
-    def test_late_answer_reaches_nobody(self):
+    def test_late_response_is_discarded(self):
         """An engine responds after its attempt timed out.
 
         The request is retried on another engine; the late bytes of the
--- a/tests/runtime/test_peer.py
+++ b/tests/runtime/test_peer.py
@@ -182,9 +182,9 @@
     await case.deliver(other.batch([MESSAGE], session=nonce))
 
 
-ROWS = (_wrong_key, _other_deployment, _other_receiver, _too_large,
-        _undecodable, _no_nonce, _recorded_on_another_link,
-        _message_before_session, _replayed, _another_sender)
+FAULTS = (_wrong_key, _other_deployment, _other_receiver, _too_large,
+          _undecodable, _no_nonce, _recorded_on_another_link,
+          _message_before_session, _replayed, _another_sender)
 
 
 class RefusedBatches(LinkCase):
@@ -194,8 +194,8 @@
     earlier link were accepted, grants and claims could be forged.
     """
 
-    async def test_rows(self):
-        for send_batches in ROWS:
+    async def test_faults(self):
+        for send_batches in FAULTS:
             with self.subTest(send_batches.__name__):
                 await self.asyncSetUp()
                 link = self.start_link()
@@ -299,7 +299,7 @@
             sealed.SerializeToString(), ("127.0.0.1", 9))
         return len(self.harness.recorded(events.Received))
 
-    def test_rows(self):
+    def test_faults(self):
         probe = messages.Probe(1)
         first, second = self.peer.batch([probe]), self.peer.batch([probe])
         rows = (
--- a/tests/timeline/test_timeline.py
+++ b/tests/timeline/test_timeline.py
@@ -52,7 +52,7 @@
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(_skews, _steps, st.randoms(use_true_random=False))
-    def test_no_effect_stands_before_its_cause(self, skews, steps, rng):
+    def test_effects_are_ordered_after_their_causes(self, skews, steps, rng):
         """A grant must not be listed before the request that caused it.
 
         If the dispatcher's clock is seconds behind the clock of the host
