--- a/bench/loopback/hop.py
+++ b/bench/loopback/hop.py
@@ -47,8 +47,8 @@
     from crocuskeel.core import events
     from crocuskeel.core import problems
     from crocuskeel.runtime import bounded_request
-    from crocuskeel.runtime import door
-    from crocuskeel.runtime import eager
+    from crocuskeel.runtime import direct_writes
+    from crocuskeel.runtime import http_api
     from crocuskeel.runtime import program
     from crocuskeel.runtime import watchdog
 
@@ -60,14 +60,14 @@
                     IDLE_TIMEOUT_S)]
             case events.AttemptClosed(rid=rid):
                 # The runtime ignores this if the answer was complete.
-                return [effects.Answer(rid, problems.problem(
+                return [effects.Answer(rid, problems.new_problem(
                     problems.Reason.BACKEND_FAILED))]
         return []
 
     ctx = program.new_runtime(
         reactor, new_settings(f"hop-{args.port}"), time.time, reduce)
-    site = bounded_request.new_site(reactor, door.new_app(ctx).resource())
-    eager.listen(reactor, args.port, site, "127.0.0.1")
+    site = bounded_request.new_site(reactor, http_api.new_app(ctx).resource())
+    direct_writes.listen(reactor, args.port, site, "127.0.0.1")
     watchdog.start(ctx)
 
 
--- a/bench/outage/replays.py
+++ b/bench/outage/replays.py
@@ -23,8 +23,8 @@
     peer = fleet.nodes[host]
     ask = messages.ReplayAsk(source_rid, rid, 0)
     event = events.Received(
-        node.name, node.daemon.me.incarnation, ask,
-        0, node.daemon.me.address)
+        node.name, node.daemon.identity.incarnation, ask,
+        0, node.daemon.identity.address)
     clocks.call_later(
         fleet.clock, fleets.INTER_DOMAIN_S, fleets.deliver, fleet,
         peer, event)
@@ -35,7 +35,7 @@
 
 
 def _relay(world, node, source, rid, source_rid, deadline):
-    if rid not in node.daemon.door.relays:
+    if rid not in node.daemon.frontend.relays:
         # The source request failed and its watchers were notified.
         return
     end = _replay_end(world, source, source_rid, deadline)
@@ -51,12 +51,13 @@
 
 def _replay_end(world, source, source_rid, deadline):
     if deadline is not None and world.fleet.clock.now >= deadline:
-        return events.AttemptEnd.GONE
+        return events.AttemptEnd.STREAM_UNKNOWN
     if source.held_events is not None or not source.up:
-        return None if deadline is not None else events.AttemptEnd.GONE
-    if source_rid in source.daemon.door.requests:
+        return (None if deadline is not None
+                else events.AttemptEnd.STREAM_UNKNOWN)
+    if source_rid in source.daemon.frontend.requests:
         return None
-    replay = source.daemon.door.kept.get(source_rid)
-    if replay is not None and replay.done:
+    replay = source.daemon.frontend.ended_requests.get(source_rid)
+    if replay is not None and replay.has_answer:
         return events.AttemptEnd.DONE
-    return events.AttemptEnd.GONE
+    return events.AttemptEnd.STREAM_UNKNOWN
--- a/bench/outage/world.py
+++ b/bench/outage/world.py
@@ -19,11 +19,11 @@
 from bench.policy import fleet as fleets
 from crocuskeel import conf
 from crocuskeel.conf import storage
-from crocuskeel.core.door import ending
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import factory
 from crocuskeel.core import follower
+from crocuskeel.core.frontend import completion
 from crocuskeel import objectapi
 from crocuskeel.runtime import platform_calls
 
@@ -84,7 +84,7 @@
         world.tree, conf.to_document(deployment.tree)))
     fleet.intercept = lambda node, effect: _intercept(world, node, effect)
     for node in fleet.nodes.values():
-        _start_daemon(world, node, node.daemon.me)
+        _start_daemon(world, node, node.daemon.identity)
     return world
 
 
@@ -92,7 +92,7 @@
     clock = world.fleet.clock
     node.daemon = factory.new_daemon(
         identity, seed=world.seed,
-        wall=lambda now: callers.EPOCH_S + now)
+        wall_clock=lambda now: callers.EPOCH_S + now)
     name = f"{identity.host}/{identity.incarnation}/{world.seed}"
     reactor = reactors.new_reactor(clock)
     client = objectapi.new_client(
@@ -100,7 +100,7 @@
         stores.sender(world.store), random.Random(f"client/{name}"))
     world.contexts[node.name] = types.SimpleNamespace(
         daemon=node.daemon, platform=client, reactor=reactor,
-        queue=collections.deque(), reducing=False,
+        event_queue=collections.deque(), handling_event=False,
         reduce=lambda _daemon, event, _now: _deliver_later(world, node, event))
 
 
@@ -124,9 +124,10 @@
 
 
 def _entry_record(node):
-    me = node.daemon.me
-    return {"name": me.host, "address": me.address, "port": me.peer_port,
-            "domain": me.domain, "region": me.region, "role": "entry"}
+    identity = node.daemon.identity
+    return {"name": identity.host, "address": identity.address,
+            "port": identity.peer_port, "domain": identity.domain,
+            "region": identity.region, "role": "entry"}
 
 
 def _intercept(world, node, effect):
@@ -140,10 +141,10 @@
             callers.handle_error(world, rid, problem)
         case effects.Record(kind="answered", rid=rid, fields=fields):
             callers.handle_result(world, rid, dict(fields))
-        case effects.Replay(rid=rid, held=held):
-            replays.replay_local(world, node, rid, held)
-        case effects.ReplayFrom(rid=rid, host=host, held=held):
-            replays.replay_from_peer(world, node, rid, host, held)
+        case effects.Replay(rid=rid, original_rid=original_rid):
+            replays.replay_local(world, node, rid, original_rid)
+        case effects.ReplayFrom(rid=rid, host=host, original_rid=original_rid):
+            replays.replay_from_peer(world, node, rid, host, original_rid)
         case effects.OpenAttempt(rid=rid):
             _record_first_run(world, node, rid)
             return False
@@ -153,11 +154,11 @@
 
 
 def _record_first_run(world, node, rid):
-    req = node.daemon.door.requests.get(rid)
+    req = node.daemon.frontend.requests.get(rid)
     now = world.fleet.clock.now
     if req is None or req.repeatable or now < world.recovery_from:
         return
-    slot = ending.claim_slot(node.daemon, ending.claim_key(req))
+    slot = completion.claim_slot(node.daemon, completion.claim_key(req))
     world.first_run_at.setdefault(slot, now)
 
 
@@ -214,10 +215,10 @@
 def restart_host(world, host):
     """Restart a host without any state but its seeds."""
     fleet = world.fleet
-    old = fleet.nodes[host].daemon.me
-    me = dataclasses.replace(old, incarnation=old.incarnation + 1)
+    old = fleet.nodes[host].daemon.identity
+    identity = dataclasses.replace(old, incarnation=old.incarnation + 1)
     node = fleets.Node(host, old.domain, None)
-    _start_daemon(world, node, me)
+    _start_daemon(world, node, identity)
     fleet.nodes[host] = node
     fleets.deliver(fleet, node, events.Started())
     for other in fleet.nodes.values():
@@ -230,7 +231,7 @@
 
 def _poll_ready(world, node, started_at):
     now = world.fleet.clock.now
-    if follower.ready(node.daemon, now) and node.daemon.backends.known:
+    if follower.ready(node.daemon, now) and node.daemon.backends.by_name:
         world.restart_ready_s.append(now - started_at)
     else:
         clocks.call_later(
--- a/bench/policy/fleet.py
+++ b/bench/policy/fleet.py
@@ -11,7 +11,7 @@
 from bench.policy import engine as engines
 from bench.policy import load
 from bench.policy import tally
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import factory
@@ -27,8 +27,7 @@
 INTRA_DOMAIN_S = 0.0005
 INTER_DOMAIN_S = 0.002
 STORE_LATENCY_S = 0.004
-# The entry daemon's time-out for a stream without traffic.
-IDLE_TIMEOUT_S = 2.0
+IDLE_TIMEOUT_S = 2.0  # the entry daemon's, for a stream without traffic
 REPORT_INTERVAL_S = 0.5
 REPORT_LAG_S = 0.5
 WARMUP_S = 3.5
@@ -39,7 +38,8 @@
 MAX_RESENDS = 6
 _ATTEMPT_ENDS = {
     "done": events.AttemptEnd.DONE, "busy": events.AttemptEnd.BUSY,
-    "refused": events.AttemptEnd.REFUSED, "broken": events.AttemptEnd.BROKEN}
+    "refused": events.AttemptEnd.REFUSED,
+    "broken": events.AttemptEnd.CONNECTION_LOST}
 
 
 @dataclasses.dataclass(slots=True)
@@ -117,8 +117,8 @@
 def _cells(fleet, name):
     for node in fleet.nodes.values():
         cell = node.daemon.dispatch.cells.get(name)
-        if node.up and cell and cell.lost_at is None:
-            yield cell, choice.most_slots(node.daemon, cell)
+        if node.up and cell and cell.ownership_lost_at is None:
+            yield cell, engine_selection.max_slots(node.daemon, cell)
 
 
 def execute(fleet, node, effect):
@@ -149,7 +149,8 @@
         case effects.Answer(rid=rid, problem=problem):
             _handle_problem(fleet, rid, problem)
         case effects.ReplayFrom(rid=rid):
-            gone = events.AttemptClosed(rid, 0, events.AttemptEnd.GONE)
+            gone = events.AttemptClosed(
+                rid, 0, events.AttemptEnd.STREAM_UNKNOWN)
             clocks.call_later(fleet.clock, INTER_DOMAIN_S, deliver, fleet,
                               node, gone)
         case effects.Record(kind="answered", rid=rid, fields=fields):
@@ -173,8 +174,8 @@
         return
     delay = INTRA_DOMAIN_S if target.domain == node.domain else INTER_DOMAIN_S
     event = events.Received(
-        node.name, node.daemon.me.incarnation, message,
-        follower.generation(node.daemon), node.daemon.me.address)
+        node.name, node.daemon.identity.incarnation, message,
+        follower.generation(node.daemon), node.daemon.identity.address)
     clocks.call_later(fleet.clock, delay, deliver, fleet, target, event)
 
 
@@ -203,7 +204,7 @@
 
 
 def _read_host_list(fleet, node):
-    hosts = tuple(membership.info(other.daemon, other.name)
+    hosts = tuple(membership.member_info(other.daemon, other.name)
                   for other in fleet.nodes.values() if other.up)
     backends = tuple(
         messages.Backend(server.name, server.service,
@@ -242,8 +243,8 @@
     now = fleet.clock.now
     for node in fleet.nodes.values():
         for cell in node.daemon.dispatch.cells.values() if node.up else ():
-            if cell.lost_at is None and now > WARMUP_S:
-                slots = choice.slots(node.daemon, cell, now)
+            if cell.ownership_lost_at is None and now > WARMUP_S:
+                slots = engine_selection.usable_slots(node.daemon, cell, now)
                 fewest = fleet.tally.slots.get(cell.name, slots)
                 fleet.tally.slots[cell.name] = min(slots, fewest)
 
@@ -340,7 +341,7 @@
         itl = 0.0
         if tokens > 1:
             itl = (now - job.first_at) / (tokens - 1)
-        end = _ATTEMPT_ENDS.get(kind, events.AttemptEnd.SILENT)
+        end = _ATTEMPT_ENDS.get(kind, events.AttemptEnd.TIMED_OUT)
         event = events.AttemptClosed(
             job.rid, job.attempt, end, job.forwarded, tokens, ttft, itl)
     deliver(fleet, node, event)
@@ -350,11 +351,11 @@
     server = fleet.servers[effect.backend]
     job = engines.find_job(server, effect.rid, effect.attempt)
     if not server.up or job is None:
-        kind = (events.AttemptEnd.GONE if server.up
+        kind = (events.AttemptEnd.STREAM_UNKNOWN if server.up
                 else events.AttemptEnd.REFUSED)
         event = events.AttemptClosed(effect.rid, effect.attempt, kind)
-        clocks.call_later(
-            fleet.clock, INTRA_DOMAIN_S, deliver, fleet, node, event)
+        clocks.call_later(fleet.clock, INTRA_DOMAIN_S, deliver, fleet, node,
+                          event)
         return
     was_done = (effect.rid, effect.attempt) in server.finished
     job.silent = False
--- a/crocuskeel/conf/commit.py
+++ b/crocuskeel/conf/commit.py
@@ -60,7 +60,7 @@
 class WriteHead:
     """Update the head if it still has ``version``; None creates it.
 
-    Answered by ``HeadWritten``, ``HeadMoved`` or ``OutcomeUnknown``.
+    Answered by ``HeadWritten``, ``HeadVersionConflict`` or ``OutcomeUnknown``.
     """
 
     head: storage.Head
@@ -96,7 +96,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeadMoved:
+class HeadVersionConflict:
     """The head had another version and was not updated."""
 
 
@@ -133,7 +133,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Done:
+class Committed:
     """The batch is accepted as ``generation``.
 
     ``tree`` is that generation if this commit wrote it, and None if the
@@ -161,9 +161,9 @@
 
 Operation: TypeAlias = ReadHead | ReadPart | WriteParts | WriteHead
 Answer: TypeAlias = (
-    HeadRead | PartRead | PartsWritten | HeadWritten | HeadMoved
+    HeadRead | PartRead | PartsWritten | HeadWritten | HeadVersionConflict
     | OutcomeUnknown | StoreFailed)
-Step: TypeAlias = Operation | Done | Refused
+Step: TypeAlias = Operation | Committed | Refused
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -173,8 +173,8 @@
     ``tree`` is the newest generation available here; deltas advance it
     to that of ``head``. ``in_flight`` is the operation whose answer is
     awaited. ``history`` holds the batches accepted since this one's base.
-    ``pending`` is the generation of the newest head on which a write of
-    this batch may still take effect; None if there is no such write.
+    ``pending_generation`` is the generation of the newest head on which a
+    write of this batch may still take effect; None if there is no such write.
     """
 
     batch: batches.Batch
@@ -185,7 +185,7 @@
     version: int | str | None = None
     history: tuple[merging.AcceptedBatch, ...] = ()
     prepared: storage.PreparedCommit | None = None
-    pending: int | None = None
+    pending_generation: int | None = None
 
 
 Transition: TypeAlias = tuple[Commit, Step]
@@ -207,7 +207,8 @@
     """
     first = ReadHead()
     pending = UNREAD_HEAD if resent else None
-    return Commit(batch, tree, first, max_retries, pending=pending), first
+    return Commit(batch, tree, first, max_retries,
+                  pending_generation=pending), first
 
 
 def _request(state: Commit, operation: Operation) -> Transition:
@@ -217,7 +218,7 @@
 def _refuse(state: Commit, reason: Reason, **details) -> Transition:
     # An attempt on this head or an older one would have had the same
     # conflict, so none has a write in flight that can still succeed.
-    settled = state.pending is None or reason is Reason.CONFLICT
+    settled = state.pending_generation is None or reason is Reason.CONFLICT
     unknown = not settled or reason is Reason.OUTSIDE_WINDOW
     outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_APPLIED
     return state, Refused(reason, outcome, **details)
@@ -235,11 +236,11 @@
 
 
 def _oldest_listed_generation(head: storage.Head | None) -> int:
-    return head.recent[0].generation if head else 1
+    return head.recent_batches[0].generation if head else 1
 
 
 def _accepted_generation(state: Commit) -> int | None:
-    for entry in state.head.recent if state.head else ():
+    for entry in state.head.recent_batches if state.head else ():
         if entry.batch_id == state.batch.id:
             return entry.generation
     return None
@@ -250,20 +251,20 @@
     # has a newer generation, from another batch, it no longer can, as the
     # version that it requires is gone. A read that returns the same head,
     # or an older one, proves nothing.
-    if state.pending == UNREAD_HEAD:
+    if state.pending_generation == UNREAD_HEAD:
         return newest
-    if state.pending is None or newest > state.pending:
+    if state.pending_generation is None or newest > state.pending_generation:
         return None
-    return state.pending
+    return state.pending_generation
 
 
 def _on_head(state: Commit, answer: HeadRead) -> Transition:
     state = dataclasses.replace(
         state, head=answer.head, version=answer.version,
-        pending=_still_pending(state, _generation(answer.head)))
+        pending_generation=_still_pending(state, _generation(answer.head)))
     found = _accepted_generation(state)
     if found is not None:
-        return state, Done(found, None)
+        return state, Committed(found, None)
     newest, base = _generation(state.head), state.batch.base_generation
     if base > newest or state.tree.generation > newest:
         # The store was restored from an older copy. A commit on it would
@@ -288,7 +289,8 @@
     if _newest_known_generation(state) == _generation(state.head):
         return _prepare(state)
     assert state.head is not None
-    digest = storage.delta_of(state.head, _newest_known_generation(state) + 1)
+    digest = storage.find_delta_digest(
+        state.head, _newest_known_generation(state) + 1)
     assert digest is not None
     return _request(state, ReadPart(digest))
 
@@ -300,7 +302,7 @@
         return _refuse(state, Reason.CORRUPT, detail=str(exc))
     tree = state.tree
     if delta.generation > tree.generation:
-        advanced = storage.advance(tree, delta)
+        advanced = storage.apply_delta(tree, delta)
         if advanced.is_err():
             detail = advanced.unwrap_err()
             return _refuse(state, Reason.CORRUPT, detail=detail)
@@ -331,7 +333,7 @@
 def _on_head_written(state: Commit) -> Transition:
     assert state.prepared is not None
     tree = state.prepared.tree
-    return state, Done(tree.generation, tree)
+    return state, Committed(tree.generation, tree)
 
 
 def _on_outcome_unknown(state: Commit) -> Transition:
@@ -339,7 +341,7 @@
         # Writing again without a read would be safe too, as the version is
         # the same, but could not tell our write from another's.
         pending = _generation(state.head)
-        state = dataclasses.replace(state, pending=pending)
+        state = dataclasses.replace(state, pending_generation=pending)
         return _retry(state, ReadHead())
     return _retry(state, state.in_flight)
 
@@ -348,7 +350,7 @@
     """Return the state after ``answer`` and what to do next.
 
     ``answer`` is the store's answer to the last returned operation.
-    ``Done`` and ``Refused`` end the commit.
+    ``Committed`` and ``Refused`` end the commit.
     """
     match answer:
         case HeadRead():
@@ -359,7 +361,7 @@
             return _on_parts_written(state)
         case HeadWritten():
             return _on_head_written(state)
-        case HeadMoved():
+        case HeadVersionConflict():
             return _retry(state, ReadHead())
         case OutcomeUnknown():
             return _on_outcome_unknown(state)
--- a/crocuskeel/core/control/reducer.py
+++ b/crocuskeel/core/control/reducer.py
@@ -2,9 +2,9 @@
 
 from crocuskeel.core.control import effects
 from crocuskeel.core.control import events
+from crocuskeel.core.control import load_limit
 from crocuskeel.core.control import observing
 from crocuskeel.core.control import planning
-from crocuskeel.core.control import rates
 from crocuskeel.core.leadership import lease as leases
 
 __all__ = ["reduce"]
@@ -17,7 +17,7 @@
     """
     if state.ended:
         return []
-    effs = leases.notice_clock(state, now)
+    effs = leases.detect_pause(state, now)
     fence = state.lease.fence
     effs += _HANDLERS[type(event)](state, event, now)
     if state.lease.fence != fence:
@@ -35,7 +35,7 @@
     """
     state.last_plan = None
     if state.lease.holding:
-        rates.drain(state.load_bucket, now)
+        load_limit.drain(state.load_bucket, now)
 
 
 def _tick(state, event, now):
@@ -56,10 +56,10 @@
     """Wait for orders in flight, release the lease, then exit."""
     lease = state.lease
     in_flight = any(each.sent_order for each in state.engines.values())
-    if in_flight or lease.open_call:
+    if in_flight or lease.call_in_progress:
         return []
-    if not state.releasing and leases.fresh(state, now):
-        if lease.unsettled:
+    if not state.releasing and leases.is_valid(state, now):
+        if lease.write_uncertain:
             return []
         state.releasing = True
         return [leases.release(state, now)]
--- a/crocuskeel/core/dispatch/choice.py
+++ b/crocuskeel/core/dispatch/engine_selection.py
@@ -5,9 +5,9 @@
 from crocuskeel.core.dispatch import limits
 from crocuskeel.core import quarantine
 
-__all__ = ["expected_duration", "free_slots", "has_prefix_cached",
-           "in_flight", "is_plain", "most_slots", "pick_empty_engine",
-           "pick_engine", "slots", "time_to_empty_s", "usable_engines"]
+__all__ = ["expected_duration", "free_slots", "has_prefix_cached", "in_flight",
+           "is_plain", "max_slots", "pick_empty_engine", "pick_engine",
+           "time_to_empty_s", "usable_engines", "usable_slots"]
 
 # Penalties in seconds. They are far above any service time, so they only
 # affect the order of preference.
@@ -18,7 +18,7 @@
 def usable_engines(daemon, cell):
     """Return the cell's engines that may get new work."""
     return [name for name in backends.cell_engines(daemon, cell.name)
-            if backends.usable(daemon, name)]
+            if backends.is_usable(daemon, name)]
 
 
 def in_flight(daemon, cell, view, now):
@@ -28,7 +28,7 @@
     be unknown. The engine's load report is then added or, without one,
     the engine's whole limit.
     """
-    known = len(cell.by_engine.get(view.name, ()))
+    known = len(cell.running_by_engine.get(view.name, ()))
     if now >= cell.settle_until or not cell.unreported_hosts:
         return known
     return known + (view.reported_load if view.reported_load >= 0
@@ -44,7 +44,7 @@
     return max(0, limits.capacity(view, now) - used)
 
 
-def slots(daemon, cell, now):
+def usable_slots(daemon, cell, now):
     """Return the usable slots of a cell, free or not."""
     total = sum(limits.capacity(limits.engine_view(daemon, name), now)
                 for name in usable_engines(daemon, cell)
@@ -52,7 +52,7 @@
     return max(1, total)
 
 
-def most_slots(daemon, cell):
+def max_slots(daemon, cell):
     """Return the slots of a cell at its engines' maximum limits.
 
     The protected queue sizes of floors are computed from this number. The
@@ -73,12 +73,12 @@
 
     ``names`` are engines with at least one of :func:`free_slots`.
     """
-    allowed = _allowed(daemon, cell, waiting.ask, names)
+    allowed = _allowed(daemon, cell, waiting.request, names)
     if not allowed:
         return ""
-    tokens = _expected_tokens(daemon, cell, waiting.ask)
+    tokens = _expected_tokens(daemon, cell, waiting.request)
     return min(allowed, key=lambda name: (
-        _finish_s(daemon, cell, waiting.ask, name, tokens), name))
+        _finish_s(daemon, cell, waiting.request, name, tokens), name))
 
 
 def _allowed(daemon, cell, request, names):
@@ -108,13 +108,14 @@
 
 def _finish_s(daemon, cell, request, name, tokens):
     view = limits.engine_view(daemon, name)
-    running = len(cell.by_engine.get(name, ())) + 1
+    running = len(cell.running_by_engine.get(name, ())) + 1
     # The latency was measured at ``mean_concurrency`` attempts. Half of
     # it is assumed to grow with concurrency, as in an engine at the knee
     # of its batch size curve.
     latency = view.unit_latency or limits.pool_median(
         daemon, cell, lambda other: other.unit_latency)
-    slowdown = (view.limit + running) / (view.limit + view.mean_concurrency)
+    slowdown = (view.concurrency_limit + running) / (
+        view.concurrency_limit + view.mean_concurrency)
     total = max(1.0, tokens) * latency * slowdown + 1e-6 * running
     if has_prefix_cached(view, request):
         total -= _cache_hit_gain_s(daemon)
@@ -143,7 +144,7 @@
         daemon, cell, lambda view: view.unit_latency)
     if is_plain(daemon, cell):
         return latency
-    slots = [cell.running[key] for key in cell.by_engine.get(name, ())]
+    slots = [cell.running[key] for key in cell.running_by_engine.get(name, ())]
     tokens = [estimates.remaining(
         daemon.dispatch.lengths, cell.service, slot.class_name,
         slot.workspace, slot.tokens) for slot in slots]
@@ -169,8 +170,8 @@
     names = [name for name in usable_engines(daemon, cell)
              if cell.reserved.get(name) is None
              and not quarantine.has_undecided_loss(daemon, name)
-             and not cell.by_engine.get(name)
-             and now >= limits.engine_view(daemon, name).off_until
+             and not cell.running_by_engine.get(name)
+             and now >= limits.engine_view(daemon, name).paused_until
              and in_flight(daemon, cell, limits.engine_view(daemon, name),
                            now) == 0]
     allowed = _allowed(daemon, cell, request, names)
--- a/crocuskeel/core/dispatch/floors.py
+++ b/crocuskeel/core/dispatch/floors.py
@@ -8,8 +8,8 @@
 
 import math
 
-__all__ = ["MIN_FLOOR", "add_credit", "next_class", "seats",
-           "spend_credit", "wait_bound"]
+__all__ = ["MIN_FLOOR", "add_credit", "max_grant_gap_s", "next_class",
+           "protected_queue_size", "spend_credit"]
 
 MIN_FLOOR = 0.01
 MAX_CREDIT = 1.0
@@ -22,7 +22,7 @@
     return max(class_queue.floor, MIN_FLOOR)
 
 
-def seats(class_queue, slots):
+def protected_queue_size(class_queue, slots):
     """Return the protected queue size of a class under its floor.
 
     That many waiting attempts don't compete with higher tiers: the share
@@ -38,7 +38,7 @@
     Called once for each grant.
     """
     for class_queue in classes:
-        if class_queue.waiting:
+        if class_queue.waiting_count:
             class_queue.credit = min(
                 class_queue.credit + _share(class_queue),
                 MAX_CREDIT + _share(class_queue))
@@ -52,12 +52,13 @@
 def next_class(classes):
     """Return the class whose floor is due, None if there is none."""
     due = [class_queue for class_queue in classes
-           if class_queue.waiting and class_queue.credit >= 1.0 - _ROUNDING]
+           if class_queue.waiting_count
+           and class_queue.credit >= 1.0 - _ROUNDING]
     return max(due, key=lambda q: (q.credit, -q.tier, q.name),
                default=None)
 
 
-def wait_bound(floor, classes, slots, longest_s):
+def max_grant_gap_s(floor, classes, slots, longest_s):
     """Return the longest time a class with waiting work gets no grant.
 
     ``classes`` is the number of classes in the cell, ``slots`` the number
--- a/crocuskeel/core/dispatch/granting.py
+++ b/crocuskeel/core/dispatch/granting.py
@@ -1,7 +1,7 @@
 """Granting engine slots to waiting attempts, and counting slots in use."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import fairness
 from crocuskeel.core.dispatch import floors
 from crocuskeel.core.dispatch import headroom
@@ -32,7 +32,7 @@
         if shedding.will_miss_deadline(daemon, cell, waiting, now):
             out += shedding.refuse(
                 daemon, cell, waiting.key, problems.Reason.DEADLINE, now)
-    if cell.lost_at is not None:
+    if cell.ownership_lost_at is not None:
         return out
     out += _grant_suspects(daemon, cell, now)
     return out + _grant_all(daemon, cell, now)
@@ -57,8 +57,8 @@
 
 def _free_by_engine(daemon, cell, now):
     free = {}
-    for name in choice.usable_engines(daemon, cell):
-        count = choice.free_slots(daemon, cell, name, now)
+    for name in engine_selection.usable_engines(daemon, cell):
+        count = engine_selection.free_slots(daemon, cell, name, now)
         if count:
             free[name] = count
     return free
@@ -70,8 +70,8 @@
         return key, "floor"
     total = sum(free.values())
     tiers = sorted({class_queue.tier
-                    for class_queue in cell.classes.values()
-                    if class_queue.waiting})
+                    for class_queue in cell.class_queues.values()
+                    if class_queue.waiting_count})
     for tier in tiers:
         if tier > headroom.TOP_TIER and (
                 total <= headroom.reserved_slots(daemon, cell, now)):
@@ -83,7 +83,7 @@
 
 
 def _next_floor_key(cell, blocked):
-    class_queues = list(cell.classes.values())
+    class_queues = list(cell.class_queues.values())
     while class_queues:
         class_queue = floors.next_class(class_queues)
         if class_queue is None:
@@ -98,10 +98,11 @@
 def _try_grant(daemon, cell, key, reason, names, blocked, now):
     waiting = cell.waiting[key]
     engine = ""
-    if not _exceeds_copy_limit(daemon, cell, waiting.ask):
-        engine = choice.pick_engine(daemon, cell, waiting, names, now)
+    if not _exceeds_copy_limit(daemon, cell, waiting.request):
+        engine = engine_selection.pick_engine(
+            daemon, cell, waiting, names, now)
     if not engine:
-        blocked.add((waiting.ask.class_name, waiting.ask.workspace))
+        blocked.add((waiting.request.class_name, waiting.request.workspace))
         return []
     return _grant(daemon, cell, waiting, engine, reason, now)
 
@@ -118,7 +119,7 @@
 
 
 def _grant(daemon, cell, waiting, engine, reason, now, exclusive=False):
-    request = waiting.ask
+    request = waiting.request
     if not exclusive:
         _count_grant(cell, waiting, now)
     queue.remove(cell, waiting.key)
@@ -139,9 +140,9 @@
 
 
 def _count_grant(cell, waiting, now):
-    class_queue = cell.classes[waiting.ask.class_name]
+    class_queue = cell.class_queues[waiting.request.class_name]
     fairness.charge(cell, waiting)
-    floors.add_credit(cell.classes.values())
+    floors.add_credit(cell.class_queues.values())
     floors.spend_credit(class_queue)
     meter = cell.grants_by_tier.setdefault(
         class_queue.tier, meters.new_meter())
@@ -149,16 +150,16 @@
 
 
 def _new_slot(daemon, cell, waiting, engine, exclusive, now):
-    request = waiting.ask
+    request = waiting.request
     view = limits.engine_view(daemon, engine)
     return state.Slot(
         waiting.entry_host, engine, request.class_name, request.workspace,
         request.tier, request.fingerprint, now, now, cost=waiting.cost,
         exclusive=exclusive,
-        cache_hit=choice.has_prefix_cached(view, request),
+        cache_hit=engine_selection.has_prefix_cached(view, request),
         prefix=request.prefix,
         ttft_budget_s=waiting.enqueued_at + request.target_ttft_s - now,
-        batch_size=len(cell.by_engine.get(engine, ())) + 1,
+        batch_size=len(cell.running_by_engine.get(engine, ())) + 1,
         boot_id=view.boot_id)
 
 
@@ -166,14 +167,15 @@
 
 def _grant_suspects(daemon, cell, now):
     ready = [waiting for waiting in cell.suspects.values()
-             if not _must_wait(daemon, cell, waiting.ask)]
+             if not _must_wait(daemon, cell, waiting.request)]
     _trim_reserved(daemon, cell, ready)
-    ready.sort(key=lambda w: (w.ask.tier, w.due, w.seq))
+    ready.sort(key=lambda w: (w.request.tier, w.due, w.seq))
     out = []
     for waiting in ready:
-        if _must_wait(daemon, cell, waiting.ask):
+        if _must_wait(daemon, cell, waiting.request):
             continue
-        engine = choice.pick_empty_engine(daemon, cell, waiting.ask, now)
+        engine = engine_selection.pick_empty_engine(
+            daemon, cell, waiting.request, now)
         if not engine:
             _reserve_engine(daemon, cell, now)
             break
@@ -191,14 +193,14 @@
 
 
 def _max_reserved(daemon, cell):
-    count = len(choice.usable_engines(daemon, cell))
+    count = len(engine_selection.usable_engines(daemon, cell))
     return max(1, int(count * MAX_SUSPECT_ENGINE_SHARE))
 
 
 def _trim_reserved(daemon, cell, ready):
     for name, key in list(cell.reserved.items()):
         unneeded = key is None and not ready
-        if unneeded or not backends.usable(daemon, name):
+        if unneeded or not backends.is_usable(daemon, name):
             del cell.reserved[name]
 
 
@@ -206,12 +208,12 @@
     """Reserve the engine that should empty first for the next suspect."""
     if len(cell.reserved) >= _max_reserved(daemon, cell):
         return
-    names = [name for name in choice.usable_engines(daemon, cell)
+    names = [name for name in engine_selection.usable_engines(daemon, cell)
              if name not in cell.reserved
-             and now >= limits.engine_view(daemon, name).off_until]
+             and now >= limits.engine_view(daemon, name).paused_until]
     if names:
         first = min(names, key=lambda name: (
-            choice.time_to_empty_s(daemon, cell, name), name))
+            engine_selection.time_to_empty_s(daemon, cell, name), name))
         cell.reserved[first] = None
 
 
@@ -221,7 +223,7 @@
     """Count a granted attempt."""
     cell.running[key] = slot
     cell.top_tier_running += slot.tier == headroom.TOP_TIER
-    cell.by_engine.setdefault(slot.engine, set()).add(key)
+    cell.running_by_engine.setdefault(slot.engine, set()).add(key)
     if slot.fingerprint:
         cell.running_by_fingerprint[slot.fingerprint] += 1
 
@@ -232,10 +234,10 @@
     if slot is None:
         return None
     cell.top_tier_running -= slot.tier == headroom.TOP_TIER
-    on_engine = cell.by_engine[slot.engine]
+    on_engine = cell.running_by_engine[slot.engine]
     on_engine.discard(key)
     if not on_engine:
-        del cell.by_engine[slot.engine]
+        del cell.running_by_engine[slot.engine]
     if slot.fingerprint:
         cell.running_by_fingerprint[slot.fingerprint] -= 1
         if not cell.running_by_fingerprint[slot.fingerprint]:
--- a/crocuskeel/core/dispatch/handling.py
+++ b/crocuskeel/core/dispatch/handling.py
@@ -1,7 +1,7 @@
 """Event handler of the dispatcher."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import granting
 from crocuskeel.core.dispatch import limits
 from crocuskeel.core.dispatch import ownership
@@ -107,7 +107,7 @@
     for cell in daemon.dispatch.cells.values():
         for key, waiting in [*cell.waiting.items(),
                              *cell.suspects.items()]:
-            fingerprint = waiting.ask.fingerprint
+            fingerprint = waiting.request.fingerprint
             if fingerprint:
                 out += _apply_verdict(daemon, cell, key, fingerprint, now)
     return out + _process_queues(daemon, now)
@@ -144,7 +144,7 @@
         return shedding.refuse_arrival(
             daemon, cell, entry_host, request,
             problems.Reason.QUARANTINED, now)
-    if not any(backends.usable(daemon, name) for name
+    if not any(backends.is_usable(daemon, name) for name
                in backends.cell_engines(daemon, cell.name)):
         return shedding.refuse_arrival(
             daemon, cell, entry_host, request,
@@ -172,7 +172,7 @@
     margin = MIN_START_MARGIN_S
     if request.late_drop:
         margin = max(margin,
-                     choice.expected_duration(daemon, cell, request))
+                     engine_selection.expected_duration(daemon, cell, request))
     return state.WaitingAttempt(
         request, entry_host, enqueued_at, due,
         now + request.deadline_in_s - margin,
--- a/crocuskeel/core/follower/steps.py
+++ b/crocuskeel/core/follower/handlers.py
@@ -12,7 +12,7 @@
 from crocuskeel.conf import storage
 from crocuskeel.core import effects
 from crocuskeel.core import events
-from crocuskeel.core.follower import force
+from crocuskeel.core.follower import adoption
 from crocuskeel.core.follower import loading
 from crocuskeel.core.follower import parking
 from crocuskeel.core.follower import state as states
@@ -20,7 +20,7 @@
 from crocuskeel.core import messages
 from crocuskeel.core import placement
 
-__all__ = ["handle", "hear"]
+__all__ = ["handle", "record_peer_generation"]
 
 WATCHERS = 3
 WATCH_TIMEOUT_S = 4.0
@@ -34,18 +34,18 @@
 _HEAD = ("follower", "head")
 
 
-def hear(daemon, event, now):
+def record_peer_generation(daemon, event, now):
     """Record a peer's generation; return effects.
 
     Called for each message before the message itself is handled.
     """
     state = daemon.follower
-    if event.sender == daemon.me.host:
+    if event.sender == daemon.identity.host:
         return []
     state.heard_at = now
     have = states.held_generation(daemon)
     if state.held is not None and event.generation >= have:
-        return force.adopt_if_confirmed(daemon, True)
+        return adoption.adopt_if_confirmed(daemon, True)
     if event.generation <= have or event.sender in state.asked_peers:
         return []
     # Each peer that is ahead is asked once. The first one may have lost
@@ -86,7 +86,8 @@
 
 
 def _record_newer(state, generation, now):
-    state.newest = max(state.newest, generation)
+    state.newest_known_generation = max(
+        state.newest_known_generation, generation)
     if state.behind_since is None:
         state.behind_since = now
 
@@ -95,7 +96,7 @@
 
 def _is_watcher(daemon):
     live = membership.live(daemon)
-    return daemon.me.host in placement.ranked(
+    return daemon.identity.host in placement.ranked(
         "settings/watch", live)[:WATCHERS]
 
 
@@ -178,20 +179,20 @@
         return [effects.Send(sender, messages.SettingsAsk(held)),
                 effects.SetTimer(_RETRY, RETRY_S)]
     if request.have == held:
-        return force.adopt_if_confirmed(daemon, True)
+        return adoption.adopt_if_confirmed(daemon, True)
     return _answer_peer(state, sender, request)
 
 
 def _answer_peer(state, sender, request):
-    if not state.head:
+    if not state.encoded_head:
         return []
-    head = storage.decode_head(state.head)
-    digests = [storage.delta_of(head, number)
+    head = storage.decode_head(state.encoded_head)
+    digests = [storage.find_delta_digest(head, number)
                for number in range(request.have + 1, head.generation + 1)]
     deltas = [state.deltas.get(digest) for digest in digests]
     blobs = () if None in deltas else tuple(p.blob for p in deltas)
     answer = messages.SettingsAnswer(
-        head.generation, request.have, state.head, blobs)
+        head.generation, request.have, state.encoded_head, blobs)
     return [effects.Send(sender, answer)]
 
 
@@ -204,7 +205,7 @@
         return []
     _record_newer(daemon.follower, head.generation, now)
     numbers = range(answer.base + 1, head.generation + 1)
-    digests = [storage.delta_of(head, number) for number in numbers]
+    digests = [storage.find_delta_digest(head, number) for number in numbers]
     received = [conf.Part(digest, blob)
                 for digest, blob in zip(digests, answer.deltas) if digest]
     return loading.start_load(daemon, head, sender, received)
@@ -236,11 +237,11 @@
     if state.held is not None:
         # No peer has confirmed that it holds the generation. Announce it
         # again, or adopt it once membership has no live peers.
-        out += force.announce(daemon)
-        out += force.adopt_if_confirmed(daemon, False)
+        out += adoption.announce(daemon)
+        out += adoption.adopt_if_confirmed(daemon, False)
     load = state.load
     if load is None:
-        if state.newest <= states.held_generation(daemon):
+        if state.newest_known_generation <= states.held_generation(daemon):
             return out
         return out + [effects.StoreGet(_HEAD, storage.HEAD_KEY),
                       *_ask_random_peer(daemon)]
@@ -262,6 +263,6 @@
     # either may be down alone.
     if source:
         return ""
-    me = daemon.me.host
+    me = daemon.identity.host
     peers = [host for host in membership.live(daemon) if host != me]
     return daemon.rng.choice(peers) if peers else ""
--- a/crocuskeel/core/follower/loading.py
+++ b/crocuskeel/core/follower/loading.py
@@ -9,7 +9,7 @@
 from crocuskeel import conf
 from crocuskeel.conf import storage
 from crocuskeel.core import effects
-from crocuskeel.core.follower import force
+from crocuskeel.core.follower import adoption
 from crocuskeel.core.follower import state as states
 from crocuskeel.core import messages
 
@@ -29,7 +29,8 @@
     state = daemon.follower
     if head.generation <= states.held_generation(daemon):
         return []
-    state.newest = max(state.newest, head.generation)
+    state.newest_known_generation = max(
+        state.newest_known_generation, head.generation)
     load = state.load
     if load is None or load.head.generation < head.generation:
         load = states.Load(head, source)
@@ -78,15 +79,16 @@
     if load.use_index or have == 0:
         return None
     wanted = range(have + 1, load.head.generation + 1)
-    digests = [storage.delta_of(load.head, number) for number in wanted]
+    digests = [storage.find_delta_digest(load.head, number)
+               for number in wanted]
     return None if None in digests else digests
 
 
 def _missing(daemon, load):
     digests = _delta_digests(daemon, load)
     if digests is None:
-        digests = [load.head.index]
-        index = load.parts.get(load.head.index)
+        digests = [load.head.index_digest]
+        index = load.parts.get(load.head.index_digest)
         if index is not None:
             digests = sorted(storage.missing_parts(
                 storage.decode_index(index), _base_tree(daemon.follower)))
@@ -110,13 +112,13 @@
     # The new tree, or None if the deltas cannot be applied.
     digests = _delta_digests(daemon, load)
     if digests is None:
-        index = storage.decode_index(load.parts[load.head.index])
+        index = storage.decode_index(load.parts[load.head.index_digest])
         return storage.assemble(load.head.generation, index, load.parts,
                                 _base_tree(daemon.follower))
     tree = _base_tree(daemon.follower)
     for digest in digests:
         delta = storage.decode_delta(load.parts[digest])
-        advanced = storage.advance(tree, delta)
+        advanced = storage.apply_delta(tree, delta)
         if advanced.is_err():
             return None
         tree = advanced.unwrap()
@@ -131,20 +133,20 @@
     state = daemon.follower
     _keep_deltas(state, load)
     state.held = tree
-    state.head = storage.encode_head(load.head)
+    state.encoded_head = storage.encode_head(load.head)
     state.load = None
     state.asked_holder = ""
     fields = (("held", tree.generation), ("source", load.source),
               ("batch", load.head.batch_id))
     out = [effects.Record("settings_held", "", fields)]
-    out += force.announce(daemon, load.source)
-    return out + force.adopt_if_confirmed(daemon, bool(load.source))
+    out += adoption.announce(daemon, load.source)
+    return out + adoption.adopt_if_confirmed(daemon, bool(load.source))
 
 
 def _keep_deltas(state, load):
-    for entry in load.head.recent:
-        part = load.parts.get(entry.delta)
+    for entry in load.head.recent_batches:
+        part = load.parts.get(entry.delta_digest)
         if part is not None:
-            state.deltas[entry.delta] = part
+            state.deltas[entry.delta_digest] = part
     while len(state.deltas) > MAX_DELTAS_KEPT:
         state.deltas.pop(next(iter(state.deltas)))
--- a/crocuskeel/core/door/local_granting.py
+++ b/crocuskeel/core/frontend/local_granting.py
@@ -9,7 +9,7 @@
 
 from crocuskeel import conf
 from crocuskeel.core import backends
-from crocuskeel.core.door import granting
+from crocuskeel.core.frontend import granting
 from crocuskeel.core import membership
 from crocuskeel.core import placement
 from crocuskeel.core import quarantine
@@ -24,7 +24,7 @@
 def grant_waiting(daemon, now):
     """Grant slots locally in cells without a reachable dispatcher."""
     out = []
-    for cell, cell_state in list(daemon.door.cells.items()):
+    for cell, cell_state in list(daemon.frontend.cells.items()):
         if _may_grant_locally(cell_state, now):
             out += _grant(daemon, cell, cell_state, now)
     return out
@@ -58,7 +58,7 @@
     free = _free_engines(daemon, cell, cell_state)
     if not free:
         return None
-    requests = [daemon.door.requests[rid] for rid in cell_state.waiting]
+    requests = [daemon.frontend.requests[rid] for rid in cell_state.waiting]
     oldest_first = (cell_state.local_grants % OLDEST_FIRST_INTERVAL
                     == OLDEST_FIRST_INTERVAL - 1)
     for req in sorted(requests, key=_sort_key(oldest_first)):
@@ -81,7 +81,7 @@
         return ""
     names = {name for name in free if name not in req.avoid}
     usable = (name for name in backends.cell_engines(daemon, req.cell)
-              if backends.usable(daemon, name))
+              if backends.is_usable(daemon, name))
     if not names and req.avoid and set(usable) <= set(req.avoid):
         # All usable engines are avoided: retrying on one of them is
         # better than no answer.
@@ -98,17 +98,17 @@
     """
     used = {}
     for rid in cell_state.slots:
-        engine = daemon.door.requests[rid].engine
+        engine = daemon.frontend.requests[rid].engine
         used[engine] = used.get(engine, 0) + 1
     return {name: used.get(name, 0)
             for name in backends.cell_engines(daemon, cell)
-            if backends.usable(daemon, name)
+            if backends.is_usable(daemon, name)
             and used.get(name, 0) < slot_share(daemon, name)}
 
 
 def slot_share(daemon, engine):
     """Return how many slots of an engine this host may grant locally."""
-    hosts = max(1, len(membership.everyone(daemon)))
+    hosts = max(1, len(membership.all_members(daemon)))
     return max(1, _slot_count(daemon, engine) // hosts)
 
 
@@ -117,5 +117,5 @@
     tree = daemon.follower.tree
     if backend is None or tree is None:
         return DEFAULT_SLOTS
-    service = conf.service(tree, backend.service)
+    service = conf.find_service(tree, backend.service)
     return service.max_slots_per_engine if service else DEFAULT_SLOTS
--- a/crocuskeel/core/door/locating.py
+++ b/crocuskeel/core/frontend/locating.py
@@ -7,9 +7,9 @@
 """
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import ending
 from crocuskeel.core import effects
 from crocuskeel.core import follower
+from crocuskeel.core.frontend import completion
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 from crocuskeel.core import placement
@@ -30,18 +30,18 @@
 def locate(daemon, event, now):
     """Answer a caller's ``GET`` of the locate endpoint."""
     if daemon.follower.tree is None:
-        return ending.refuse_arrival(
+        return completion.refuse_arrival(
             event.rid, problems.Reason.NOT_READY, retry_after_s=1.0)
     caller = follower.caller(daemon, event.token)
     if caller is None:
-        return ending.refuse_arrival(event.rid,
-                                     problems.Reason.UNAUTHORIZED)
+        return completion.refuse_arrival(event.rid,
+                                         problems.Reason.UNAUTHORIZED)
     dispatchers = _dispatchers(daemon, caller.workspace,
                                event.class_name)
     found = choose_hosts(_members(daemon), event.domain, dispatchers,
                          daemon.rng)
     if not found:
-        return ending.refuse_arrival(
+        return completion.refuse_arrival(
             event.rid, problems.Reason.LEAVING, retry_after_s=1.0)
     return [effects.AnswerLocate(
         event.rid, found, _ttl_s(daemon, now),
@@ -54,12 +54,13 @@
 
 
 def _info(daemon, host):
-    found = membership.info(daemon, host)
-    if found is None and host == daemon.me.host:
-        me = daemon.me
+    found = membership.member_info(daemon, host)
+    if found is None and host == daemon.identity.host:
+        identity = daemon.identity
         return messages.MemberUpdate(
-            me.host, me.incarnation, "alive", me.address, me.peer_port,
-            me.door_port, me.domain, me.region)
+            identity.host, identity.incarnation, "alive", identity.address,
+            identity.peer_port, identity.door_port, identity.domain,
+            identity.region)
     return found
 
 
@@ -111,7 +112,7 @@
 def _ttl_s(daemon, now):
     # Without jitter, callers that located at the same moment (after a
     # host failure) would all return at the same moment, repeatedly.
-    stable = now - daemon.door.membership_changed_at >= STABLE_AFTER_S
+    stable = now - daemon.frontend.membership_changed_at >= STABLE_AFTER_S
     ttl_s = TTL_STABLE_S if stable else TTL_CHANGING_S
     return ttl_s * daemon.rng.uniform(1.0 - TTL_JITTER, 1.0)
 
@@ -119,6 +120,7 @@
 def other_host_address(daemon):
     """Return the "address:port" of another host, or "" if none."""
     others = [member for member in _members(daemon)
-              if member.host != daemon.me.host]
-    found = choose_hosts(others, daemon.me.domain, frozenset(), daemon.rng)
+              if member.host != daemon.identity.host]
+    found = choose_hosts(
+        others, daemon.identity.domain, frozenset(), daemon.rng)
     return f"{found[0].address}:{found[0].port}" if found else ""
--- a/crocuskeel/core/door/state.py
+++ b/crocuskeel/core/frontend/state.py
@@ -8,8 +8,9 @@
 from crocuskeel.core import events
 from crocuskeel.core import problems
 
-__all__ = ["CellState", "ClaimLookup", "DoorState", "EndedRequest", "Relay",
-           "RelaySource", "Request", "RetryBudget", "Stage", "new_state"]
+__all__ = ["CellState", "ClaimLookup", "EndedRequest", "FrontendState",
+           "Relay", "RelaySource", "Request", "RetryBudget", "Stage",
+           "new_state"]
 
 
 class Stage(enum.StrEnum):
@@ -160,7 +161,7 @@
     caller: str
     key: str
     digest: str
-    done: bool
+    has_answer: bool
     outcome: problems.Outcome
     expires_at: float
 
@@ -173,11 +174,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class DoorState:
+class FrontendState:
     """All requests by rid, with their indexes.
 
     ``rids_by_key`` maps the scope of an Idempotency-Key to a rid in
-    ``requests`` or ``kept``. ``abandoned_claims`` maps a rid to the
+    ``requests`` or ``ended_requests``. ``abandoned_claims`` maps a rid to the
     claim key that it abandoned before running. ``lookups`` holds the
     refusals waiting for a ledger lookup, by rid.
     """
@@ -187,8 +188,9 @@
     relays: dict[str, Relay] = dataclasses.field(default_factory=dict)
     cells: dict[str, CellState] = dataclasses.field(default_factory=dict)
     rids_by_key: dict[tuple, str] = dataclasses.field(default_factory=dict)
-    kept: collections.OrderedDict[str, EndedRequest] = dataclasses.field(
-        default_factory=collections.OrderedDict)
+    ended_requests: collections.OrderedDict[
+        str, EndedRequest] = dataclasses.field(
+            default_factory=collections.OrderedDict)
     abandoned_claims: collections.OrderedDict[str, str] = dataclasses.field(
         default_factory=collections.OrderedDict)
     retry_budgets: collections.OrderedDict[
@@ -198,10 +200,10 @@
     unreachable_hosts: set[str] = dataclasses.field(default_factory=set)
     live_hosts: tuple[str, ...] = ()
     membership_changed_at: float = 0.0
-    drain_at: float | None = None
+    drain_started_at: float | None = None
     exited: bool = False
 
 
 def new_state():
     """Return an empty state."""
-    return DoorState()
+    return FrontendState()
--- a/crocuskeel/core/leadership/lease.py
+++ b/crocuskeel/core/leadership/lease.py
@@ -24,8 +24,8 @@
 from crocuskeel.core.leadership import events
 from crocuskeel.core.leadership import state as states
 
-__all__ = ["ends_at", "fresh", "lapses_at", "note_version", "notice_clock",
-           "on_read", "on_written", "release", "seen_fence", "step",
+__all__ = ["check_fence", "detect_pause", "ends_at", "is_valid", "lapses_at",
+           "note_version", "on_read", "on_written", "release", "step",
            "step_down"]
 
 _NONCE_BITS = 128
@@ -61,7 +61,7 @@
         return _Stored("?", "?", 0, _UNKNOWN_SPAN_S, _UNKNOWN_SPAN_S)
 
 
-def fresh(state, now):
+def is_valid(state, now):
     """Return whether this process may act as the holder now."""
     lease = state.lease
     return (lease.holding and lease.confirmed_at >= lease.doubted_at
@@ -92,7 +92,7 @@
     return lease.seen_at + max(cfg.span_s, lease.span_s) + cfg.margin_s
 
 
-def notice_clock(state, now):
+def detect_pause(state, now):
     """Detect a pause of this process and stop relying on the lease.
 
     It has to be called before anything else. After a pause, a holder's
@@ -100,7 +100,7 @@
     stood still for part of it. No order is sent until a renewal that was
     sent after the pause is confirmed.
     """
-    last, state.last_step = state.last_step, now
+    last, state.last_step_at = state.last_step_at, now
     if last is None or 0 <= now - last <= state.cfg.jump_s:
         return []
     state.lease.due_at = now
@@ -114,18 +114,18 @@
     """Read or renew the lease if that is due."""
     lease = state.lease
     effs = _detect_lapse(state, now)
-    if lease.open_call or now < lease.due_at:
+    if lease.call_in_progress or now < lease.due_at:
         return effs
     lease.due_at = now + state.cfg.renew_s
-    lease.open_call = True
-    if not lease.holding or lease.unsettled:
+    lease.call_in_progress = True
+    if not lease.holding or lease.write_uncertain:
         return effs + [effects.ReadLease()]
     return effs + [_renewal(state, now)]
 
 
 def _detect_lapse(state, now):
     lease = state.lease
-    lapsed = lease.holding and not fresh(state, now)
+    lapsed = lease.holding and not is_valid(state, now)
     changed, lease.lapsed = lapsed != lease.lapsed, lapsed
     if not (changed and lapsed):
         return []
@@ -153,7 +153,7 @@
 def release(state, now):
     """Return the write that releases the lease at a graceful shutdown."""
     lease = state.lease
-    lease.open_call = True
+    lease.call_in_progress = True
     lease.number += 1
     return _write(state, "", "", now)
 
@@ -163,7 +163,7 @@
 def on_read(state, event, now):
     """Handle a read: update the known version and holder of the lease."""
     lease = state.lease
-    lease.open_call = False
+    lease.call_in_progress = False
     if event.status not in (Status.FOUND, Status.NOT_FOUND):
         return []
     stored = _Stored("", "", 0, 0.0, 0.0)
@@ -207,14 +207,14 @@
         lease.number = 0
         lease.sent = {}
     lease.version = version
-    lease.open_call = True
+    lease.call_in_progress = True
     return [_write(state, state.cfg.host, lease.nonce, now)]
 
 
 def on_written(state, event, now):
     """Handle the response to an acquisition, renewal or release."""
     lease = state.lease
-    lease.open_call = False
+    lease.call_in_progress = False
     if event.nonce != lease.nonce:
         return []
     if event.status is Status.WRITTEN:
@@ -224,7 +224,7 @@
     # The write was refused, or its response was lost: read the object to
     # find out who holds the lease. If our write took effect, the object
     # contains our nonce.
-    lease.unsettled = True
+    lease.write_uncertain = True
     lease.due_at = now
     return []
 
@@ -232,7 +232,7 @@
 def _confirm(state, version, number, now):
     lease = state.lease
     lease.version = version
-    lease.unsettled = False
+    lease.write_uncertain = False
     lease.confirmed_at = lease.sent[number].at
     lease.committed_record = lease.sent[number].record
     lease.number = max(lease.number, number)
@@ -249,7 +249,7 @@
 
 # Loss of the lease.
 
-def seen_fence(state, fence, now):
+def check_fence(state, fence, now):
     """Step down if an engine has seen the token of a newer holder."""
     if state.lease.holding and fence > state.lease.fence:
         return step_down(state, fence, now)
@@ -269,7 +269,8 @@
 def _lose(state, kind, now, *fields):
     lease = state.lease
     fence = lease.fence
-    state.lease = states.Lease(open_call=lease.open_call, due_at=now)
+    state.lease = states.Lease(
+        call_in_progress=lease.call_in_progress, due_at=now)
     state.cooldown_until = now + state.cfg.cooldown_s
     return [_record(kind, ("fence", fence), *fields)]
 
--- a/crocuskeel/core/membership/handlers.py
+++ b/crocuskeel/core/membership/handlers.py
@@ -10,7 +10,7 @@
 from crocuskeel.core.membership import updates
 from crocuskeel.core import messages
 
-__all__ = ["handle", "hear"]
+__all__ = ["handle", "record_contact"]
 
 _PREFIX = "members"
 
@@ -21,12 +21,12 @@
         case events.Started():
             return probing.start(daemon, now)
         case events.TimerFired(key=key) if key[0] == _PREFIX:
-            probing.detect_pause(daemon.members, now)
+            probing.detect_pause(daemon.membership, now)
             return _timer(daemon, key, now)
         case events.Received():
             return _received(daemon, event, now)
         case events.HostListSeen(entries=entries):
-            _update_listed(daemon.members, entries)
+            _update_listed(daemon.membership, entries)
         case events.DrainAsked():
             return _start_leaving(daemon)
     return []
@@ -47,22 +47,22 @@
     return []
 
 
-def hear(daemon, event, now):
+def record_contact(daemon, event, now):
     """Record contact with a member; any of its messages counts."""
-    state = daemon.members
+    state = daemon.membership
     member = state.members.get(event.sender)
     if member is None:
         return
     if event.incarnation == member.update.incarnation:
-        member.heard_at = now
-        state.heard_at = now
+        member.last_contact_at = now
+        state.last_contact_at = now
 
 
 def _received(daemon, event, now):
-    state = daemon.members
-    if state.superseded or event.sender == state.me.host:
+    state = daemon.membership
+    if state.superseded or event.sender == state.own_update.host:
         return []
-    hear(daemon, event, now)
+    record_contact(daemon, event, now)
     member = state.members.get(event.sender)
     if member and event.incarnation < member.update.incarnation:
         return _reject_old_incarnation(event, member)
@@ -118,7 +118,7 @@
 
 
 def _start_leaving(daemon):
-    state = daemon.members
-    state.me = dataclasses.replace(state.me, status=st.LEAVING)
-    st.changed(state)
-    return gossip.send_urgent(daemon, state.me.host)
+    state = daemon.membership
+    state.own_update = dataclasses.replace(state.own_update, status=st.LEAVING)
+    st.invalidate_caches(state)
+    return gossip.send_urgent(daemon, state.own_update.host)
--- a/crocuskeel/core/membership/probing.py
+++ b/crocuskeel/core/membership/probing.py
@@ -27,17 +27,17 @@
 
 def start(daemon, now):
     """Start probing and contact the first members."""
-    state = daemon.members
+    state = daemon.membership
     span = daemon.rng.uniform(0.0, params.PERIOD_S)
     state.tick_due = now + span
-    gossip.enqueue(daemon, state.me.host)
+    gossip.enqueue(daemon, state.own_update.host)
     return [*_contact_random(daemon, params.CONTACTS_WITHOUT_PEERS),
             effects.SetTimer(TICK, span)]
 
 
 def tick(daemon, now):
     """Run one protocol period; return effects."""
-    state = daemon.members
+    state = daemon.membership
     if state.superseded:
         return []
     out = _probe_next(daemon, now)
@@ -77,7 +77,7 @@
 
 
 def _probe_next(daemon, now):
-    state = daemon.members
+    state = daemon.membership
     host = ""
     if state.ring_next:
         host = _ring_successor(state)
@@ -93,7 +93,7 @@
     # be detected late.
     if state.ring_cache is None:
         groups = {}
-        for host in sorted((*st.peers(state), state.me.host)):
+        for host in sorted((*st.peers(state), state.own_update.host)):
             groups.setdefault(_domain(state, host), []).append(host)
         positions = []
         for number, domain in enumerate(sorted(groups)):
@@ -106,14 +106,14 @@
 
 
 def _domain(state, host):
-    if host == state.me.host:
-        return state.me.domain
+    if host == state.own_update.host:
+        return state.own_update.domain
     return state.members[host].update.domain
 
 
 def _ring_successor(state):
     ring = _ring(state)
-    position = ring.index(state.me.host)
+    position = ring.index(state.own_update.host)
     for host in ring[position + 1:] + ring[:position]:
         if state.members[host].update.status != st.SUSPECT:
             return host
@@ -121,7 +121,7 @@
 
 
 def _next_in_round(daemon):
-    state = daemon.members
+    state = daemon.membership
     if not state.round:
         state.round = list(st.peers(state))
         daemon.rng.shuffle(state.round)
@@ -134,7 +134,7 @@
 
 
 def _probe(daemon, host, now):
-    state = daemon.members
+    state = daemon.membership
     state.seq += 1
     state.probes[state.seq] = st.PendingProbe(host, now)
     span = params.probe_timeout(_host_count(state), state.health_score)
@@ -151,7 +151,7 @@
 
 def direct_probe_timed_out(daemon, seq):
     """Ask helpers to probe: the path may have failed, not the host."""
-    state = daemon.members
+    state = daemon.membership
     probe = state.probes.get(seq)
     if probe is None:
         return []
@@ -170,7 +170,7 @@
 
 def probe_on_behalf(daemon, requester, request, now):
     """Probe a host on behalf of another one."""
-    state = daemon.members
+    state = daemon.membership
     if request.target not in state.members:
         return []
     state.seq += 1
@@ -180,7 +180,7 @@
 
 def ack_received(daemon, seq):
     """Handle an ack, or forward it to the host that requested it."""
-    state = daemon.members
+    state = daemon.membership
     relay = state.relays.pop(seq, None)
     if relay is not None:
         ack = messages.ProbeAck(relay.seq, gossip.pack(daemon))
@@ -197,12 +197,12 @@
 
 def probe_failed(daemon, seq, now):
     """Handle a probe that neither the host nor a helper answered."""
-    state = daemon.members
+    state = daemon.membership
     probe = state.probes.pop(seq, None)
     member = state.members.get(probe.host) if probe else None
     if member is None or member.update.status in (st.SUSPECT, st.DEAD):
         return []
-    if (state.heard_at < probe.sent_at
+    if (state.last_contact_at < probe.sent_at
             and state.health_score < params.MAX_HEALTH_SCORE):
         # Nothing was received from any host: this host is probably
         # the isolated one, and would declare all others dead.
@@ -221,12 +221,12 @@
         params.DIRECT_PROBE_SHARE
         * params.probe_timeout(_host_count(state), 0))
     member.failed_probes += 1
-    return (member.heard_at > helpers_asked_at
+    return (member.last_contact_at > helpers_asked_at
             and member.failed_probes <= params.MAX_IGNORED_FAILURES)
 
 
 def _discover_members(daemon, now):
-    state = daemon.members
+    state = daemon.membership
     if not st.peers(state):
         return _contact_random(daemon, params.CONTACTS_WITHOUT_PEERS)
     if state.contested:
@@ -247,13 +247,13 @@
     for host, member in state.members.items():
         addresses[host] = (member.update.address, member.update.peer_port)
     unreached = {**addresses}
-    for host in (*st.peers(state), state.me.host):
+    for host in (*st.peers(state), state.own_update.host):
         unreached.pop(host, None)
     return unreached
 
 
 def _contact_random(daemon, count):
-    contacts = _contacts(daemon.members)
+    contacts = _contacts(daemon.membership)
     names = sorted(contacts)
     out = []
     for host in daemon.rng.sample(names, min(count, len(names))):
--- a/crocuskeel/core/membership/updates.py
+++ b/crocuskeel/core/membership/updates.py
@@ -33,11 +33,11 @@
 
 def apply(daemon, update, sender, now):
     """Apply one update; return effects."""
-    state = daemon.members
+    state = daemon.membership
     if update.status not in _SEVERITY:
         # Sent by a later version of this program.
         return []
-    if update.host == state.me.host:
+    if update.host == state.own_update.host:
         return _apply_to_self(daemon, update, sender)
     member = state.members.get(update.host)
     if member is None:
@@ -69,25 +69,25 @@
 
 
 def _apply_to_self(daemon, update, sender):
-    state = daemon.members
-    me = state.me
-    if update.incarnation > me.incarnation:
+    state = daemon.membership
+    own = state.own_update
+    if update.incarnation > own.incarnation:
         return _mark_superseded(state)
-    stale = (update.incarnation < me.incarnation
-             or update.refutations < me.refutations
+    stale = (update.incarnation < own.incarnation
+             or update.refutations < own.refutations
              or update.status not in (st.SUSPECT, st.DEAD))
     if stale:
         return []
     # Reported suspect or dead while running, after lost datagrams, a
     # pause or a partition. Only a greater refutation count overrides the
     # report at the other hosts.
-    state.me = dataclasses.replace(
-        me, refutations=update.refutations + 1)
+    state.own_update = dataclasses.replace(
+        own, refutations=update.refutations + 1)
     state.health_score = min(state.health_score + 1, params.MAX_HEALTH_SCORE)
     record = effects.Record("suspicion_refuted", "", (
-        ("by", sender), ("refutations", state.me.refutations)))
+        ("by", sender), ("refutations", state.own_update.refutations)))
     extra_hosts = (sender,) if sender in state.members else ()
-    return [record, *gossip.send_urgent(daemon, me.host, extra_hosts)]
+    return [record, *gossip.send_urgent(daemon, own.host, extra_hosts)]
 
 
 def _mark_superseded(state):
@@ -96,31 +96,31 @@
     if state.superseded:
         return []
     state.superseded = True
-    st.changed(state)
+    st.invalidate_caches(state)
     return [effects.Record("host_superseded", "",
-                           (("host", state.me.host),))]
+                           (("host", state.own_update.host),))]
 
 
 def _join(daemon, update, now):
     if update.status not in (st.ALIVE, st.LEAVING) or not update.address:
         return []
-    state = daemon.members
+    state = daemon.membership
     state.members[update.host] = st.Member(
-        update, leaving=update.status == st.LEAVING, heard_at=now)
+        update, leaving=update.status == st.LEAVING, last_contact_at=now)
     _add_to_round(daemon, update.host)
-    st.changed(state)
+    st.invalidate_caches(state)
     gossip.enqueue(daemon, update.host)
     return [_record("member_joined", update)]
 
 
 def _add_to_round(daemon, host):
     # At a random position, so that a new host is probed within a round.
-    order = daemon.members.round
+    order = daemon.membership.round
     order.insert(daemon.rng.randint(0, len(order)), host)
 
 
 def _change(daemon, member, update, now):
-    state = daemon.members
+    state = daemon.membership
     known = member.update
     if update.incarnation > known.incarnation:
         member.leaving = False
@@ -132,7 +132,7 @@
     member.compact_update = None
     member.leaving = member.leaving or update.status == st.LEAVING
     if _affects_live_hosts(known, update):
-        st.changed(state)
+        st.invalidate_caches(state)
     gossip.enqueue(daemon, update.host)
     if update.status == st.SUSPECT:
         return [_record("member_suspect", update),
@@ -172,7 +172,7 @@
 
 
 def _start_suspicion_timer(daemon, member, now):
-    state = daemon.members
+    state = daemon.membership
     hosts = len(st.peers(state)) + 1
     span = params.suspicion_timeout(hosts, state.health_score)
     member.deadline = now + span
@@ -190,7 +190,7 @@
 
 def declare_dead(daemon, host, now):
     """Declare a suspect dead once its suspicion timeout is over."""
-    member = daemon.members.members.get(host)
+    member = daemon.membership.members.get(host)
     if member is None or member.update.status != st.SUSPECT:
         return []
     time_left = member.deadline - now
--- a/crocuskeel/core/reducer.py
+++ b/crocuskeel/core/reducer.py
@@ -8,13 +8,13 @@
 import collections
 
 from crocuskeel.core import backends
-from crocuskeel.core.claims import concern as claims
+from crocuskeel.core.claims import component as claims
 from crocuskeel.core import dispatch
-from crocuskeel.core import door
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import exceptions
 from crocuskeel.core import follower
+from crocuskeel.core import frontend
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 from crocuskeel.core import quarantine
@@ -22,24 +22,24 @@
 __all__ = ["ROUTES", "reduce"]
 
 _ALL_COMPONENTS = (membership, follower, backends, quarantine, dispatch,
-                   claims, door)
+                   claims, frontend)
 
 ROUTES = {
     events.Started: _ALL_COMPONENTS,
     events.TimerFired: _ALL_COMPONENTS,
     events.DrainAsked: _ALL_COMPONENTS,
-    events.PeerUp: (follower, dispatch, claims, door),
-    events.PeerDown: (follower, dispatch, claims, door),
-    events.HostListSeen: (membership, backends, dispatch, door),
+    events.PeerUp: (follower, dispatch, claims, frontend),
+    events.PeerDown: (follower, dispatch, claims, frontend),
+    events.HostListSeen: (membership, backends, dispatch, frontend),
     events.HostListFailed: (membership, backends),
     events.StoreAnswered: (follower, claims),
-    events.RequestArrived: (door,),
-    events.ResumeArrived: (door,),
-    events.CallerGone: (door,),
-    events.LocateAsked: (door,),
-    events.AttemptOpened: (door,),
-    events.AttemptProgress: (door,),
-    events.AttemptClosed: (door,),
+    events.RequestArrived: (frontend,),
+    events.ResumeArrived: (frontend,),
+    events.CallerGone: (frontend,),
+    events.LocateAsked: (frontend,),
+    events.AttemptOpened: (frontend,),
+    events.AttemptProgress: (frontend,),
+    events.AttemptClosed: (frontend,),
     events.EngineLoadSeen: (dispatch,),
     events.EngineCacheSeen: (dispatch,),
     messages.Enqueue: (dispatch,),
@@ -47,16 +47,16 @@
     messages.Reregister: (dispatch,),
     messages.Progressed: (dispatch,),
     messages.Released: (dispatch,),
-    messages.Grant: (door,),
-    messages.Refusal: (door,),
-    messages.NotDispatcher: (door,),
-    messages.ReregisterAsk: (door,),
+    messages.Grant: (frontend,),
+    messages.Refusal: (frontend,),
+    messages.NotDispatcher: (frontend,),
+    messages.ReregisterAsk: (frontend,),
     messages.CrashSeen: (quarantine, dispatch),
     messages.ClaimAsk: (claims,),
     messages.ClaimSettle: (claims,),
-    messages.ClaimAnswer: (door,),
-    messages.ReplayAsk: (door,),
-    messages.ReplayChunk: (door,),
+    messages.ClaimAnswer: (frontend,),
+    messages.ReplayAsk: (frontend,),
+    messages.ReplayChunk: (frontend,),
     messages.Probe: (membership,),
     messages.ProbeAck: (membership,),
     messages.ProbeVia: (membership,),
@@ -81,14 +81,14 @@
         current = pending.popleft()
         if follower.park(daemon, current, now):
             continue
-        if follower.forget(daemon, current):
+        if follower.drop_parked(daemon, current):
             continue
         for effect in _step(daemon, current, now):
             if _is_to_self(daemon, effect):
                 pending.append(_received_from_self(daemon, effect))
             else:
                 out.append(effect)
-        pending.extend(follower.unpark(daemon))
+        pending.extend(follower.take_released(daemon))
         if _must_drain(daemon):
             pending.append(events.DrainAsked())
     return out
@@ -97,7 +97,8 @@
 def _must_drain(daemon):
     # A newer process runs under this host's name, so answers and grants
     # for one could reach the other. The older one drains.
-    return daemon.members.superseded and daemon.door.drain_at is None
+    return (daemon.membership.superseded
+            and daemon.frontend.drain_started_at is None)
 
 
 def _step(daemon, event, now):
@@ -105,8 +106,8 @@
         # Any message may carry a newer settings generation; the follower
         # handles it before the message itself is processed. Any message
         # also shows that its sender is alive.
-        out = follower.hear(daemon, event, now)
-        membership.hear(daemon, event, now)
+        out = follower.record_peer_generation(daemon, event, now)
+        membership.record_contact(daemon, event, now)
         kind = type(event.message)
     else:
         out = []
@@ -121,10 +122,10 @@
 
 def _is_to_self(daemon, effect):
     return (type(effect) is effects.Send
-            and effect.host == daemon.me.host)
+            and effect.host == daemon.identity.host)
 
 
 def _received_from_self(daemon, effect):
     return events.Received(
-        daemon.me.host, daemon.me.incarnation, effect.message,
+        daemon.identity.host, daemon.identity.incarnation, effect.message,
         follower.generation(daemon))
--- a/crocuskeel/core/state.py
+++ b/crocuskeel/core/state.py
@@ -47,13 +47,13 @@
 class Daemon:
     """All state of one daemon, by component."""
 
-    me: Identity
+    identity: Identity
     limits: Limits
     rng: random.Random
     follower: typing.Any
-    members: typing.Any
+    membership: typing.Any
     backends: typing.Any
     quarantine: typing.Any
     dispatch: typing.Any
-    door: typing.Any
+    frontend: typing.Any
     claims: typing.Any
--- a/crocuskeel/objectapi/client.py
+++ b/crocuskeel/objectapi/client.py
@@ -14,11 +14,11 @@
 from twisted.internet import defer
 from twisted.internet import task
 
-from crocuskeel.objectapi import budget as budgets
 from crocuskeel.objectapi import circuit as circuits
 from crocuskeel.objectapi import exceptions
 from crocuskeel.objectapi import responses
 from crocuskeel.objectapi import results
+from crocuskeel.objectapi import token_bucket as token_buckets
 
 __all__ = ["ClientConfig", "PlatformClient", "new_client"]
 
@@ -72,7 +72,7 @@
     cfg: ClientConfig
     send: typing.Callable
     rng: random.Random
-    budget: budgets.Budget
+    budget: token_buckets.TokenBucket
     circuit: circuits.Circuit
     counts: collections.Counter
     in_flight: int = 0
@@ -208,7 +208,7 @@
             return results.Unavailable(responses.NOT_SENT), False
         except defer.CancelledError:
             return responses.lost_result(is_write, responses.CANCELLED), False
-        except (exceptions.AnswerLost, defer.TimeoutError):
+        except (exceptions.ResponseLost, defer.TimeoutError):
             return responses.lost_result(is_write, responses.LOST), False
         return responses.classify(call.parse, response, is_write)
 
@@ -217,10 +217,11 @@
     """Return a client.
 
     ``send(method, url, headers, data, timeout_s)`` returns a Deferred of
-    an ``HttpAnswer`` that fails with ``NotSent`` or ``AnswerLost``;
+    an ``HttpResponse`` that fails with ``NotSent`` or ``ResponseLost``;
     ``rng`` is a ``random.Random`` whose seed differs on each host.
     """
-    budget = budgets.new_budget(cfg.rate, cfg.burst, reactor.seconds())
+    budget = token_buckets.new_token_bucket(
+        cfg.rate, cfg.burst, reactor.seconds())
     return PlatformClient(
         reactor=reactor, cfg=cfg, send=send, rng=rng, budget=budget,
         circuit=circuits.new_circuit(cfg.circuit, rng, budget),
--- a/crocuskeel/runtime/callers.py
+++ b/crocuskeel/runtime/callers.py
@@ -67,7 +67,7 @@
 def new_rid(ctx):
     """Return the next request id of this host."""
     ctx.last_rid += 1
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     return f"{identity.host}.{identity.incarnation}.{ctx.last_rid}"
 
 
@@ -97,7 +97,7 @@
     """
     for exchange in list(ctx.exchanges.values()):
         if exchange.caller_gone and exchange.source is None and (
-                exchange.rid not in ctx.daemon.door.requests):
+                exchange.rid not in ctx.daemon.frontend.requests):
             del ctx.exchanges[exchange.rid]
 
 
@@ -175,7 +175,7 @@
     """End a request after an internal error of this program."""
     exchange = ctx.exchanges.get(rid)
     if exchange is not None:
-        end_with_problem(ctx, exchange, problems.problem(
+        end_with_problem(ctx, exchange, problems.new_problem(
             problems.Reason.INTERNAL, problems.Outcome.UNKNOWN))
 
 
--- a/crocuskeel/runtime/peers.py
+++ b/crocuskeel/runtime/peers.py
@@ -79,7 +79,7 @@
 
 def _broadcast(ctx, effect):
     for host in membership.live(ctx.daemon):
-        if host != ctx.daemon.me.host:
+        if host != ctx.daemon.identity.host:
             send(ctx, host, effect.message)
 
 
@@ -114,7 +114,7 @@
 def new_batch(ctx, receiver, sequence, frames=(), **fields):
     """Return a ``Batch`` from this host with a clock stamp."""
     timestamp = records.clock_stamp(ctx)
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     return pb.Batch(
         deployment=identity.deployment, sender=identity.host,
         incarnation=identity.incarnation, receiver=receiver,
@@ -148,7 +148,7 @@
 
 def address_of(ctx, host):
     """Return a host's (address, peer port), None if unknown."""
-    info = membership.info(ctx.daemon, host)
+    info = membership.member_info(ctx.daemon, host)
     if info is not None and info.peer_port:
         return info.address, info.peer_port
     for name, address, port in ctx.cfg.seeds:
--- a/crocuskeel/runtime/program.py
+++ b/crocuskeel/runtime/program.py
@@ -17,8 +17,8 @@
 from crocuskeel.runtime import callers
 from crocuskeel.runtime import context
 from crocuskeel.runtime import datagrams
-from crocuskeel.runtime import door
-from crocuskeel.runtime import eager
+from crocuskeel.runtime import direct_writes
+from crocuskeel.runtime import http_api
 from crocuskeel.runtime import http_client
 from crocuskeel.runtime import links
 from crocuskeel.runtime import loop
@@ -47,7 +47,7 @@
     """
     identity = settings.identity(cfg, int(wall_clock() * 1000))
     daemon = factory.new_daemon(
-        identity, cfg.limits, wall=_new_unix_clock(reactor, wall_clock))
+        identity, cfg.limits, wall_clock=_new_unix_clock(reactor, wall_clock))
     ctx = context.new_context(reactor, cfg, daemon, reduce)
     ctx.records = records.new_records(reactor, wall_clock, cfg.statsd)
     ctx.fail_request = callers.fail_request
@@ -102,12 +102,13 @@
     await defer.Deferred.fromFuture(
         asyncio.ensure_future(links.listen(ctx)))
     site = bounded_request.new_site(
-        ctx.reactor, door.new_app(ctx).resource())
-    ctx.door_port = eager.listen(
+        ctx.reactor, http_api.new_app(ctx).resource())
+    ctx.door_port = direct_writes.listen(
         ctx.reactor, cfg.door_port, site, cfg.address)
     watchdog.start(ctx)
     polling.start(ctx)
-    records.note(ctx, "started", door=cfg.door_port, peers=cfg.peer_port)
+    records.record_event(
+        ctx, "started", door=cfg.door_port, peers=cfg.peer_port)
     loop.feed(ctx, events.Started())
 
 
@@ -122,13 +123,13 @@
 def _exit_when_idle(ctx, deadline):
     # A finished response may still be queued for a caller that reads
     # slowly; exiting now would truncate a complete stream.
-    unfinished = callers.count_waiting(ctx) or eager.count_unsent(
+    unfinished = callers.count_waiting(ctx) or direct_writes.count_unsent(
         ctx.door_port)
     if unfinished and ctx.reactor.seconds() < deadline:
         ctx.reactor.callLater(
             EXIT_CHECK_INTERVAL_S, _exit_when_idle, ctx, deadline)
         return
-    records.note(ctx, "stopped")
+    records.record_event(ctx, "stopped")
     records.flush(ctx)
     ctx.stopping = True
     links.stop(ctx)
--- a/crocuskeel/runtime/records.py
+++ b/crocuskeel/runtime/records.py
@@ -12,11 +12,11 @@
 
 from crocuskeel.core import effects
 from crocuskeel.core import follower
-from crocuskeel.objectapi import budget as budgets
+from crocuskeel.objectapi import token_bucket as token_buckets
 from crocuskeel.timeline import hlc
 
-__all__ = ["Records", "begin_logs", "clock_stamp", "flush", "handlers",
-           "merge_clock", "new_records", "note", "recent"]
+__all__ = ["Records", "clock_stamp", "configure_logging", "flush", "handlers",
+           "merge_clock", "new_records", "recent_events", "record_event"]
 
 RING_EVENTS = 5000
 FLUSH_S = 0.2
@@ -36,7 +36,7 @@
 
     wall_clock: typing.Callable
     clock: hlc.Clock
-    budget: budgets.Budget
+    budget: token_buckets.TokenBucket
     ring: collections.deque
     statsd_address: str
     metrics: typing.Any = None
@@ -50,13 +50,13 @@
     """Return empty records."""
     return Records(
         wall_clock=wall_clock, clock=hlc.new_clock(),
-        budget=budgets.new_budget(
+        budget=token_buckets.new_token_bucket(
             LINES_PER_S, LINES_BURST, reactor.seconds()),
         ring=collections.deque(maxlen=RING_EVENTS),
         statsd_address=statsd_address)
 
 
-def begin_logs(log_file, host):
+def configure_logging(log_file, host):
     """Write logs as JSON lines to a file, by default standard error."""
     logger.remove()
     logger.configure(extra={"host": host, "line": ""})
@@ -125,7 +125,7 @@
     records.clock.merge(remote, records.wall_clock() * 1000)
 
 
-def note(ctx, kind, rid="", **fields):
+def record_event(ctx, kind, rid="", **fields):
     """Record an event of the runtime itself."""
     _record(ctx, effects.Record(kind, rid, tuple(fields.items())))
 
@@ -134,7 +134,7 @@
     records = ctx.records
     wall_clock = records.wall_clock()
     timestamp = records.clock.tick(wall_clock * 1000)
-    identity = ctx.daemon.me
+    identity = ctx.daemon.identity
     event = {
         "ts": round(wall_clock, 6),
         "hlc": [timestamp.ms, timestamp.count],
@@ -165,7 +165,7 @@
         logger.bind(line=lines).info("")
 
 
-def recent(ctx, after=0, limit=RING_EVENTS):
+def recent_events(ctx, after=0, limit=RING_EVENTS):
     """Return up to ``limit`` events after a number, and the last number."""
     rows = [event for number, event in ctx.records.ring
             if number > after][:limit]
--- a/crocuskeel/runtime/watchdog.py
+++ b/crocuskeel/runtime/watchdog.py
@@ -31,7 +31,7 @@
     if late_s > MAX_LATE_S:
         # Data that arrived during the pause has not been read yet, so all
         # servers would look silent now. The next round checks them.
-        records.note(ctx, "paused", late_s=round(late_s, 3))
+        records.record_event(ctx, "paused", late_s=round(late_s, 3))
         return
     check(ctx)
 
@@ -69,5 +69,5 @@
     # The connection may be dead while new ones work: neither it nor the
     # other idle connections to that server are reused.
     http_client.drop_idle_connections(ctx, attempt.url)
-    attempts.close(ctx, attempt, events.AttemptEnd.SILENT)
+    attempts.close(ctx, attempt, events.AttemptEnd.TIMED_OUT)
     attempts.abort(attempt)
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -22,8 +22,8 @@
 
 def _daemon():
     return types.SimpleNamespace(
-        me=ME, rng=random.Random(1), follower=follower.new_state(),
-        members=membership.new_state(ME), backends=backends.new_state())
+        identity=ME, rng=random.Random(1), follower=follower.new_state(),
+        membership=membership.new_state(ME), backends=backends.new_state())
 
 
 def _backend(name, leaving=False):
@@ -75,9 +75,9 @@
             for event in received:
                 backends.handle(daemon, event, 0.0)
             with self.subTest(description):
-                self.assertEqual(is_usable, backends.usable(daemon, "e1"))
+                self.assertEqual(is_usable, backends.is_usable(daemon, "e1"))
 
-    def test_leaving_is_told_to_all_once(self):
+    def test_leaving_is_broadcast_once(self):
         daemon = _daemon()
         out = []
         for at in (1, 2):
@@ -87,7 +87,7 @@
         self.assertEqual([messages.HostListNews(1, ("e1",))],
                          [e.message for e in broadcasts])
 
-    def test_a_host_started_in_an_outage_takes_a_peers_list(self):
+    def test_a_host_started_in_an_outage_uses_a_peers_list(self):
         """A host that starts in a host list outage uses a peer's list.
 
         Without a list it would refuse every request for lack of backend
@@ -96,7 +96,7 @@
         daemon = _daemon()
         server = _backend("e1")
         backends.handle(daemon, _news(4, servers=(server,)), 0.0)
-        self.assertTrue(backends.usable(daemon, "e1"))
+        self.assertTrue(backends.is_usable(daemon, "e1"))
         out = backends.handle(daemon, events.Received(
             "h2", 1, messages.HostListAsk(-1)), 0.0)
         self.assertEqual(
--- a/tests/conf/test_commit.py
+++ b/tests/conf/test_commit.py
@@ -65,7 +65,8 @@
         written = self._write(operation)
         if behavior == ANSWER_LOST:
             return commit.OutcomeUnknown()
-        return commit.HeadWritten() if written else commit.HeadMoved()
+        return (commit.HeadWritten() if written
+                else commit.HeadVersionConflict())
 
 
 class Committer:
@@ -88,7 +89,7 @@
         if self.result is None:
             answer = store.execute(self.next, behavior)
             self.state, self.next = conf.commit_step(self.state, answer)
-            if isinstance(self.next, (conf.Done, conf.Refused)):
+            if isinstance(self.next, (conf.Committed, conf.Refused)):
                 self.result = self.next
 
     def run(self, store: Store, until=()) -> None:
@@ -123,7 +124,7 @@
 def document_of(store: Store) -> dict:
     """Return the document that a newly started host loads."""
     head = store.heads[-1]
-    index = storage.decode_index(store.parts[head.index])
+    index = storage.decode_index(store.parts[head.index_digest])
     tree = conf.assemble(head.generation, index, store.parts)
     return conf.to_document(tree)
 
@@ -140,7 +141,7 @@
         document = document_of(store)
         for committer in committers:
             edit, = committer.batch.edits
-            if isinstance(committer.result, conf.Done):
+            if isinstance(committer.result, conf.Committed):
                 head = store.heads[committer.result.generation - 1]
                 self.assertEqual(committer.batch.id, head.batch_id)
                 node = document
@@ -157,7 +158,7 @@
                 strategies.integers(0, 3), strategies.integers(0, 4)),
             max_size=70),
         strategies.sampled_from([2, commit.MAX_RETRIES]))
-    def test_any_schedule_of_races_and_lost_answers(
+    def test_random_races_and_lost_answers(
             self, schedule, max_retries):
         tree = samples.tree()
         store = Store(tree)
@@ -175,7 +176,7 @@
             store.apply_delayed()
         self.check(store, committers)
 
-    def test_lost_answer_is_read_back(self):
+    def test_lost_answer_is_found_in_the_head(self):
         """Guards against applying a batch twice, over a later one.
 
         The platform executes the head write and its answer is lost. Then
@@ -194,7 +195,7 @@
         later.run(store)
         for _ in range(2):
             first.run(store)
-            self.assertEqual(conf.Done(2, None), first.result)
+            self.assertEqual(conf.Committed(2, None), first.result)
             first.resend()
         self.assertEqual(
             6, document_of(store)['workspaces']['w0']['weight'])
@@ -238,7 +239,7 @@
         store.apply_delayed()
         self.check(store, [first])
 
-    def test_lost_race_merges_or_is_refused_with_both_values(self):
+    def test_lost_race_is_merged_or_refused_with_both_values(self):
         tree = samples.tree()
         store = Store(tree)
         committers = new_committers(tree, 4)
@@ -249,11 +250,12 @@
         self.check(store, committers)
         result_types = [type(committer.result) for committer in committers]
         self.assertEqual(
-            [conf.Done, conf.Done, conf.Done, conf.Refused], result_types)
+            [conf.Committed, conf.Committed, conf.Committed, conf.Refused],
+            result_types)
         conflict, = committers[3].result.conflicts
         self.assertEqual((53, 51, 'op-1', 1.0), (
             conflict.ours.value, conflict.theirs.value, conflict.author,
-            conflict.at))
+            conflict.created_at))
 
     def test_retry_older_than_the_window_is_refused_as_unknown(self):
         """Guards against applying a batch again much later.
@@ -282,7 +284,7 @@
             (first.result.reason, first.result.outcome))
         self.assertEqual(5, store.heads[-1].generation)
 
-    def test_a_store_set_back_is_not_followed(self):
+    def test_store_restored_from_an_old_copy_is_refused(self):
         """Guards against a commit on a store restored from an old copy.
 
         It would reuse a generation number, and hosts would have different
--- a/tests/ctl/fleet.py
+++ b/tests/ctl/fleet.py
@@ -10,8 +10,8 @@
 from crocuskeel.conf import tree as trees
 from crocuskeel.core import backends
 from crocuskeel.core import dispatch
-from crocuskeel.core import door
 from crocuskeel.core import follower
+from crocuskeel.core import frontend
 from crocuskeel.core import membership
 from crocuskeel.core.membership import state as member_state
 from crocuskeel.core import quarantine
@@ -84,10 +84,11 @@
     me = state.Identity("test", host, "a", "r", f"10.0.0.{number}", 1,
                         8100, 1)
     return state.Daemon(
-        me=me, limits=state.Limits(), rng=random.Random(1),
-        follower=follower.new_state(), members=membership.new_state(me),
+        identity=me, limits=state.Limits(), rng=random.Random(1),
+        follower=follower.new_state(), membership=membership.new_state(me),
         backends=backends.new_state(), quarantine=quarantine.new_state(),
-        dispatch=dispatch.new_state(), door=door.new_state(), claims=None)
+        dispatch=dispatch.new_state(), frontend=frontend.new_state(),
+        claims=None)
 
 
 class Fleet:
@@ -110,12 +111,12 @@
 
     def _connect_members(self):
         for daemon in self.daemons.values():
-            members = daemon.members
+            members = daemon.membership
             for host, other in self.daemons.items():
-                if host != daemon.me.host:
+                if host != daemon.identity.host:
                     members.members[host] = member_state.Member(
-                        other.members.me)
-            member_state.changed(members)
+                        other.membership.own_update)
+            member_state.invalidate_caches(members)
 
     def _store_initial_settings(self):
         batch = batches.new_batch("init", 0.0, 0, [
@@ -134,17 +135,17 @@
         head = self.store.head()
         for host in set(self.daemons) - self.stuck:
             state = self.daemons[host].follower
-            for recent in head.recent:
+            for recent in head.recent_batches:
                 tree = state.tree or trees.empty_tree()
                 blob = self.store.objects[
-                    storage.part_key(recent.delta)][1]
-                part = conf.Part(recent.delta, blob)
+                    storage.part_key(recent.delta_digest)][1]
+                part = conf.Part(recent.delta_digest, blob)
                 if recent.generation == tree.generation + 1:
-                    state.tree = storage.advance(
+                    state.tree = storage.apply_delta(
                         tree, storage.decode_delta(part)).unwrap()
-                    state.deltas[recent.delta] = part
-            state.head = storage.encode_head(head)
-            state.newest = state.tree.generation
+                    state.deltas[recent.delta_digest] = part
+            state.encoded_head = storage.encode_head(head)
+            state.newest_known_generation = state.tree.generation
 
     def _serve(self, host):
         app = klein.Klein()
@@ -173,8 +174,8 @@
         if host not in self.stuck and method == "POST":
             self.adopt_settings()
         if host in self.lost_response_hosts:
-            raise objectapi.AnswerLost("connection lost")
-        return objectapi.HttpAnswer(response.code, {}, body)
+            raise objectapi.ResponseLost("connection lost")
+        return objectapi.HttpResponse(response.code, {}, body)
 
     def run(self, *argv, token=OPERATOR, hosts="10.0.0.1:8100"):
         """Run the command; return its exit code, stdout and stderr."""
--- a/tests/dispatch/test_properties.py
+++ b/tests/dispatch/test_properties.py
@@ -5,7 +5,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from crocuskeel.core.dispatch import choice
+from crocuskeel.core.dispatch import engine_selection
 from crocuskeel.core.dispatch import floors
 from crocuskeel.core.dispatch import limits
 from crocuskeel.core import effects
@@ -67,12 +67,12 @@
         if not tiers:
             return
         cell = support.cell_of(harness)
-        slots = choice.most_slots(harness.daemon, cell)
-        for class_queue in cell.classes.values():
+        slots = engine_selection.max_slots(harness.daemon, cell)
+        for class_queue in cell.class_queues.values():
             if class_queue.tier > min(tiers):
                 self.assertLessEqual(
-                    class_queue.waiting,
-                    floors.seats(class_queue, slots))
+                    class_queue.waiting_count,
+                    floors.protected_queue_size(class_queue, slots))
 
 
 class SlotsTest(unittest.TestCase):
@@ -104,7 +104,7 @@
             support.end_attempt(harness, key, "cancelled")
         cell = support.cell_of(harness)
         self.assertEqual({}, cell.running)
-        self.assertEqual({}, cell.by_engine)
+        self.assertEqual({}, cell.running_by_engine)
         self.assertEqual(0, cell.top_tier_running)
 
     def _step(self, harness, sent, kind, index, number, name, span):
@@ -141,7 +141,7 @@
 
     def _check_limits(self, harness):
         cell = support.cell_of(harness)
-        for name, keys in cell.by_engine.items():
+        for name, keys in cell.running_by_engine.items():
             view = limits.engine_view(harness.daemon, name)
             self.assertLessEqual(len(keys), view.max_limit)
         self.assertEqual(set(harness.running), set(cell.running))
--- a/tests/follower/test_follower.py
+++ b/tests/follower/test_follower.py
@@ -7,7 +7,7 @@
 from crocuskeel.conf import storage
 from crocuskeel.core import events
 from crocuskeel.core import follower
-from crocuskeel.core.follower import force
+from crocuskeel.core.follower import adoption
 from crocuskeel.core import messages
 from tests.follower import fleet as fleets
 
@@ -118,7 +118,7 @@
         fleet.run(1.0)
         self.assertEqual({"h0": 1}, fleet.generations())
 
-    def test_an_isolated_host_says_it_is_not_ready(self):
+    def test_an_isolated_host_is_not_ready(self):
         """A host isolated from platform and peers must not be ready.
 
         Otherwise it would apply outdated settings to its callers. It
@@ -174,13 +174,13 @@
         bad = storage.encode_head(fleet.head)
         answer = messages.SettingsAnswer(1, 0, bad, ())
         fleet.feed("h8", events.Received("h1", 1, answer, 1))
-        part = messages.PartAnswer(fleet.head.index, b"damaged")
+        part = messages.PartAnswer(fleet.head.index_digest, b"damaged")
         fleet.feed("h8", events.Received("h1", 1, part, 1))
         self.assertEqual(0, fleet.generations()["h8"])
         fleet.run(fleet.now + 3)
         self.assertEqual(1, fleet.generations()["h8"])
 
-    def test_everyone_is_told_without_the_platform(self):
+    def test_announcements_reach_every_host(self):
         """Announcements alone must reach every host.
 
         With six random neighbours per host, one host in 400 was
@@ -193,7 +193,7 @@
             newly_told = [live[0]]
             while newly_told:
                 announced = {name for host in newly_told
-                             for name in force.neighbours(host, live)}
+                             for name in adoption.neighbours(host, live)}
                 newly_told = sorted(announced - reached)
                 reached |= announced
             self.assertEqual(set(live), reached)
--- a/tests/door/test_faults.py
+++ b/tests/frontend/test_faults.py
@@ -5,9 +5,9 @@
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import membership
-from tests.door import driver
-from tests.door import key_rows
-from tests.door import rows
+from tests.frontend import driver
+from tests.frontend import fault_table
+from tests.frontend import key_fault_table
 
 
 class FaultTableTest(unittest.TestCase):
@@ -25,17 +25,17 @@
                 self.assertEqual(
                     row.expect.split(", "), host.labels(), row.failure)
 
-    def test_caller(self):
-        self._run(rows.CALLER)
+    def test_caller_faults(self):
+        self._run(fault_table.CALLER)
 
-    def test_engine(self):
-        self._run(rows.ENGINE)
+    def test_engine_faults(self):
+        self._run(fault_table.ENGINE)
 
-    def test_peer(self):
-        self._run(rows.PEER)
+    def test_peer_faults(self):
+        self._run(fault_table.PEER)
 
-    def test_keys(self):
-        self._run(key_rows.KEYS)
+    def test_key_faults(self):
+        self._run(key_fault_table.KEYS)
 
 
 class FirstByteTimeoutTest(unittest.TestCase):
@@ -58,7 +58,7 @@
 
 class DrainTest(unittest.TestCase):
 
-    def test_nothing_is_cut(self):
+    def test_drain_completes_requests_in_progress(self):
         """A shutdown for maintenance cuts off a booking in progress.
 
         The host is told to drain while one request waits and one runs.
@@ -67,7 +67,7 @@
         """
         host = driver.Host()
         waiting = host.arrive()
-        running = host.arrive(**rows.BOOK)
+        running = host.arrive(**fault_table.BOOK)
         host.grant(running, "d1")
         host.claim(running)
         membership.handle(host.daemon, events.DrainAsked(), host.now)
--- a/tests/door/test_properties.py
+++ b/tests/frontend/test_properties.py
@@ -9,7 +9,7 @@
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import messages
-from tests.door import driver
+from tests.frontend import driver
 
 ENDS = [str(end) for end in events.AttemptEnd]
 NOT_RUN_ENDS = ("busy", "refused", "unready")
@@ -107,9 +107,10 @@
                     assert not self.may_have_run(rid), "not_run: may have run"
                     assert not self.ran_before[rid], "not_run: key ran before"
                 self.count_answer(rid)
-            case effects.Replay(rid=rid, held=held):
+            case effects.Replay(rid=rid, original_rid=original_rid):
                 own_workspace = self.arrivals[rid].get("workspace")
-                assert own_workspace == self.arrivals[held].get("workspace")
+                assert own_workspace == self.arrivals[original_rid].get(
+                    "workspace")
                 self.open_attempts[rid, 0] = 1
 
     def may_open(self, rid):
@@ -201,8 +202,8 @@
         self.host.feed(event)
 
     def is_pending(self, rid):
-        door = self.host.daemon.door
-        return rid in door.relays or rid in door.requests
+        frontend = self.host.daemon.frontend
+        return rid in frontend.relays or rid in frontend.requests
 
     def leave(self, pick):
         if self.arrivals:
@@ -236,8 +237,8 @@
             self.process_effects()
 
     def has_pending(self):
-        door = self.host.daemon.door
-        return door.requests or door.relays or door.lookups
+        frontend = self.host.daemon.frontend
+        return frontend.requests or frontend.relays or frontend.lookups
 
 
 def claim_key_of(request):
@@ -251,7 +252,7 @@
     @given(strategies.lists(strategies.tuples(
         strategies.sampled_from(OPERATIONS), strategies.integers(0, 59)),
         min_size=40, max_size=80))
-    def test_one_true_answer(self, steps):
+    def test_each_request_gets_one_correct_answer(self, steps):
         """A caller gets two answers, none, or a wrong one.
 
         Messages arrive late, twice and out of order, attempts end in
@@ -264,8 +265,9 @@
         for operation, pick in steps:
             environment.step(operation, pick)
         environment.run_to_completion()
-        door = environment.host.daemon.door
-        self.assertFalse(door.requests or door.relays or door.cells)
+        frontend = environment.host.daemon.frontend
+        self.assertFalse(
+            frontend.requests or frontend.relays or frontend.cells)
         self.assertFalse(environment.held_slots)
         for rid in environment.arrivals:
             if rid not in environment.gone_callers:
--- a/tests/runtime/test_engine.py
+++ b/tests/runtime/test_engine.py
@@ -44,7 +44,7 @@
     support.stream_event(1) + support.stream_event(2)[:9])
 
 # name, fault of the server, end, forwarded events, retry_after_s
-ROWS = (
+FAULTS = (
     ("refuses the connection", _refuses_connection, End.REFUSED, 0, 0),
     ("can't be reached", _is_unreachable, End.REFUSED, 0, 0),
     ("is overloaded", _sends(
@@ -55,13 +55,14 @@
      End.UNREADY, 0, 0),
     ("fails", _sends(
         b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), End.FAILED, 0, 0),
-    ("disconnects after the request", _sends(b"", True), End.BROKEN, 0, 0),
+    ("disconnects after the request", _sends(b"", True),
+     End.CONNECTION_LOST, 0, 0),
     ("disconnects within the response head", _sends(b"HTTP/1.1 200", True),
-     End.BROKEN, 0, 0),
+     End.CONNECTION_LOST, 0, 0),
     ("disconnects within an event", _sends(_PARTIAL_STREAM, True),
-     End.BROKEN, 1, 0),
-    ("never answers", _never_answers, End.SILENT, 0, 0),
-    ("stops sending", _stops_answering, End.SILENT, 1, 0),
+     End.CONNECTION_LOST, 1, 0),
+    ("never answers", _never_answers, End.TIMED_OUT, 0, 0),
+    ("stops sending", _stops_answering, End.TIMED_OUT, 1, 0),
 )
 
 
@@ -73,8 +74,8 @@
     caller is refused although its request ran, or gets partial events.
     """
 
-    def test_rows(self):
-        for name, inject_fault, end, forwarded, retry in ROWS:
+    def test_faults(self):
+        for name, inject_fault, end, forwarded, retry in FAULTS:
             with self.subTest(name):
                 harness = support.new_harness()
                 harness.script[events.RequestArrived] = support.open_attempt
@@ -137,10 +138,10 @@
         before = caller.value()
         _sends(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n")(harness)
         self.assertEqual(harness.recorded(events.AttemptClosed)[-1].end,
-                         End.GONE)
+                         End.STREAM_UNKNOWN)
         self.assertEqual(caller.value(), before)
 
-    def test_silent_connection_is_retired(self):
+    def test_idle_connections_are_dropped_after_a_timeout(self):
         """Idle connections to a server are dead while new ones work.
 
         One request times out on the first of two dead connections; the
@@ -162,13 +163,13 @@
         support.send_chat_request(harness)
         self.assertEqual(len(harness.reactor.tcpClients), 2)
         support.advance_time(harness, 2.5)
-        self.assertEqual(harness.events[-1].end, End.SILENT)
+        self.assertEqual(harness.events[-1].end, End.TIMED_OUT)
         _, caller = support.send_chat_request(harness)
         self.assertEqual(len(harness.reactor.tcpClients), 3)
         send_stream(harness)
         self.assertIn(support.stream_event(1), caller.value())
 
-    def test_late_answer_reaches_nobody(self):
+    def test_late_response_is_discarded(self):
         """An engine responds after its attempt timed out.
 
         The request is retried on another engine; the late bytes of the
