--- a/bench/loopback/hop.py
+++ b/bench/loopback/hop.py
@@ -48,7 +48,7 @@
     from crocuskeel.core import problems
     from crocuskeel.runtime import bounded_request
     from crocuskeel.runtime import direct_writes
-    from crocuskeel.runtime import door
+    from crocuskeel.runtime import http_api
     from crocuskeel.runtime import program
     from crocuskeel.runtime import watchdog
 
@@ -66,7 +66,7 @@
 
     ctx = program.new_runtime(
         reactor, new_settings(f"hop-{args.port}"), time.time, reduce)
-    site = bounded_request.new_site(reactor, door.new_app(ctx).resource())
+    site = bounded_request.new_site(reactor, http_api.new_app(ctx).resource())
     direct_writes.listen(reactor, args.port, site, "127.0.0.1")
     watchdog.start(ctx)
 
--- a/bench/outage/replays.py
+++ b/bench/outage/replays.py
@@ -35,7 +35,7 @@
 
 
 def _relay(world, node, source, rid, source_rid, deadline):
-    if rid not in node.daemon.door.relays:
+    if rid not in node.daemon.frontend.relays:
         # The source request failed and its watchers were notified.
         return
     end = _replay_end(world, source, source_rid, deadline)
@@ -55,9 +55,9 @@
     if source.held_events is not None or not source.up:
         return (None if deadline is not None
                 else events.AttemptEnd.STREAM_UNKNOWN)
-    if source_rid in source.daemon.door.requests:
+    if source_rid in source.daemon.frontend.requests:
         return None
-    replay = source.daemon.door.ended_requests.get(source_rid)
+    replay = source.daemon.frontend.ended_requests.get(source_rid)
     if replay is not None and replay.has_answer:
         return events.AttemptEnd.DONE
     return events.AttemptEnd.STREAM_UNKNOWN
--- a/bench/outage/world.py
+++ b/bench/outage/world.py
@@ -19,11 +19,11 @@
 from bench.policy import fleet as fleets
 from crocuskeel import conf
 from crocuskeel.conf import storage
-from crocuskeel.core.door import completion
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import factory
 from crocuskeel.core import follower
+from crocuskeel.core.frontend import completion
 from crocuskeel import objectapi
 from crocuskeel.runtime import platform_calls
 
@@ -154,7 +154,7 @@
 
 
 def _record_first_run(world, node, rid):
-    req = node.daemon.door.requests.get(rid)
+    req = node.daemon.frontend.requests.get(rid)
     now = world.fleet.clock.now
     if req is None or req.repeatable or now < world.recovery_from:
         return
--- a/crocuskeel/core/factory.py
+++ b/crocuskeel/core/factory.py
@@ -5,8 +5,8 @@
 from crocuskeel.core import backends
 from crocuskeel.core import claims
 from crocuskeel.core import dispatch
-from crocuskeel.core import door
 from crocuskeel.core import follower
+from crocuskeel.core import frontend
 from crocuskeel.core import membership
 from crocuskeel.core import quarantine
 from crocuskeel.core import state
@@ -32,7 +32,7 @@
         backends=backends.new_state(),
         quarantine=quarantine.new_state(),
         dispatch=dispatch.new_state(),
-        door=door.new_state(),
+        frontend=frontend.new_state(),
         claims=claims.new_state(
             identity.host, identity.incarnation, rng, wall_clock=wall_clock),
     )
--- a/crocuskeel/core/door/admitting.py
+++ b/crocuskeel/core/frontend/admitting.py
@@ -1,16 +1,16 @@
 """Admission control: validates a request, then refuses or enqueues it."""
 
-from crocuskeel.core.door import claim_lookup
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import deadlines
-from crocuskeel.core.door import locating
-from crocuskeel.core.door import models
-from crocuskeel.core.door import queueing
-from crocuskeel.core.door import recovering
-from crocuskeel.core.door import replaying
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import follower
+from crocuskeel.core.frontend import claim_lookup
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import deadlines
+from crocuskeel.core.frontend import locating
+from crocuskeel.core.frontend import models
+from crocuskeel.core.frontend import queueing
+from crocuskeel.core.frontend import recovering
+from crocuskeel.core.frontend import replaying
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 from crocuskeel.core import problems
 from crocuskeel.core import quarantine
 
@@ -24,7 +24,8 @@
 
 def arrived(daemon, event, now):
     """Admit a request, or refuse it for the first check that fails."""
-    if event.rid in daemon.door.requests or event.rid in daemon.door.lookups:
+    if (event.rid in daemon.frontend.requests
+            or event.rid in daemon.frontend.lookups):
         return []
     out = _check(daemon, event, now)
     if not event.idempotency_key:
@@ -49,7 +50,7 @@
 
 
 def _check_host(daemon, event, now):
-    if daemon.door.drain_started_at is not None:
+    if daemon.frontend.drain_started_at is not None:
         return completion.refuse_arrival(
             event.rid, Reason.LEAVING, retry_after_s=RETRY_AFTER_S,
             location=locating.other_host_address(daemon))
@@ -96,7 +97,7 @@
 
 def _admit(daemon, req, now):
     out = []
-    if len(daemon.door.requests) >= daemon.limits.max_requests:
+    if len(daemon.frontend.requests) >= daemon.limits.max_requests:
         victim = _request_to_shed(daemon, req)
         if victim is None:
             return completion.refuse_arrival(
@@ -104,9 +105,9 @@
                 class_name=req.policy.name)
         out += completion.fail(daemon, victim, Reason.OVERLOAD, now,
                                retry_after_s=RETRY_AFTER_S)
-    daemon.door.requests[req.rid] = req
+    daemon.frontend.requests[req.rid] = req
     if req.arrival.idempotency_key:
-        daemon.door.rids_by_key[req.scope] = req.rid
+        daemon.frontend.rids_by_key[req.scope] = req.rid
     recovering.add_retry_budget(daemon, req.policy)
     out += [reporting.record(req, "arrived", now),
             reporting.count(f"class.{req.policy.name}.arrived"),
@@ -122,7 +123,7 @@
     tier in favor of the lower tiers it already holds. The newest request
     of a tier is shed so that the wait of the oldest stays bounded.
     """
-    lower = [other for other in daemon.door.requests.values()
+    lower = [other for other in daemon.frontend.requests.values()
              if other.stage is state.Stage.WAITING
              and other.policy.tier > req.policy.tier]
     return max(lower, key=lambda other: (other.policy.tier,
--- a/crocuskeel/core/door/claim_lookup.py
+++ b/crocuskeel/core/frontend/claim_lookup.py
@@ -6,11 +6,11 @@
 what an earlier sending already booked.
 """
 
-from crocuskeel.core.door import claim_keys
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import follower
+from crocuskeel.core.frontend import claim_keys
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 from crocuskeel.core import messages
 from crocuskeel.core import problems
 
@@ -68,11 +68,11 @@
         # The caller states that it sent nothing with this key before,
         # and this sending did not run.
         return refuse(lookup, lookup.problem.reason, _NOT_RUN)
-    door = daemon.door
+    frontend = daemon.frontend
     owner = claim_keys.owner_of(daemon, lookup.key)
-    if not owner or len(door.lookups) >= daemon.limits.max_requests:
+    if not owner or len(frontend.lookups) >= daemon.limits.max_requests:
         return _refuse_unknown(lookup)
-    door.lookups[lookup.rid] = lookup
+    frontend.lookups[lookup.rid] = lookup
     # An owner with an older version doesn't support lookups. The time
     # left is zero so that it drops the message as expired instead of
     # recording a claim.
@@ -106,9 +106,9 @@
 
 def caller_gone(daemon, rid):
     """Remove a caller that disconnected during its lookup."""
-    for lookup in list(daemon.door.lookups.values()):
+    for lookup in list(daemon.frontend.lookups.values()):
         if rid in lookup.rids:
             lookup.rids.remove(rid)
         if not lookup.rids:
-            del daemon.door.lookups[lookup.rid]
+            del daemon.frontend.lookups[lookup.rid]
     return []
--- a/crocuskeel/core/door/claim_lookup_results.py
+++ b/crocuskeel/core/frontend/claim_lookup_results.py
@@ -1,8 +1,8 @@
 """Results of ledger lookups made before a request is refused."""
 
-from crocuskeel.core.door import claim_lookup
-from crocuskeel.core.door import replaying
 from crocuskeel.core import effects
+from crocuskeel.core.frontend import claim_lookup
+from crocuskeel.core.frontend import replaying
 from crocuskeel.core import problems
 
 __all__ = ["answered", "timed_out"]
@@ -13,7 +13,7 @@
 
 def answered(daemon, message):
     """Refuse the request, or relay the answer of the claim's holder."""
-    lookup = daemon.door.lookups.pop(message.rid)
+    lookup = daemon.frontend.lookups.pop(message.rid)
     out = [effects.CancelTimer(("door", "lookup", lookup.rid))]
     reason = lookup.problem.reason
     own_claim = message.holder_rid == lookup.rid
@@ -33,7 +33,7 @@
 
 def timed_out(daemon, rid):
     """Refuse with an unknown outcome if the ledger did not answer."""
-    lookup = daemon.door.lookups.pop(rid, None)
+    lookup = daemon.frontend.lookups.pop(rid, None)
     if lookup is None:
         return []
     return claim_lookup.refuse(lookup, lookup.problem.reason, Outcome.UNKNOWN)
--- a/crocuskeel/core/door/claiming.py
+++ b/crocuskeel/core/frontend/claiming.py
@@ -5,12 +5,12 @@
 a backend server.
 """
 
-from crocuskeel.core.door import claim_keys
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import events
+from crocuskeel.core.frontend import claim_keys
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 from crocuskeel.core import messages
 from crocuskeel.core import problems
 
@@ -91,7 +91,7 @@
 
 def late_response(daemon, message):
     """Free a claim that was granted after its request abandoned it."""
-    key = daemon.door.abandoned_claims.get(message.rid)
+    key = daemon.frontend.abandoned_claims.get(message.rid)
     if message.status != "granted" or key != message.key:
         return []
     return completion.settle_claim(daemon, message.rid, key,
--- a/crocuskeel/core/door/completion.py
+++ b/crocuskeel/core/frontend/completion.py
@@ -3,12 +3,12 @@
 Releases its slot, settles its claim, and sends and retains its answer.
 """
 
-from crocuskeel.core.door import claim_keys
-from crocuskeel.core.door import claim_lookup
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import events
+from crocuskeel.core.frontend import claim_keys
+from crocuskeel.core.frontend import claim_lookup
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 from crocuskeel.core import messages
 from crocuskeel.core import problems
 
@@ -34,7 +34,7 @@
 
 def withdraw(daemon, req):
     """Remove a waiting request from its dispatcher's queue."""
-    cell_state = daemon.door.cells.get(req.cell)
+    cell_state = daemon.frontend.cells.get(req.cell)
     if cell_state is None or req.rid not in cell_state.waiting:
         return []
     remove_from_queue(daemon, req)
@@ -44,7 +44,7 @@
 
 def remove_from_queue(daemon, req):
     """Record that the dispatcher no longer has the request queued."""
-    del daemon.door.cells[req.cell].waiting[req.rid]
+    del daemon.frontend.cells[req.cell].waiting[req.rid]
     _discard_cell_if_empty(daemon, req.cell)
 
 
@@ -56,7 +56,7 @@
     """
     if not req.engine:
         return []
-    cell_state = daemon.door.cells[req.cell]
+    cell_state = daemon.frontend.cells[req.cell]
     cell_state.slots.pop(req.rid, None)
     cell_state.unreported_tokens.pop(req.rid, None)
     message = messages.Released(
@@ -75,9 +75,9 @@
 
 
 def _discard_cell_if_empty(daemon, cell):
-    cell_state = daemon.door.cells[cell]
+    cell_state = daemon.frontend.cells[cell]
     if not cell_state.waiting and not cell_state.slots:
-        del daemon.door.cells[cell]
+        del daemon.frontend.cells[cell]
 
 
 def claim_key(req):
@@ -104,7 +104,7 @@
     resend would then be refused as a duplicate of a request that never
     ran. The rid is remembered so that a late grant is settled.
     """
-    abandoned_claims = daemon.door.abandoned_claims
+    abandoned_claims = daemon.frontend.abandoned_claims
     key = claim_key(req)
     abandoned_claims[req.rid] = key
     while len(abandoned_claims) > MAX_ABANDONED_CLAIMS:
@@ -129,7 +129,7 @@
         outcome=str(req.outcome)))
     out += reporting.refused(req.policy.name, reason)
     for rid in req.watchers:
-        daemon.door.relays.pop(rid, None)
+        daemon.frontend.relays.pop(rid, None)
     return out + finish(daemon, req, now, keep_outcome=not req.repeatable)
 
 
@@ -137,7 +137,7 @@
     """End the request; answer its callers after a ledger lookup."""
     callers = waiting_callers(req)
     for rid in req.watchers:
-        daemon.door.relays.pop(rid, None)
+        daemon.frontend.relays.pop(rid, None)
     out = finish(daemon, req, now)
     if not callers:
         return out
@@ -171,18 +171,18 @@
     ``keep_outcome`` retains its outcome for resends, and its answer too
     if ``has_answer``, unless the request is known not to have run.
     """
-    door = daemon.door
+    frontend = daemon.frontend
     out = release(daemon, req, events.AttemptEnd.CANCELLED)
     out += withdraw(daemon, req)
     out += [effects.CancelTimer(("door", kind, req.rid))
             for kind in _REQUEST_TIMERS]
     if req.claim_requested:
         out += _settle_ended(daemon, req)
-    door.requests.pop(req.rid, None)
+    frontend.requests.pop(req.rid, None)
     if keep_outcome and req.outcome is not problems.Outcome.NOT_RUN:
         _retain(daemon, req, has_answer, now)
-    elif door.rids_by_key.get(req.scope) == req.rid:
-        del door.rids_by_key[req.scope]
+    elif frontend.rids_by_key.get(req.scope) == req.rid:
+        del frontend.rids_by_key[req.scope]
     return out
 
 
@@ -193,18 +193,18 @@
 
 
 def _retain(daemon, req, has_answer, now):
-    door = daemon.door
-    door.ended_requests[req.rid] = state.EndedRequest(
+    frontend = daemon.frontend
+    frontend.ended_requests[req.rid] = state.EndedRequest(
         req.rid, req.caller.workspace, req.caller.caller,
         req.arrival.idempotency_key, req.arrival.digest, has_answer,
         req.outcome, now + daemon.limits.replay_kept_s)
-    while len(door.ended_requests) > MAX_ENDED_REQUESTS:
-        evict_oldest(door)
+    while len(frontend.ended_requests) > MAX_ENDED_REQUESTS:
+        evict_oldest(frontend)
 
 
-def evict_oldest(door):
+def evict_oldest(frontend):
     """Evict the retained answer of the request that ended first."""
-    rid, ended = door.ended_requests.popitem(last=False)
+    rid, ended = frontend.ended_requests.popitem(last=False)
     scope = (ended.workspace, ended.caller, ended.key)
-    if door.rids_by_key.get(scope) == rid:
-        del door.rids_by_key[scope]
+    if frontend.rids_by_key.get(scope) == rid:
+        del frontend.rids_by_key[scope]
--- a/crocuskeel/core/door/deadlines.py
+++ b/crocuskeel/core/frontend/deadlines.py
@@ -1,9 +1,9 @@
 """Deadlines: answers requests that no dispatcher granted or shed in time."""
 
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import recovering
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import recovering
+from crocuskeel.core.frontend import state
 from crocuskeel.core import problems
 
 __all__ = ["expired", "start"]
--- a/crocuskeel/core/door/disconnecting.py
+++ b/crocuskeel/core/frontend/disconnecting.py
@@ -1,12 +1,12 @@
 """Callers that disconnect before their answer is complete."""
 
-from crocuskeel.core.door import claim_lookup
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import recovering
-from crocuskeel.core.door import replaying
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
+from crocuskeel.core.frontend import claim_lookup
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import recovering
+from crocuskeel.core.frontend import replaying
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 
 __all__ = ["caller_gone", "resume_grace_expired"]
 
@@ -15,10 +15,10 @@
 
 def caller_gone(daemon, rid, now):
     """Handle a caller's disconnect; cancel unneeded work."""
-    door = daemon.door
-    if rid in door.relays:
-        return _relay_caller_gone(daemon, door.relays[rid], now)
-    req = door.requests.get(rid)
+    frontend = daemon.frontend
+    if rid in frontend.relays:
+        return _relay_caller_gone(daemon, frontend.relays[rid], now)
+    req = frontend.requests.get(rid)
     if req is None:
         return claim_lookup.caller_gone(daemon, rid)
     if req.caller_gone:
@@ -34,7 +34,7 @@
         return []
     if relay.source is state.RelaySource.ENGINE:
         return [effects.CancelAttempt(relay.rid, relay.attempt)]
-    req = daemon.door.requests.get(relay.original_rid)
+    req = daemon.frontend.requests.get(relay.original_rid)
     if req is None or not req.caller_gone:
         return []
     return _end_unless_watched(daemon, req, now)
--- a/crocuskeel/core/door/draining.py
+++ b/crocuskeel/core/frontend/draining.py
@@ -9,10 +9,10 @@
 
 def start(daemon, now):
     """Start draining; waiting and running requests continue."""
-    if daemon.door.drain_started_at is not None:
+    if daemon.frontend.drain_started_at is not None:
         return []
-    daemon.door.drain_started_at = now
-    request_count = len(daemon.door.requests)
+    daemon.frontend.drain_started_at = now
+    request_count = len(daemon.frontend.requests)
     return [effects.Record("drain_started", "",
                            (("requests", request_count),))]
 
@@ -23,12 +23,12 @@
     Callers cache the locate answer for a while; those that still connect
     must be redirected to another host.
     """
-    door = daemon.door
-    if door.drain_started_at is None or door.exited:
+    frontend = daemon.frontend
+    if frontend.drain_started_at is None or frontend.exited:
         return []
-    if door.requests or door.relays or door.lookups:
+    if frontend.requests or frontend.relays or frontend.lookups:
         return []
-    if now - door.drain_started_at < MIN_DRAIN_S:
+    if now - frontend.drain_started_at < MIN_DRAIN_S:
         return []
-    door.exited = True
+    frontend.exited = True
     return [effects.Record("drained"), effects.Exit()]
--- a/crocuskeel/core/door/granting.py
+++ b/crocuskeel/core/frontend/granting.py
@@ -1,14 +1,14 @@
 """Grants: a granted slot is used, or released immediately."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import claiming
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import queueing
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import running
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import events
+from crocuskeel.core.frontend import claiming
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import queueing
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import running
+from crocuskeel.core.frontend import state
 from crocuskeel.core import messages
 from crocuskeel.core import problems
 
@@ -20,12 +20,12 @@
 
 def granted(daemon, sender, grant, now):
     """Use the slot that a dispatcher granted, or release it."""
-    req = daemon.door.requests.get(grant.rid)
+    req = daemon.frontend.requests.get(grant.rid)
     if _is_duplicate(req, grant):
         return []
     if not _is_current(daemon, req, sender, grant):
         return _return_slot(daemon, sender, grant, now)
-    daemon.door.cells[req.cell].unreachable_since = None
+    daemon.frontend.cells[req.cell].unreachable_since = None
     return use_slot(daemon, req, grant.engine, grant.alone, now)
 
 
@@ -39,7 +39,7 @@
     return (req is not None
             and req.stage is state.Stage.WAITING
             and req.attempt == grant.attempt
-            and daemon.door.cells[req.cell].dispatcher == sender)
+            and daemon.frontend.cells[req.cell].dispatcher == sender)
 
 
 def _return_slot(daemon, sender, grant, now):
@@ -55,7 +55,7 @@
         grant.rid, grant.attempt, grant.cell, grant.engine,
         str(events.AttemptEnd.CANCELLED))
     out = [effects.Send(sender, released)]
-    cell_state = daemon.door.cells.get(grant.cell)
+    cell_state = daemon.frontend.cells.get(grant.cell)
     if (cell_state is not None and grant.rid in cell_state.slots
             and cell_state.dispatcher == sender):
         out += queueing.reregister(daemon, grant.cell, now)
@@ -64,7 +64,7 @@
 
 def use_slot(daemon, req, engine, alone, now):
     """Occupy a slot of ``engine``; request a claim first if needed."""
-    cell_state = daemon.door.cells[req.cell]
+    cell_state = daemon.frontend.cells[req.cell]
     del cell_state.waiting[req.rid]
     cell_state.slots[req.rid] = None
     req.engine = engine
--- a/crocuskeel/core/door/handling.py
+++ b/crocuskeel/core/frontend/handling.py
@@ -1,21 +1,21 @@
 """Dispatches events to the modules that handle them."""
 
-from crocuskeel.core.door import admitting
-from crocuskeel.core.door import claim_lookup_results
-from crocuskeel.core.door import claiming
-from crocuskeel.core.door import deadlines
-from crocuskeel.core.door import disconnecting
-from crocuskeel.core.door import draining
-from crocuskeel.core.door import granting
-from crocuskeel.core.door import local_granting
-from crocuskeel.core.door import locating
-from crocuskeel.core.door import queueing
-from crocuskeel.core.door import recovering
-from crocuskeel.core.door import replaying
-from crocuskeel.core.door import running
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import events
+from crocuskeel.core.frontend import admitting
+from crocuskeel.core.frontend import claim_lookup_results
+from crocuskeel.core.frontend import claiming
+from crocuskeel.core.frontend import deadlines
+from crocuskeel.core.frontend import disconnecting
+from crocuskeel.core.frontend import draining
+from crocuskeel.core.frontend import granting
+from crocuskeel.core.frontend import local_granting
+from crocuskeel.core.frontend import locating
+from crocuskeel.core.frontend import queueing
+from crocuskeel.core.frontend import recovering
+from crocuskeel.core.frontend import replaying
+from crocuskeel.core.frontend import running
+from crocuskeel.core.frontend import state
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 
@@ -58,7 +58,7 @@
 
 
 def _started(daemon, now):
-    daemon.door.membership_changed_at = now
+    daemon.frontend.membership_changed_at = now
     return [effects.SetTimer(_TICK, TICK_S)]
 
 
@@ -67,7 +67,7 @@
         return _tick(daemon, now)
     if kind == "lookup":
         return claim_lookup_results.timed_out(daemon, rid)
-    req = daemon.door.requests.get(rid)
+    req = daemon.frontend.requests.get(rid)
     if req is None:
         return []
     match kind:
@@ -96,13 +96,13 @@
 
 
 def _update_load(daemon):
-    request_count = len(daemon.door.requests) + len(daemon.door.relays)
+    request_count = len(daemon.frontend.requests) + len(daemon.frontend.relays)
     load = min(1.0, request_count / daemon.limits.max_requests)
     membership.set_load(daemon, load)
 
 
 def _attempt(daemon, event, now):
-    req = daemon.door.requests.get(event.rid)
+    req = daemon.frontend.requests.get(event.rid)
     if req is None:
         return []
     if type(event) is events.AttemptOpened:
@@ -111,10 +111,10 @@
 
 
 def _closed(daemon, event, now):
-    req = daemon.door.requests.get(event.rid)
+    req = daemon.frontend.requests.get(event.rid)
     if req is not None:
         return recovering.closed(daemon, req, event, now)
-    relay = daemon.door.relays.get(event.rid)
+    relay = daemon.frontend.relays.get(event.rid)
     if relay is not None:
         return replaying.closed(daemon, relay, event)
     return []
@@ -138,9 +138,9 @@
 
 
 def _claim_answer(daemon, message, now):
-    if message.rid in daemon.door.lookups and message.status != "granted":
+    if message.rid in daemon.frontend.lookups and message.status != "granted":
         return claim_lookup_results.answered(daemon, message)
-    req = daemon.door.requests.get(message.rid)
+    req = daemon.frontend.requests.get(message.rid)
     if req is None or req.stage is not state.Stage.CLAIMING:
         return claiming.late_response(daemon, message)
     granted = message.status == "granted"
--- a/crocuskeel/core/door/local_granting.py
+++ b/crocuskeel/core/frontend/local_granting.py
@@ -9,7 +9,7 @@
 
 from crocuskeel import conf
 from crocuskeel.core import backends
-from crocuskeel.core.door import granting
+from crocuskeel.core.frontend import granting
 from crocuskeel.core import membership
 from crocuskeel.core import placement
 from crocuskeel.core import quarantine
@@ -24,7 +24,7 @@
 def grant_waiting(daemon, now):
     """Grant slots locally in cells without a reachable dispatcher."""
     out = []
-    for cell, cell_state in list(daemon.door.cells.items()):
+    for cell, cell_state in list(daemon.frontend.cells.items()):
         if _may_grant_locally(cell_state, now):
             out += _grant(daemon, cell, cell_state, now)
     return out
@@ -58,7 +58,7 @@
     free = _free_engines(daemon, cell, cell_state)
     if not free:
         return None
-    requests = [daemon.door.requests[rid] for rid in cell_state.waiting]
+    requests = [daemon.frontend.requests[rid] for rid in cell_state.waiting]
     oldest_first = (cell_state.local_grants % OLDEST_FIRST_INTERVAL
                     == OLDEST_FIRST_INTERVAL - 1)
     for req in sorted(requests, key=_sort_key(oldest_first)):
@@ -98,7 +98,7 @@
     """
     used = {}
     for rid in cell_state.slots:
-        engine = daemon.door.requests[rid].engine
+        engine = daemon.frontend.requests[rid].engine
         used[engine] = used.get(engine, 0) + 1
     return {name: used.get(name, 0)
             for name in backends.cell_engines(daemon, cell)
--- a/crocuskeel/core/door/locating.py
+++ b/crocuskeel/core/frontend/locating.py
@@ -7,9 +7,9 @@
 """
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import completion
 from crocuskeel.core import effects
 from crocuskeel.core import follower
+from crocuskeel.core.frontend import completion
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 from crocuskeel.core import placement
@@ -112,7 +112,7 @@
 def _ttl_s(daemon, now):
     # Without jitter, callers that located at the same moment (after a
     # host failure) would all return at the same moment, repeatedly.
-    stable = now - daemon.door.membership_changed_at >= STABLE_AFTER_S
+    stable = now - daemon.frontend.membership_changed_at >= STABLE_AFTER_S
     ttl_s = TTL_STABLE_S if stable else TTL_CHANGING_S
     return ttl_s * daemon.rng.uniform(1.0 - TTL_JITTER, 1.0)
 
--- a/crocuskeel/core/door/queueing.py
+++ b/crocuskeel/core/frontend/queueing.py
@@ -7,10 +7,10 @@
 """
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 from crocuskeel.core import placement
@@ -38,13 +38,13 @@
 
 def get_cell_state(daemon, cell, now):
     """Return this host's state of the cell, created if missing."""
-    found = daemon.door.cells.get(cell)
+    found = daemon.frontend.cells.get(cell)
     if found is None:
         dispatcher = placement.owner(cell, membership.live(daemon))
         found = state.CellState(dispatcher)
-        if not dispatcher or dispatcher in daemon.door.unreachable_hosts:
+        if not dispatcher or dispatcher in daemon.frontend.unreachable_hosts:
             _mark_unreachable(found, now)
-        daemon.door.cells[cell] = found
+        daemon.frontend.cells[cell] = found
     return found
 
 
@@ -103,10 +103,10 @@
 
 def reregister(daemon, cell, now):
     """Send the dispatcher all requests of this host in the cell."""
-    cell_state = daemon.door.cells.get(cell)
+    cell_state = daemon.frontend.cells.get(cell)
     if cell_state is None or not cell_state.dispatcher:
         return []
-    requests = daemon.door.requests
+    requests = daemon.frontend.requests
     waiting = tuple(_enqueue_message(requests[rid], now)
                     for rid in cell_state.waiting)
     running = tuple(_running_message(requests[rid], now)
@@ -122,7 +122,7 @@
     otherwise slots that the dispatcher attributes to it would stay
     occupied.
     """
-    cell_state = daemon.door.cells.get(cell)
+    cell_state = daemon.frontend.cells.get(cell)
     if cell_state is None:
         return [effects.Send(sender, messages.Reregister(cell))]
     if cell_state.dispatcher != sender:
@@ -136,10 +136,10 @@
     An earlier attempt may have run, so the outcome is that of the whole
     request and not of the refused attempt.
     """
-    req = daemon.door.requests.get(refusal.rid)
+    req = daemon.frontend.requests.get(refusal.rid)
     if not _is_current(daemon, req, sender, refusal):
         return []
-    daemon.door.cells[req.cell].unreachable_since = None
+    daemon.frontend.cells[req.cell].unreachable_since = None
     completion.remove_from_queue(daemon, req)
     out = [reporting.record(req, "refused", now, reason=refusal.reason)]
     reason = _reason(refusal.reason)
@@ -151,7 +151,7 @@
     return (req is not None
             and req.stage is state.Stage.WAITING
             and req.attempt == message.attempt
-            and daemon.door.cells[req.cell].dispatcher == sender)
+            and daemon.frontend.cells[req.cell].dispatcher == sender)
 
 
 def _reason(name):
@@ -164,7 +164,7 @@
 
 def not_dispatcher(daemon, sender, message, now):
     """Schedule a retry: the two hosts' views of the membership differ."""
-    cell_state = daemon.door.cells.get(message.cell)
+    cell_state = daemon.frontend.cells.get(message.cell)
     if cell_state is None or cell_state.dispatcher != sender:
         return []
     _mark_unreachable(cell_state, now)
@@ -179,8 +179,8 @@
 
 def peer_down(daemon, host, now):
     """Mark the cells of a dispatcher as unreachable."""
-    daemon.door.unreachable_hosts.add(host)
-    for cell_state in daemon.door.cells.values():
+    daemon.frontend.unreachable_hosts.add(host)
+    for cell_state in daemon.frontend.cells.values():
         if cell_state.dispatcher == host:
             _mark_unreachable(cell_state, now)
     return []
@@ -191,9 +191,9 @@
 
     Messages may have been lost with the old connection.
     """
-    daemon.door.unreachable_hosts.discard(host)
+    daemon.frontend.unreachable_hosts.discard(host)
     out = []
-    for cell, cell_state in daemon.door.cells.items():
+    for cell, cell_state in daemon.frontend.cells.items():
         if cell_state.dispatcher == host:
             cell_state.unreachable_since = None
             out += reregister(daemon, cell, now)
@@ -203,13 +203,13 @@
 def update_dispatchers(daemon, now):
     """Apply membership changes: move cells whose dispatcher changed."""
     live = membership.live(daemon)
-    if live == daemon.door.live_hosts:
+    if live == daemon.frontend.live_hosts:
         return []
-    daemon.door.live_hosts = live
-    daemon.door.membership_changed_at = now
-    daemon.door.unreachable_hosts &= set(live)
+    daemon.frontend.live_hosts = live
+    daemon.frontend.membership_changed_at = now
+    daemon.frontend.unreachable_hosts &= set(live)
     out = []
-    for cell, cell_state in daemon.door.cells.items():
+    for cell, cell_state in daemon.frontend.cells.items():
         owner = placement.owner(cell, live)
         if owner != cell_state.dispatcher:
             out += _change_dispatcher(daemon, cell, cell_state, owner, now)
@@ -225,7 +225,7 @@
         out.append(effects.Send(cell_state.dispatcher, clear))
     cell_state.dispatcher = owner
     cell_state.unreachable_since = None
-    if not owner or owner in daemon.door.unreachable_hosts:
+    if not owner or owner in daemon.frontend.unreachable_hosts:
         _mark_unreachable(cell_state, now)
     return out + reregister(daemon, cell, now)
 
@@ -233,7 +233,7 @@
 def reregister_unreachable(daemon, now):
     """Register again in cells whose dispatcher was unreachable."""
     out = []
-    for cell, cell_state in daemon.door.cells.items():
+    for cell, cell_state in daemon.frontend.cells.items():
         due = cell_state.unreachable_since is not None
         if due and now >= cell_state.next_reregister_at:
             cell_state.next_reregister_at = now + REREGISTER_INTERVAL_S
@@ -244,11 +244,11 @@
 def move_from_removed_cells(daemon, now):
     """Move waiting requests out of cells that have no servers left."""
     out = []
-    for cell, cell_state in list(daemon.door.cells.items()):
+    for cell, cell_state in list(daemon.frontend.cells.items()):
         if backends.cell_engines(daemon, cell):
             continue
         for rid in list(cell_state.waiting):
-            out += _move_request(daemon, daemon.door.requests[rid], now)
+            out += _move_request(daemon, daemon.frontend.requests[rid], now)
     return out
 
 
@@ -265,9 +265,9 @@
 def flush_progress(daemon):
     """Report the tokens produced since the last report."""
     out = []
-    for cell, cell_state in daemon.door.cells.items():
+    for cell, cell_state in daemon.frontend.cells.items():
         if cell_state.unreported_tokens and cell_state.dispatcher:
-            requests = daemon.door.requests
+            requests = daemon.frontend.requests
             items = tuple(
                 messages.Progress(rid, requests[rid].attempt, tokens)
                 for rid, tokens in cell_state.unreported_tokens.items())
--- a/crocuskeel/core/door/recovering.py
+++ b/crocuskeel/core/frontend/recovering.py
@@ -1,13 +1,13 @@
 """Closed attempts: completion, resumption, retry or failure."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import queueing
-from crocuskeel.core.door import replaying
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import events
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import queueing
+from crocuskeel.core.frontend import replaying
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 from crocuskeel.core import problems
 from crocuskeel.core import quarantine
 
@@ -194,7 +194,7 @@
 
 
 def _retry_budget(daemon, policy):
-    retry_budgets = daemon.door.retry_budgets
+    retry_budgets = daemon.frontend.retry_budgets
     found = retry_budgets.get(policy.name)
     if found is None:
         start = INITIAL_RETRY_BUDGET if policy.retry_budget else 0.0
--- a/crocuskeel/core/door/replaying.py
+++ b/crocuskeel/core/frontend/replaying.py
@@ -1,11 +1,11 @@
 """Replays of existing answers, for resends and resumed streams."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import completion
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import follower
+from crocuskeel.core.frontend import completion
+from crocuskeel.core.frontend import state
 from crocuskeel.core import membership
 from crocuskeel.core import problems
 
@@ -31,7 +31,7 @@
     if not arrival.idempotency_key:
         return None
     scope = (caller.workspace, caller.caller, arrival.idempotency_key)
-    original_rid = daemon.door.rids_by_key.get(scope)
+    original_rid = daemon.frontend.rids_by_key.get(scope)
     if original_rid is None:
         return None
     digest, has_answer, outcome = _find_original(daemon, original_rid)
@@ -47,15 +47,15 @@
 
 
 def _find_original(daemon, original_rid):
-    req = daemon.door.requests.get(original_rid)
+    req = daemon.frontend.requests.get(original_rid)
     if req is not None:
         return req.arrival.digest, True, req.outcome
-    kept = daemon.door.ended_requests[original_rid]
+    kept = daemon.frontend.ended_requests[original_rid]
     return kept.digest, kept.has_answer, kept.outcome
 
 
 def _is_full(daemon):
-    return len(daemon.door.relays) >= daemon.limits.max_requests
+    return len(daemon.frontend.relays) >= daemon.limits.max_requests
 
 
 def _refuse_overload(rid):
@@ -65,8 +65,8 @@
 
 def _replay_local(daemon, relay):
     """Replay an answer from this host, as soon as it has started."""
-    daemon.door.relays[relay.rid] = relay
-    req = daemon.door.requests.get(relay.original_rid)
+    daemon.frontend.relays[relay.rid] = relay
+    req = daemon.frontend.requests.get(relay.original_rid)
     if req is None:
         return _replay(relay)
     req.watchers.add(relay.rid)
@@ -84,7 +84,7 @@
     """Start the replays to callers waiting for this request's answer."""
     out = []
     for rid in sorted(req.watchers):
-        out += _replay(daemon.door.relays[rid])
+        out += _replay(daemon.frontend.relays[rid])
     return out
 
 
@@ -108,7 +108,7 @@
     for rid in req.watchers:
         # A relay that is only answered as a duplicate would otherwise
         # never be removed and would block a graceful shutdown.
-        daemon.door.relays.pop(rid, None)
+        daemon.frontend.relays.pop(rid, None)
     out = completion.finish(daemon, req, now)
     for rid in waiting_callers:
         out += replay_from_holder(daemon, rid, message)
@@ -135,8 +135,8 @@
 
 
 def _replay_local_if_retained(daemon, relay):
-    kept = daemon.door.ended_requests.get(relay.original_rid)
-    if relay.original_rid in daemon.door.requests or (
+    kept = daemon.frontend.ended_requests.get(relay.original_rid)
+    if relay.original_rid in daemon.frontend.requests or (
             kept and kept.has_answer):
         return _replay_local(daemon, relay)
     return _answer_duplicate(relay.rid, relay.outcome)
@@ -144,7 +144,7 @@
 
 def resume_arrived(daemon, event, now):
     """Resume a caller's stream here, at a peer or at the engine."""
-    if event.rid in daemon.door.relays:
+    if event.rid in daemon.frontend.relays:
         return []
     caller = follower.caller(daemon, event.token)
     if caller is None:
@@ -167,9 +167,9 @@
 
 
 def _resume_local(daemon, relay, caller, same_incarnation):
-    found = (daemon.door.requests.get(relay.original_rid)
+    found = (daemon.frontend.requests.get(relay.original_rid)
              if same_incarnation else None)
-    kept = (daemon.door.ended_requests.get(relay.original_rid)
+    kept = (daemon.frontend.ended_requests.get(relay.original_rid)
             if same_incarnation else None)
     if found is not None:
         owner = (found.caller.workspace, found.caller.caller)
@@ -194,7 +194,7 @@
 
 def _replay_from_peer(daemon, relay, host, proof):
     relay.source = state.RelaySource.PEER
-    daemon.door.relays[relay.rid] = relay
+    daemon.frontend.relays[relay.rid] = relay
     return [effects.ReplayFrom(relay.rid, host, relay.original_rid,
                                relay.after, proof),
             effects.Record("replay_asked", relay.rid,
@@ -210,7 +210,7 @@
         return _answer_stream_unknown(relay.rid)
     relay.source = state.RelaySource.ENGINE
     relay.resumes += 1
-    daemon.door.relays[relay.rid] = relay
+    daemon.frontend.relays[relay.rid] = relay
     return [effects.ResumeAttempt(
         relay.rid, resume.attempt, resume.engine, backend.url,
         DEFAULT_SILENCE_S, resume.stream, resume.after),
@@ -242,28 +242,28 @@
 
 def _latest_outcome(daemon, relay):
     """Return the original request's outcome as known now."""
-    kept = daemon.door.ended_requests.get(relay.original_rid)
+    kept = daemon.frontend.ended_requests.get(relay.original_rid)
     return kept.outcome if kept else relay.outcome
 
 
 def drop_relay(daemon, relay):
     """Remove a relay that was answered or whose caller disconnected."""
-    daemon.door.relays.pop(relay.rid, None)
-    req = daemon.door.requests.get(relay.original_rid)
+    daemon.frontend.relays.pop(relay.rid, None)
+    req = daemon.frontend.requests.get(relay.original_rid)
     if req is not None:
         req.watchers.discard(relay.rid)
 
 
 def replay_requested(daemon, message):
     """Keep a stream running whose caller a peer now serves."""
-    if message.rid not in daemon.door.requests:
+    if message.rid not in daemon.frontend.requests:
         return []
     return [effects.CancelTimer(("door", "grace", message.rid))]
 
 
 def expire_retained(daemon, now):
     """Remove retained answers whose retention time has passed."""
-    kept = daemon.door.ended_requests
+    kept = daemon.frontend.ended_requests
     while kept and next(iter(kept.values())).expires_at <= now:
-        completion.evict_oldest(daemon.door)
+        completion.evict_oldest(daemon.frontend)
     return []
--- a/crocuskeel/core/door/running.py
+++ b/crocuskeel/core/frontend/running.py
@@ -1,10 +1,10 @@
 """Attempts on backend servers: opening and progress."""
 
 from crocuskeel.core import backends
-from crocuskeel.core.door import replaying
-from crocuskeel.core.door import reporting
-from crocuskeel.core.door import state
 from crocuskeel.core import effects
+from crocuskeel.core.frontend import replaying
+from crocuskeel.core.frontend import reporting
+from crocuskeel.core.frontend import state
 from crocuskeel.core import problems
 
 __all__ = ["first_byte_timeout_s", "open_attempt", "opened", "progressed",
@@ -78,7 +78,7 @@
     if not _is_open(req, event) or event.tokens <= req.tokens:
         return []
     req.tokens = event.tokens
-    daemon.door.cells[req.cell].unreported_tokens[req.rid] = event.tokens
+    daemon.frontend.cells[req.cell].unreported_tokens[req.rid] = event.tokens
     return []
 
 
--- a/crocuskeel/core/door/state.py
+++ b/crocuskeel/core/frontend/state.py
@@ -8,8 +8,9 @@
 from crocuskeel.core import events
 from crocuskeel.core import problems
 
-__all__ = ["CellState", "ClaimLookup", "DoorState", "EndedRequest", "Relay",
-           "RelaySource", "Request", "RetryBudget", "Stage", "new_state"]
+__all__ = ["CellState", "ClaimLookup", "EndedRequest", "FrontendState",
+           "Relay", "RelaySource", "Request", "RetryBudget", "Stage",
+           "new_state"]
 
 
 class Stage(enum.StrEnum):
@@ -173,7 +174,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class DoorState:
+class FrontendState:
     """All requests by rid, with their indexes.
 
     ``rids_by_key`` maps the scope of an Idempotency-Key to a rid in
@@ -205,4 +206,4 @@
 
 def new_state():
     """Return an empty state."""
-    return DoorState()
+    return FrontendState()
--- a/crocuskeel/core/reducer.py
+++ b/crocuskeel/core/reducer.py
@@ -10,11 +10,11 @@
 from crocuskeel.core import backends
 from crocuskeel.core.claims import component as claims
 from crocuskeel.core import dispatch
-from crocuskeel.core import door
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import exceptions
 from crocuskeel.core import follower
+from crocuskeel.core import frontend
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 from crocuskeel.core import quarantine
@@ -22,24 +22,24 @@
 __all__ = ["ROUTES", "reduce"]
 
 _ALL_COMPONENTS = (membership, follower, backends, quarantine, dispatch,
-                   claims, door)
+                   claims, frontend)
 
 ROUTES = {
     events.Started: _ALL_COMPONENTS,
     events.TimerFired: _ALL_COMPONENTS,
     events.DrainAsked: _ALL_COMPONENTS,
-    events.PeerUp: (follower, dispatch, claims, door),
-    events.PeerDown: (follower, dispatch, claims, door),
-    events.HostListSeen: (membership, backends, dispatch, door),
+    events.PeerUp: (follower, dispatch, claims, frontend),
+    events.PeerDown: (follower, dispatch, claims, frontend),
+    events.HostListSeen: (membership, backends, dispatch, frontend),
     events.HostListFailed: (membership, backends),
     events.StoreAnswered: (follower, claims),
-    events.RequestArrived: (door,),
-    events.ResumeArrived: (door,),
-    events.CallerGone: (door,),
-    events.LocateAsked: (door,),
-    events.AttemptOpened: (door,),
-    events.AttemptProgress: (door,),
-    events.AttemptClosed: (door,),
+    events.RequestArrived: (frontend,),
+    events.ResumeArrived: (frontend,),
+    events.CallerGone: (frontend,),
+    events.LocateAsked: (frontend,),
+    events.AttemptOpened: (frontend,),
+    events.AttemptProgress: (frontend,),
+    events.AttemptClosed: (frontend,),
     events.EngineLoadSeen: (dispatch,),
     events.EngineCacheSeen: (dispatch,),
     messages.Enqueue: (dispatch,),
@@ -47,16 +47,16 @@
     messages.Reregister: (dispatch,),
     messages.Progressed: (dispatch,),
     messages.Released: (dispatch,),
-    messages.Grant: (door,),
-    messages.Refusal: (door,),
-    messages.NotDispatcher: (door,),
-    messages.ReregisterAsk: (door,),
+    messages.Grant: (frontend,),
+    messages.Refusal: (frontend,),
+    messages.NotDispatcher: (frontend,),
+    messages.ReregisterAsk: (frontend,),
     messages.CrashSeen: (quarantine, dispatch),
     messages.ClaimAsk: (claims,),
     messages.ClaimSettle: (claims,),
-    messages.ClaimAnswer: (door,),
-    messages.ReplayAsk: (door,),
-    messages.ReplayChunk: (door,),
+    messages.ClaimAnswer: (frontend,),
+    messages.ReplayAsk: (frontend,),
+    messages.ReplayChunk: (frontend,),
     messages.Probe: (membership,),
     messages.ProbeAck: (membership,),
     messages.ProbeVia: (membership,),
@@ -98,7 +98,7 @@
     # A newer process runs under this host's name, so answers and grants
     # for one could reach the other. The older one drains.
     return (daemon.membership.superseded
-            and daemon.door.drain_started_at is None)
+            and daemon.frontend.drain_started_at is None)
 
 
 def _step(daemon, event, now):
--- a/crocuskeel/core/state.py
+++ b/crocuskeel/core/state.py
@@ -55,5 +55,5 @@
     backends: typing.Any
     quarantine: typing.Any
     dispatch: typing.Any
-    door: typing.Any
+    frontend: typing.Any
     claims: typing.Any
--- a/crocuskeel/ops/overview.py
+++ b/crocuskeel/ops/overview.py
@@ -119,8 +119,8 @@
         generation=generation,
         newest=max(generation, daemon.follower.newest_known_generation),
         ready=follower.ready(daemon, now),
-        draining=daemon.door.drain_started_at is not None,
-        requests=len(daemon.door.requests),
+        draining=daemon.frontend.drain_started_at is not None,
+        requests=len(daemon.frontend.requests),
     )
 
 
--- a/crocuskeel/ops/routes.py
+++ b/crocuskeel/ops/routes.py
@@ -241,4 +241,4 @@
         "drain_asked", "", (("author", request.author),)))
     # An idle host exits at once, so the response is written first.
     runtime.reactor.callLater(0, runtime.feed, events.DrainAsked())
-    return _DrainStarted(daemon.identity.host, len(daemon.door.requests))
+    return _DrainStarted(daemon.identity.host, len(daemon.frontend.requests))
--- a/crocuskeel/runtime/attempts.py
+++ b/crocuskeel/runtime/attempts.py
@@ -112,7 +112,7 @@
     # The server may close a pooled connection just as a request is sent
     # on it, and the client can't tell whether the request ran. Requests
     # that must not be repeated use a new connection, which avoids this.
-    req = ctx.daemon.door.requests.get(rid)
+    req = ctx.daemon.frontend.requests.get(rid)
     return req is not None and not req.repeatable
 
 
--- a/crocuskeel/runtime/callers.py
+++ b/crocuskeel/runtime/callers.py
@@ -97,7 +97,7 @@
     """
     for exchange in list(ctx.exchanges.values()):
         if exchange.caller_gone and exchange.source is None and (
-                exchange.rid not in ctx.daemon.door.requests):
+                exchange.rid not in ctx.daemon.frontend.requests):
             del ctx.exchanges[exchange.rid]
 
 
--- a/crocuskeel/runtime/door.py
+++ b/crocuskeel/runtime/http_api.py
@@ -61,7 +61,7 @@
 
     @app.route("/readyz", methods=["GET"])
     def ready(req):
-        if ctx.daemon.door.drain_started_at is not None:
+        if ctx.daemon.frontend.drain_started_at is not None:
             return _refuse(req, problems.Reason.LEAVING)
         if follower.ready(ctx.daemon, ctx.reactor.seconds()):
             return b"ready\n"
--- a/crocuskeel/runtime/program.py
+++ b/crocuskeel/runtime/program.py
@@ -18,7 +18,7 @@
 from crocuskeel.runtime import context
 from crocuskeel.runtime import datagrams
 from crocuskeel.runtime import direct_writes
-from crocuskeel.runtime import door
+from crocuskeel.runtime import http_api
 from crocuskeel.runtime import http_client
 from crocuskeel.runtime import links
 from crocuskeel.runtime import loop
@@ -102,7 +102,7 @@
     await defer.Deferred.fromFuture(
         asyncio.ensure_future(links.listen(ctx)))
     site = bounded_request.new_site(
-        ctx.reactor, door.new_app(ctx).resource())
+        ctx.reactor, http_api.new_app(ctx).resource())
     ctx.door_port = direct_writes.listen(
         ctx.reactor, cfg.door_port, site, cfg.address)
     watchdog.start(ctx)
--- a/tests/ctl/fleet.py
+++ b/tests/ctl/fleet.py
@@ -10,8 +10,8 @@
 from crocuskeel.conf import tree as trees
 from crocuskeel.core import backends
 from crocuskeel.core import dispatch
-from crocuskeel.core import door
 from crocuskeel.core import follower
+from crocuskeel.core import frontend
 from crocuskeel.core import membership
 from crocuskeel.core.membership import state as member_state
 from crocuskeel.core import quarantine
@@ -87,7 +87,8 @@
         identity=me, limits=state.Limits(), rng=random.Random(1),
         follower=follower.new_state(), membership=membership.new_state(me),
         backends=backends.new_state(), quarantine=quarantine.new_state(),
-        dispatch=dispatch.new_state(), door=door.new_state(), claims=None)
+        dispatch=dispatch.new_state(), frontend=frontend.new_state(),
+        claims=None)
 
 
 class Fleet:
--- a/tests/door/driver.py
+++ b/tests/frontend/driver.py
@@ -6,10 +6,10 @@
 from crocuskeel.conf import tree as trees
 from crocuskeel.core import backends
 from crocuskeel.core import claims
-from crocuskeel.core import door
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import follower
+from crocuskeel.core import frontend
 from crocuskeel.core import membership
 from crocuskeel.core import messages
 from crocuskeel.core import placement
@@ -69,7 +69,7 @@
             membership=membership.new_state(me),
             backends=backends.new_state(),
             quarantine=quarantine.new_state(), dispatch=None,
-            door=door.new_state(),
+            frontend=frontend.new_state(),
             claims=claims.new_state("h1", 1, random.Random(7)))
         self.receive_members("h2", member("h2"), member("h3"))
         self.list_servers()
@@ -88,7 +88,7 @@
 
     def feed(self, event):
         """Handle one event; update the timers and the log of effects."""
-        out = door.handle(self.daemon, event, self.now)
+        out = frontend.handle(self.daemon, event, self.now)
         for effect in out:
             if isinstance(effect, effects.SetTimer):
                 self.timers[effect.key] = self.now + effect.after_s
@@ -135,7 +135,7 @@
 
     def request(self, rid):
         """Return the request, or None if it has ended."""
-        return self.daemon.door.requests.get(rid)
+        return self.daemon.frontend.requests.get(rid)
 
     def grant(self, rid, engine="e1", sender=""):
         """Grant the request's current attempt."""
--- a/tests/door/fault_table.py
+++ b/tests/frontend/fault_table.py
@@ -10,7 +10,7 @@
 from crocuskeel.core import events
 from crocuskeel.core import messages
 from crocuskeel.core import quarantine
-from tests.door import driver
+from tests.frontend import driver
 
 BOOK = {"class_name": "book", "key": "k", "stream": False}
 PLAIN = {"stream": False}
--- a/tests/door/key_fault_table.py
+++ b/tests/frontend/key_fault_table.py
@@ -1,12 +1,12 @@
 """Fault table of refused requests that have an Idempotency-Key.
 
-It has the same format as the tables of ``tests.door.fault_table``.
+It has the same format as the tables of ``tests.frontend.fault_table``.
 """
 
 from crocuskeel.core import events
 from crocuskeel.core import messages
-from tests.door import driver
-from tests.door import fault_table
+from tests.frontend import driver
+from tests.frontend import fault_table
 
 BOOK = fault_table.BOOK
 Row = fault_table.Row
--- a/tests/door/test_faults.py
+++ b/tests/frontend/test_faults.py
@@ -5,9 +5,9 @@
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import membership
-from tests.door import driver
-from tests.door import fault_table
-from tests.door import key_fault_table
+from tests.frontend import driver
+from tests.frontend import fault_table
+from tests.frontend import key_fault_table
 
 
 class FaultTableTest(unittest.TestCase):
--- a/tests/door/test_locate.py
+++ b/tests/frontend/test_locate.py
@@ -4,8 +4,8 @@
 import random
 import unittest
 
-from crocuskeel.core.door import locating
-from tests.door import driver
+from crocuskeel.core.frontend import locating
+from tests.frontend import driver
 
 DOMAINS = "aaabbbccc"
 
--- a/tests/door/test_models.py
+++ b/tests/frontend/test_models.py
@@ -3,10 +3,10 @@
 import dataclasses
 import unittest
 
-from crocuskeel.core.door import running
 from crocuskeel.core import effects
 from crocuskeel.core import events
-from tests.door import driver
+from crocuskeel.core.frontend import running
+from tests.frontend import driver
 
 
 def _arrive(host, class_name, model, stream=True):
--- a/tests/door/test_properties.py
+++ b/tests/frontend/test_properties.py
@@ -9,7 +9,7 @@
 from crocuskeel.core import effects
 from crocuskeel.core import events
 from crocuskeel.core import messages
-from tests.door import driver
+from tests.frontend import driver
 
 ENDS = [str(end) for end in events.AttemptEnd]
 NOT_RUN_ENDS = ("busy", "refused", "unready")
@@ -202,8 +202,8 @@
         self.host.feed(event)
 
     def is_pending(self, rid):
-        door = self.host.daemon.door
-        return rid in door.relays or rid in door.requests
+        frontend = self.host.daemon.frontend
+        return rid in frontend.relays or rid in frontend.requests
 
     def leave(self, pick):
         if self.arrivals:
@@ -237,8 +237,8 @@
             self.process_effects()
 
     def has_pending(self):
-        door = self.host.daemon.door
-        return door.requests or door.relays or door.lookups
+        frontend = self.host.daemon.frontend
+        return frontend.requests or frontend.relays or frontend.lookups
 
 
 def claim_key_of(request):
@@ -265,8 +265,9 @@
         for operation, pick in steps:
             environment.step(operation, pick)
         environment.run_to_completion()
-        door = environment.host.daemon.door
-        self.assertFalse(door.requests or door.relays or door.cells)
+        frontend = environment.host.daemon.frontend
+        self.assertFalse(
+            frontend.requests or frontend.relays or frontend.cells)
         self.assertFalse(environment.held_slots)
         for rid in environment.arrivals:
             if rid not in environment.gone_callers:
--- a/tests/runtime/support.py
+++ b/tests/runtime/support.py
@@ -15,7 +15,7 @@
 from crocuskeel import conf
 from crocuskeel.core import effects
 from crocuskeel.runtime import bounded_request
-from crocuskeel.runtime import door
+from crocuskeel.runtime import http_api
 from crocuskeel.runtime import program
 from crocuskeel.runtime import settings
 from crocuskeel.runtime import stream_ids
@@ -106,7 +106,7 @@
 def send_request(harness, head, body=b"", token="one-token"):
     """Send a caller's request; return its channel and connection."""
     site = bounded_request.new_site(
-        harness.reactor, door.new_app(harness.ctx).resource(), 1000)
+        harness.reactor, http_api.new_app(harness.ctx).resource(), 1000)
     channel = site.buildProtocol(None)
     connection = Connection()
     channel.makeConnection(connection)
--- a/tests/runtime/test_caller.py
+++ b/tests/runtime/test_caller.py
@@ -205,7 +205,7 @@
             _, connection = support.send_request(
                 harness, "GET /readyz HTTP/1.1")
             self.assertTrue(connection.value().startswith(b"HTTP/1.1 200"))
-            harness.ctx.daemon.door.drain_started_at = 1.0
+            harness.ctx.daemon.frontend.drain_started_at = 1.0
             _, connection = support.send_request(
                 harness, "GET /readyz HTTP/1.1")
         status, _, document = _parse_problem(connection)
--- a/tests/runtime/test_stop.py
+++ b/tests/runtime/test_stop.py
@@ -13,7 +13,7 @@
 from crocuskeel.programs import daemon as program_daemon
 from crocuskeel.runtime import bounded_request
 from crocuskeel.runtime import direct_writes
-from crocuskeel.runtime import door
+from crocuskeel.runtime import http_api
 from crocuskeel.runtime import loop
 from crocuskeel.runtime import program
 from tests.runtime import support
@@ -61,7 +61,7 @@
         self.harness = support.new_harness()
         ctx = self.harness.ctx
         site = bounded_request.new_site(
-            self.harness.reactor, door.new_app(ctx).resource())
+            self.harness.reactor, http_api.new_app(ctx).resource())
         ctx.door_port = direct_writes.new_port(
             self.harness.reactor, 0, site, "127.0.0.1")
         self.exits = []
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -11,7 +11,7 @@
 from crocuskeel.core import problems
 from crocuskeel.core import state
 from crocuskeel.runtime import settings as daemon_settings
-from tests.door import fault_table
+from tests.frontend import fault_table
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DOCS = ROOT / "docs"
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -52,7 +52,7 @@
         for at in (1.0, 2.0):
             out = reducer.reduce(daemon, _probe("h2", newer), at)
         self.assertTrue(daemon.membership.superseded)
-        self.assertIsNotNone(daemon.door.drain_started_at)
+        self.assertIsNotNone(daemon.frontend.drain_started_at)
         self.assertNotIn("h1", membership.live(daemon))
         self.assertIsInstance(out, list)
 
